--- a/eslint.config.js
+++ b/eslint.config.js
@@ -22,11 +22,11 @@
         { selector: 'ThisExpression', message: 'No this.' },
         {
           selector: "CallExpression[callee.object.name='Math'][callee.property.name='random']",
-          message: 'Random comes from lens.',
+          message: 'Random comes from the runtime.',
         },
         {
           selector: "CallExpression[callee.object.name='Date'][callee.property.name='now']",
-          message: 'Time comes from lens.',
+          message: 'Time comes from the runtime.',
         },
       ],
       'max-len': ['error', { code: 120 }],
--- a/examples/embed.ts
+++ b/examples/embed.ts
@@ -1,12 +1,12 @@
-// A front program of your own with thornsail's data plane in it.
+// A gateway program of your own with thornsail's data plane in it.
 // npm run build && node examples/embed.js 127.0.0.1:7201 127.0.0.1:7202 127.0.0.1:7101
-// (its place for siblings, its place for HTTP, the place of the pilot beside it)
+// (its place for siblings, its place for HTTP, the place of the agent beside it)
 import http from 'node:http';
 import { embed } from '@thornsail/thornsail';
 
-const [place, at, pilot] = process.argv.slice(2);
-if (!place || !at || !pilot) throw new Error('three addresses are needed');
-const lanes = await embed.open({ name: 'embedded', place, http: at, pilot, seeds: [pilot] });
+const [place, at, agent] = process.argv.slice(2);
+if (!place || !at || !agent) throw new Error('three addresses are needed');
+const lanes = await embed.open({ name: 'embedded', place, http: at, agent, seeds: [agent] });
 const server = http.createServer((req, res) => lanes.handler(req, res, () => res.end('your own program\n')));
 const [host, port] = at.split(':');
 server.listen(Number(port), host);
--- a/packages/admin-api/src/control.ts
+++ b/packages/admin-api/src/control.ts
@@ -1,6 +1,6 @@
 // What an operator may ask, without the words of any interface (§7.3): our own HTTP and others' are put on top of it.
-import { fault, us, type Lens, type Us } from '@thornsail/runtime';
-import type { Mooring } from '@thornsail/membership';
+import { fault, us, type Runtime, type Us } from '@thornsail/runtime';
+import type { Membership } from '@thornsail/membership';
 import {
   configuration,
   type Member,
@@ -15,7 +15,7 @@
   view: number;
   members: Member[];
   news: News | null;
-  /** Whether the keeper group needs no further change; a leader of the release before does not say. */
+  /** Whether the store group needs no further change; a leader of the release before does not say. */
   repaired?: boolean;
 };
 export type DrainState = 'unknown' | 'too-few' | 'not draining' | 'waiting' | 'copying' | 'safe';
@@ -23,11 +23,11 @@
 export type Control = {
   /** The agreed state, confirmed by a majority; throws if there is none to be had. */
   read: (within?: Us) => Promise<{ seq: number; value: ReadResult }>;
-  /** Judged by the towers; the same push again has one effect, so it is repeated until its outcome is known. */
+  /** Judged by the coordinators; the same push again has one effect, so it is repeated until its outcome is known. */
   push: (p: Push, within?: Us) => Promise<PushResult>;
   /** What is known of a push without judging it, null if it may be accepted; and the source it would be applied to. */
   lookUp: (p: Push, within?: Us) => Promise<{ known: PushResult | null; source: unknown }>;
-  /** Has a keeper leave its group; repeated, it says how far that is. */
+  /** Has a store leave its group; repeated, it says how far that is. */
   drain: (name: string, within?: Us) => Promise<DrainState>;
   drained: (name: string, within?: Us) => Promise<DrainState>;
 };
@@ -36,7 +36,7 @@
 /** The least that is left for a question to the core. */
 const leastLimit = us.ms(50);
 
-/** How far a keeper's drain is (§6.5): safe only once the group without it is full, and bears the next loss. */
+/** How far a store's drain is (§6.5): safe only once the group without it is full, and bears the next loss. */
 export const drainState = (s: Ordered, node: NodeEntry, repaired = true): DrainState => {
   const k = s.keepers;
   if (!k.draining.includes(node.id)) return 'not draining';
@@ -46,13 +46,13 @@
 /** A node by its name: the one that lives, else the one that was lost last. */
 const named = (s: Ordered, name: string): NodeEntry | undefined =>
   Object.values(s.roster)
-    .filter((n) => n.name === name && n.role === 'keeper')
+    .filter((n) => n.name === name && n.role === 'store')
     .sort((a, b) => Number(a.standing === 'dead') - Number(b.standing === 'dead') || b.since - a.since)[0];
 
 export const control = {
-  open: (o: { lens: Lens; mooring: Mooring }): Control => {
-    const { clock } = o.lens;
-    const { core } = o.mooring;
+  open: (o: { runtime: Runtime; membership: Membership }): Control => {
+    const { clock } = o.runtime;
+    const { core } = o.membership;
     const leftUntil = (end: Us): Us => Math.max(leastLimit, end - clock.now());
     const read: Control['read'] = (within = callLimit) => core.ask<ReadResult>({ op: 'read' }, within);
     const drained: Control['drained'] = async (name, within) => {
--- a/packages/admin-api/src/index.ts
+++ b/packages/admin-api/src/index.ts
@@ -1,11 +1,11 @@
 // signal: what operators ask of any node over HTTP (§7.3). Agreed results carry the mark they were read at;
 // a node that cannot give the agreed result says so.
-import { chart } from '@thornsail/config-schema';
-import { dues, type Purse } from '@thornsail/token-budget';
-import { fault, us, type HttpAsk, type HttpHandler, type HttpSay, type Lens, type Place } from '@thornsail/runtime';
+import { configSchema } from '@thornsail/config-schema';
+import { tokenBudget, type BudgetRecord } from '@thornsail/token-budget';
+import { fault, us, type HttpAsk, type HttpHandler, type HttpSay, type Runtime, type Place } from '@thornsail/runtime';
 import type { Registers } from '@thornsail/register-store';
-import type { Mooring } from '@thornsail/membership';
-import type { Pipe } from '@thornsail/rpc';
+import type { Membership } from '@thornsail/membership';
+import type { Rpc } from '@thornsail/rpc';
 import { order, type Ordered, type Push } from '@thornsail/consensus';
 import { control, drainState, type ReadResult as Read } from './control.js';
 
@@ -15,9 +15,9 @@
   duties: Record<string, { by: string; mark: number }>;
 };
 export type SignalNode = {
-  lens: Lens;
-  pipe: Pipe;
-  mooring: Mooring;
+  runtime: Runtime;
+  rpc: Rpc;
+  membership: Membership;
   registers: Registers;
   role: string;
   name: string;
@@ -49,7 +49,7 @@
   const label = `{role="${n.role}",name="${n.name}"}`;
   for (const [k, v] of Object.entries({
     ...n.counts(),
-    order_mark: n.mooring.mark(),
+    order_mark: n.membership.mark(),
     ready: n.ready().ok ? 1 : 0,
   }).sort()) {
     const m = `thornsail_${k.replace(/[^a-zA-Z0-9]/g, '_')}`;
@@ -60,7 +60,7 @@
 
 export const signal = {
   handler: (n: SignalNode): HttpHandler => {
-    const ctl = control.open({ lens: n.lens, mooring: n.mooring });
+    const ctl = control.open({ runtime: n.runtime, membership: n.membership });
     const read = (): Promise<{ seq: number; value: Read<NewsResult> }> =>
       ctl.read() as Promise<{ seq: number; value: Read<NewsResult> }>;
     /** What a change would do, without doing it (§7.2). */
@@ -74,7 +74,7 @@
           mark: s.config.mark,
           message: `the configuration is at mark ${s.config.mark}`,
         });
-      const p = chart.plan(s.config.raw ?? {}, how, body);
+      const p = configSchema.plan(s.config.raw ?? {}, how, body);
       if (!p.ok) return json(say, 422, { error: 'invalid', mark: s.config.mark, problems: p.problems });
       return json(say, 200, { mark: s.config.mark, plan: p.steps });
     };
@@ -93,7 +93,7 @@
           field: 'if-match',
           message: 'the mark that the change is based on',
         });
-      const id = ask.headers['push-id'] ?? n.lens.rand.id();
+      const id = ask.headers['push-id'] ?? n.runtime.rand.id();
       if (!/^[\x21-\x7e]{1,100}$/.test(id)) return json(say, 400, { error: 'bad_field', field: 'push-id' });
       const how: Push['how'] =
         ask.method === 'PUT'
@@ -103,16 +103,16 @@
             : 'merge';
       if (ask.query['plan'] === 'true') return await plan(say, how, Number(base), body);
       if (how === 'whole') {
-        // Said early where it can be; the towers judge all the same.
-        const c = chart.check(body);
+        // Said early where it can be; the coordinators judge all the same.
+        const c = configSchema.check(body);
         if (!c.ok) return json(say, 422, { error: 'invalid', problems: c.problems });
       }
       const v = await ctl.push({ id, base: Number(base), how, body });
       if (v.ok)
         return json(say, 200, { mark: v.mark, push: id, repeated: v.repeated === true }, { etag: `"${v.mark}"` });
       if (v.why === 'unconfirmed') {
-        const message = `taken as ${v.mark}, but not known to be in use at ${v.fronts.join(', ')}`;
-        const body = { error: 'unconfirmed', mark: v.mark, push: id, fronts: v.fronts, message };
+        const message = `taken as ${v.mark}, but not known to be in use at ${v.gateways.join(', ')}`;
+        const body = { error: 'unconfirmed', mark: v.mark, push: id, gateways: v.gateways, message };
         return json(say, 503, body, { 'retry-after': '1' });
       }
       if (v.why === 'forgotten') {
@@ -123,7 +123,7 @@
         return json(say, 409, { error: 'collision', mark: v.mark, message: `the configuration is at mark ${v.mark}` });
       return json(say, 422, { error: 'invalid', mark: v.mark, problems: v.problems });
     };
-    /** A page of keys as the keepers list them, with how many hold the newest copy. */
+    /** A page of keys as the stores list them, with how many hold the newest copy. */
     const keysAfter = async (
       s: Ordered,
       after: string,
@@ -132,7 +132,7 @@
       const group = { mark: s.keepers.mark, members: s.keepers.members };
       const pages = await Promise.all(
         group.members.map((k) =>
-          n.pipe
+          n.rpc
             .ask<{ ok: boolean; keys?: { key: string; accepted: [number, string]; until: number }[] }>(
               k.at,
               'reg.list',
@@ -144,7 +144,7 @@
       );
       const good = pages.filter((p) => p?.ok);
       if (good.length <= group.members.length / 2)
-        throw fault.make({ step: 'registers', code: 'no-majority' }, 'no majority of keepers was reached');
+        throw fault.make({ step: 'registers', code: 'no-majority' }, 'no majority of stores was reached');
       const byKey = new Map<string, { key: string; accepted: [number, string]; until: number; copies: number }>();
       for (const p of good)
         for (const k of p!.keys!) {
@@ -165,21 +165,21 @@
       const rows = await Promise.all(
         keys.map(async (k) => ({
           program: k.slice(8),
-          purse: (await n.registers.read(k, us.s(1))) as Purse | undefined,
+          budgetRecord: (await n.registers.read(k, us.s(1))) as BudgetRecord | undefined,
         })),
       );
       return rows
-        .filter((r) => r.purse)
+        .filter((r) => r.budgetRecord)
         .map((r) => ({
           program: r.program,
-          budget: r.purse!.budget,
-          spent: r.purse!.spent,
-          left: dues.left(r.purse!),
-          turns: r.purse!.turns,
-          lost: r.purse!.lost,
-          tokens: r.purse!.tokens,
-          worker: r.purse!.worker,
-          open: dues.opens(r.purse!).map((o) => o.by),
+          budget: r.budgetRecord!.budget,
+          spent: r.budgetRecord!.spent,
+          left: tokenBudget.left(r.budgetRecord!),
+          turns: r.budgetRecord!.turns,
+          lost: r.budgetRecord!.lost,
+          tokens: r.budgetRecord!.tokens,
+          worker: r.budgetRecord!.worker,
+          open: tokenBudget.opens(r.budgetRecord!).map((o) => o.by),
         }));
     };
     const drain = async (ask: HttpAsk, say: HttpSay, target: string): Promise<void> => {
@@ -196,10 +196,10 @@
         });
       const node = found[0]!;
       const on = ask.method !== 'DELETE';
-      if (node.role === 'keeper') {
+      if (node.role === 'store') {
         if (ask.method !== 'GET') {
-          const { value: taken } = await n.mooring.core.ask<boolean>({ op: 'drain', id: node.id, on }, us.s(4));
-          if (!taken) return json(say, 409, { error: 'too_few', message: 'too few keepers would be left' });
+          const { value: taken } = await n.membership.core.ask<boolean>({ op: 'drain', id: node.id, on }, us.s(4));
+          if (!taken) return json(say, 409, { error: 'too_few', message: 'too few stores would be left' });
         }
         const { state: now, repaired } = (await read()).value;
         const k = now.keepers;
@@ -216,13 +216,13 @@
           swept: k.swept,
         });
       }
-      if (!on) return json(say, 400, { error: 'bad_method', message: "only a keeper's drain can be taken back" });
-      if (node.role === 'tower')
+      if (!on) return json(say, 400, { error: 'bad_method', message: "only a store's drain can be taken back" });
+      if (node.role === 'coordinator')
         return json(say, 400, {
           error: 'bad_role',
-          message: 'towers are replaced, not drained: stop one and start another',
+          message: 'coordinators are replaced, not drained: stop one and start another',
         });
-      if (ask.method !== 'GET') await n.pipe.ask(node.place, 'node.drain', { to: node.id }, us.s(2));
+      if (ask.method !== 'GET') await n.rpc.ask(node.place, 'node.drain', { to: node.id }, us.s(2));
       return json(say, 200, { node: node.name, id: node.id, state: 'leaving', safe: false });
     };
     const agreed = async (say: HttpSay, what: string, ask: HttpAsk): Promise<void> => {
@@ -308,7 +308,7 @@
               draining: s.keepers.draining.length,
             },
             nodes: Object.fromEntries(
-              ['tower', 'keeper', 'pilot', 'front'].map((r) => [r, live.filter((x) => x.role === r).length]),
+              ['coordinator', 'store', 'agent', 'gateway'].map((r) => [r, live.filter((x) => x.role === r).length]),
             ),
             dead: Object.values(s.roster).length - live.length,
             workers: (value.news?.workers ?? []).length,
@@ -340,13 +340,13 @@
           return await drain(ask, say, target);
         if (what === 'node' && ask.method === 'GET')
           return json(say, 200, {
-            id: n.mooring.id,
+            id: n.membership.id,
             name: n.name,
             role: n.role,
-            place: n.pipe.at,
-            mark: n.mooring.mark(),
-            inRoster: n.mooring.inRoster(),
-            stale: n.mooring.stale(),
+            place: n.rpc.at,
+            mark: n.membership.mark(),
+            inRoster: n.membership.inRoster(),
+            stale: n.membership.stale(),
             counts: n.counts(),
           });
         if (ask.method !== 'GET') return json(say, 405, { error: 'bad_method' });
--- a/packages/admission-scheduler/src/index.ts
+++ b/packages/admission-scheduler/src/index.ts
@@ -1,4 +1,4 @@
-// pilotage: the ThunderAgent program scheduler (§4), pure: (state, event, now) -> effects.
+// admission scheduler: the ThunderAgent program scheduler (§4), pure: (state, event, now) -> effects.
 // The state handed in is consumed and handed back changed; no clock, no random source, no input or output.
 import { invariant, us, type Us } from '@thornsail/runtime';
 
@@ -360,7 +360,7 @@
   return out;
 };
 
-export const pilotage = {
+export const admissionScheduler = {
   defaults: (): Options => ({
     pauseThreshold: 0.95,
     pauseTarget: 0.8,
--- a/packages/admission-scheduler/test/pilotage.test.ts
+++ b/packages/admission-scheduler/test/admission-scheduler.test.ts
@@ -1,22 +1,25 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { seeded, us } from '@thornsail/runtime';
-import { pilotage, type Effect, type Options, type State } from '@thornsail/admission-scheduler';
+import { admissionScheduler, type Effect, type Options, type State } from '@thornsail/admission-scheduler';
 
 const open = (o: Partial<Options> = {}, workers = [{ id: 'a', capacity: 1000, eligible: true }]): State => {
-  const s = pilotage.open({ ...pilotage.defaults(), ...o }, 0);
-  pilotage.step(s, { kind: 'workers', list: workers }, 0);
+  const s = admissionScheduler.open({ ...admissionScheduler.defaults(), ...o }, 0);
+  admissionScheduler.step(s, { kind: 'workers', list: workers }, 0);
   return s;
 };
 const arrive = (s: State, turn: string, program: string, tokens: number, now: number, timeLeft = us.s(3)): Effect[] =>
-  pilotage.step(s, { kind: 'arrive', turn, program, tokens, timeLeft, expected: us.ms(300), silence: us.s(2) }, now)
-    .effects;
+  admissionScheduler.step(
+    s,
+    { kind: 'arrive', turn, program, tokens, timeLeft, expected: us.ms(300), silence: us.s(2) },
+    now,
+  ).effects;
 const end = (s: State, turn: string, tokens: number, now: number, final = false): Effect[] =>
-  pilotage.step(s, { kind: 'end', turn, tokens, final, worker: null }, now).effects;
-const tick = (s: State, now: number): Effect[] => pilotage.step(s, { kind: 'tick' }, now).effects;
+  admissionScheduler.step(s, { kind: 'end', turn, tokens, final, worker: null }, now).effects;
+const tick = (s: State, now: number): Effect[] => admissionScheduler.step(s, { kind: 'tick' }, now).effects;
 
 test("defaults are the design page's", () => {
-  const d = pilotage.defaults();
+  const d = admissionScheduler.defaults();
   assert.equal(
     [
       d.pauseThreshold,
@@ -60,13 +63,13 @@
     timeLeft: us.s(3),
     expected: us.ms(300),
   } as const;
-  pilotage.step(s, { ...e, silence: us.s(2), remaining: us.s(1) }, 0);
+  admissionScheduler.step(s, { ...e, silence: us.s(2), remaining: us.s(1) }, 0);
   end(s, 't1', 900, us.ms(300));
   const look = (now: number): Effect[] =>
-    pilotage.step(s, { kind: 'workers', list: [{ id: 'a', capacity: 1000, eligible: true }] }, now).effects;
+    admissionScheduler.step(s, { kind: 'workers', list: [{ id: 'a', capacity: 1000, eligible: true }] }, now).effects;
   assert.equal(look(us.ms(900)), []);
   assert.equal(look(us.ms(1100)), [{ kind: 'ended', program: 'p1', why: 'idle' }]);
-  assert.equal(pilotage.totals(s).tokens, {});
+  assert.equal(admissionScheduler.totals(s).tokens, {});
 });
 
 test('pauses the smallest ACTING first, down to the target, and holds their next turns', () => {
@@ -154,7 +157,11 @@
       s.programs.get(id)!.standing = 'paused';
     }
     // 900 of the threshold's 1900 are the siblings', three of whom hold paused programs: room 1000, a share 250.
-    pilotage.step(s, { kind: 'siblings', siblings: { tokens: new Map([['a', 900]]), sharers: 3, smallest } }, 2);
+    admissionScheduler.step(
+      s,
+      { kind: 'siblings', siblings: { tokens: new Map([['a', 900]]), sharers: 3, smallest } },
+      2,
+    );
     return tick(s, us.s(5)).flatMap((e) => (e.kind === 'resumed' ? [e.program] : []));
   };
   assert.equal(resumed(100), [], 'a sibling has a smaller one, and 300 does not fit a share of 250');
@@ -170,15 +177,15 @@
   end(s, 't2', 480, 1);
   tick(s, us.s(5));
   arrive(s, 'n2', 'p2', 480, us.s(5));
-  assert.is(pilotage.dueAt(s), us.s(5) + us.ms(1500));
-  assert.equal(pilotage.step(s, { kind: 'due' }, us.s(6)).effects, []);
-  const e = pilotage.step(s, { kind: 'due' }, us.s(5) + us.ms(1500)).effects;
+  assert.is(admissionScheduler.dueAt(s), us.s(5) + us.ms(1500));
+  assert.equal(admissionScheduler.step(s, { kind: 'due' }, us.s(6)).effects, []);
+  const e = admissionScheduler.step(s, { kind: 'due' }, us.s(5) + us.ms(1500)).effects;
   assert.is(e[0]!.kind, 'release');
   assert.is((e[0] as { why: string }).why, 'forced');
   // Slow first tokens: the hold ends earlier by what they take.
   end(s, 'n2', 480, us.s(7) - 20);
   s.programs.get('p2')!.standing = 'paused';
-  const slow = pilotage.step(
+  const slow = admissionScheduler.step(
     s,
     {
       kind: 'arrive',
@@ -202,7 +209,7 @@
   const s = open();
   arrive(s, 't1', 'p1', 100, 0);
   assert.is((arrive(s, 't2', 'p1', 100, 10)[0] as { why: string }).why, 'busy');
-  assert.equal(pilotage.step(s, { kind: 'due' }, us.ms(1500) + 10).effects, [
+  assert.equal(admissionScheduler.step(s, { kind: 'due' }, us.ms(1500) + 10).effects, [
     { kind: 'reject', turn: 't2', why: 'busy' },
   ]);
 });
@@ -258,7 +265,7 @@
           assert.ok(open_.delete(e.turn), 'rejected a turn twice');
         }
       }
-      pilotage.check(s);
+      admissionScheduler.check(s);
     };
     for (let i = 0; i < 1500; i++) {
       now += r.int(us.ms(50));
@@ -273,11 +280,11 @@
       } else if (k < 0.8 && open_.size) {
         const t = [...open_.keys()][r.int(open_.size)]!;
         open_.delete(t);
-        see(pilotage.step(s, { kind: 'gone', turn: t }, now).effects);
+        see(admissionScheduler.step(s, { kind: 'gone', turn: t }, now).effects);
       } else if (k < 0.85) see(tick(s, now));
       else if (k < 0.9)
         see(
-          pilotage.step(
+          admissionScheduler.step(
             s,
             {
               kind: 'siblings',
@@ -288,10 +295,13 @@
         );
       else if (k < 0.93)
         see(
-          pilotage.step(s, { kind: 'workers', list: workers.map((w) => ({ ...w, eligible: r.next() < 0.8 })) }, now)
-            .effects,
+          admissionScheduler.step(
+            s,
+            { kind: 'workers', list: workers.map((w) => ({ ...w, eligible: r.next() < 0.8 })) },
+            now,
+          ).effects,
         );
-      see(pilotage.step(s, { kind: 'due' }, now).effects);
+      see(admissionScheduler.step(s, { kind: 'due' }, now).effects);
     }
     assert.ok(s.counts.held > 0 && s.counts.forced + s.counts.resumed > 0, `seed ${seed} held nothing`);
   }
--- a/packages/config-schema/src/index.ts
+++ b/packages/config-schema/src/index.ts
@@ -1,4 +1,5 @@
-// chart: what operators configure and what a process is told at its start; both checked, with defaults (§7).
+// configuration schema: what operators configure and what a process is told at its start; both checked, with defaults
+// (§7).
 import * as t from 'io-ts';
 import fastJsonPatch, { type Operation } from 'fast-json-patch';
 import { apply as mergePatch } from 'json-merge-patch';
@@ -232,29 +233,34 @@
 };
 const common = { zone: 'z1', seeds: [] as string[], beatMs: 200 };
 const optionCodecs = {
-  tower: sealed(
-    'tower options',
-    { ...process_, founders: t.array(at), tolerates: whole(1, 3), leastKeepers: whole(0, 7) },
-    { ...common, founders: [], tolerates: 1, leastKeepers: 0 },
+  coordinator: sealed(
+    'coordinator options',
+    { ...process_, founders: t.array(at), tolerates: whole(1, 3), leastStores: whole(0, 7) },
+    { ...common, founders: [], tolerates: 1, leastStores: 0 },
   ),
-  keeper: sealed('keeper options', process_, common),
-  pilot: sealed(
-    'pilot options',
+  store: sealed('store options', process_, common),
+  agent: sealed(
+    'agent options',
     { place: at, http: at, zone: label, seeds: t.array(at), name: label, beatMs, platform: at },
     common,
   ),
-  front: sealed(
-    'front options',
-    { place: at, http: at, zone: label, seeds: t.array(at), name: label, beatMs, pilot: at },
+  gateway: sealed(
+    'gateway options',
+    { place: at, http: at, zone: label, seeds: t.array(at), name: label, beatMs, agent: at },
     common,
   ),
 };
 export type Role = keyof typeof optionCodecs;
-export type TowerOptions = t.TypeOf<typeof optionCodecs.tower>;
-export type KeeperOptions = t.TypeOf<typeof optionCodecs.keeper>;
-export type PilotOptions = t.TypeOf<typeof optionCodecs.pilot>;
-export type FrontOptions = t.TypeOf<typeof optionCodecs.front>;
-export type OptionsOf = { tower: TowerOptions; keeper: KeeperOptions; pilot: PilotOptions; front: FrontOptions };
+export type CoordinatorOptions = t.TypeOf<typeof optionCodecs.coordinator>;
+export type StoreOptions = t.TypeOf<typeof optionCodecs.store>;
+export type AgentOptions = t.TypeOf<typeof optionCodecs.agent>;
+export type GatewayOptions = t.TypeOf<typeof optionCodecs.gateway>;
+export type OptionsOf = {
+  coordinator: CoordinatorOptions;
+  store: StoreOptions;
+  agent: AgentOptions;
+  gateway: GatewayOptions;
+};
 
 export type How = 'whole' | 'merge' | 'patch';
 export type Step = { op: string; path: string; before?: unknown; after?: unknown };
@@ -267,11 +273,11 @@
   }
 };
 
-export const chart = {
+export const configSchema = {
   /** The raw configuration that a change makes of its base; JSON Patch (RFC 6902) by library, all of it or nothing. */
   change: (base: unknown, how: How, body: unknown): Checked<unknown> => {
     if (how === 'whole') return { ok: true, value: body };
-    if (how === 'merge') return { ok: true, value: chart.merge(base, body) };
+    if (how === 'merge') return { ok: true, value: configSchema.merge(base, body) };
     if (!Array.isArray(body))
       return { ok: false, problems: [{ path: '(patch)', text: 'a list of operations is needed' }] };
     let doc = structuredClone(base ?? {}) as object;
@@ -296,9 +302,9 @@
   },
   /** What a change would do, as steps on the raw configuration, once it is known to be valid. */
   plan: (base: unknown, how: How, body: unknown): { ok: true; steps: Step[] } | { ok: false; problems: Problem[] } => {
-    const next = chart.change(base, how, body);
+    const next = configSchema.change(base, how, body);
     if (!next.ok) return next;
-    const c = chart.check(next.value);
+    const c = configSchema.check(next.value);
     if (!c.ok) return c;
     return {
       ok: true,
@@ -330,10 +336,21 @@
   },
   keys: (role: Role): string[] =>
     ({
-      tower: ['place', 'http', 'zone', 'seeds', 'name', 'data', 'beatMs', 'founders', 'tolerates', 'leastKeepers'],
-      keeper: ['place', 'http', 'zone', 'seeds', 'name', 'data', 'beatMs'],
-      pilot: ['place', 'http', 'zone', 'seeds', 'name', 'beatMs', 'platform'],
-      front: ['place', 'http', 'zone', 'seeds', 'name', 'beatMs', 'pilot'],
+      coordinator: [
+        'place',
+        'http',
+        'zone',
+        'seeds',
+        'name',
+        'data',
+        'beatMs',
+        'founders',
+        'tolerates',
+        'leastKeepers',
+      ],
+      store: ['place', 'http', 'zone', 'seeds', 'name', 'data', 'beatMs'],
+      agent: ['place', 'http', 'zone', 'seeds', 'name', 'beatMs', 'platform'],
+      gateway: ['place', 'http', 'zone', 'seeds', 'name', 'beatMs', 'agent'],
     })[role],
   defaults: { scheduler: (): SchedulerOptions => ({ ...scheduler }) },
 };
--- a/packages/config-schema/test/chart.test.ts
+++ b/packages/config-schema/test/config-schema.test.ts
@@ -2,7 +2,7 @@
 import { fileURLToPath } from 'node:url';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { chart } from '@thornsail/config-schema';
+import { configSchema } from '@thornsail/config-schema';
 import { shapes } from '@thornsail/test-harness';
 
 const examples = new URL('../../../examples/', import.meta.url);
@@ -11,15 +11,15 @@
   assert.ok(files.length >= 6);
   for (const f of files) {
     const v = JSON.parse(readFileSync(new URL(f, examples), 'utf8')) as unknown;
-    const role = /^(tower|keeper|pilot|front)\./.exec(f)?.[1] as 'tower' | undefined;
-    const c = role ? chart.options(role, v) : chart.check(v);
+    const role = /^(coordinator|store|agent|gateway)\./.exec(f)?.[1] as 'coordinator' | undefined;
+    const c = role ? configSchema.options(role, v) : configSchema.check(v);
     assert.equal(c.ok ? [] : c.problems, [], f);
   }
-  for (const s of Object.values(shapes)) assert.ok(chart.check(s.config).ok);
+  for (const s of Object.values(shapes)) assert.ok(configSchema.check(s.config).ok);
 });
 test('every wrong value is named by its path, unknown keys among them, and defaults are filled in', () => {
   const bad = (u: unknown): string[] => {
-    const c = chart.check(u);
+    const c = configSchema.check(u);
     assert.not.ok(c.ok);
     return c.ok ? [] : c.problems.map((p) => p.path).sort();
   };
@@ -39,7 +39,7 @@
   assert.equal(bad({ classes: {} }), ['classes']);
   assert.equal(bad({ classes: { 'Bad Name': { kind: 'model', weight: 1 } } }).length, 1);
   assert.equal(bad([]), ['(all)']);
-  const c = chart.check({ classes: { chat: { kind: 'model', weight: 1 } } });
+  const c = configSchema.check({ classes: { chat: { kind: 'model', weight: 1 } } });
   assert.ok(c.ok);
   assert.is(c.value.scheduler.pauseThreshold, 0.95);
   assert.is(c.value.classes['chat']!.maxTokens, 512);
@@ -47,7 +47,7 @@
 test('a merge patch changes a part, null removes, and neither side is altered', () => {
   const base = { classes: { a: { weight: 1 }, b: { weight: 2 } } };
   const patch = { classes: { a: null, b: { weight: 5 } } };
-  assert.equal(chart.merge(base, patch), { classes: { b: { weight: 5 } } });
+  assert.equal(configSchema.merge(base, patch), { classes: { b: { weight: 5 } } });
   assert.equal(base.classes.a, { weight: 1 });
   assert.equal(patch.classes.a, null);
 });
@@ -57,7 +57,7 @@
     { op: 'replace', path: '/classes/chat/weight', value: 3 },
     { op: 'add', path: '/slots', value: { model: 4 } },
   ];
-  assert.equal(chart.plan(base, 'patch', ok), {
+  assert.equal(configSchema.plan(base, 'patch', ok), {
     ok: true,
     steps: [
       { op: 'replace', path: '/classes/chat/weight', before: 1, after: 3 },
@@ -66,14 +66,14 @@
   });
   assert.equal(base, { classes: { chat: { kind: 'model', weight: 1 } } });
   const bad = (patch: unknown): string => {
-    const r = chart.change(base, 'patch', patch);
+    const r = configSchema.change(base, 'patch', patch);
     return r.ok ? '' : r.problems[0]!.path;
   };
   assert.is(bad([ok[0], { op: 'remove', path: '/nosuch' }]), '(patch 1)');
   assert.is(bad([{ op: 'test', path: '/classes/chat/weight', value: 9 }]), '(patch 0)');
   assert.is(bad({}), '(patch)');
   assert.is(bad([{ op: 'frobnicate', path: '/x' }]), '(patch 0)');
-  const wrong = chart.plan(base, 'patch', [{ op: 'replace', path: '/classes/chat/weight', value: -1 }]);
+  const wrong = configSchema.plan(base, 'patch', [{ op: 'replace', path: '/classes/chat/weight', value: -1 }]);
   assert.equal(wrong.ok ? [] : wrong.problems.map((p) => p.path), ['classes.chat.weight']);
 });
 test.run();
--- a/packages/consensus/src/client.ts
+++ b/packages/consensus/src/client.ts
@@ -1,6 +1,6 @@
 // How any node reaches the coordinators (§3.3): the leader it knew last, then a redirect, then the others.
-import { fault, time, us, type Clock, type Lens, type Place, type Us } from '@thornsail/runtime';
-import type { Pipe } from '@thornsail/rpc';
+import { fault, time, us, type Clock, type Runtime, type Place, type Us } from '@thornsail/runtime';
+import type { Rpc } from '@thornsail/rpc';
 import type { CoreAsk, CoreResult } from './core.js';
 
 export type CoreClient = {
@@ -26,15 +26,15 @@
 const pauseSpread = us.ms(60);
 
 type Client = {
-  lens: Lens;
-  pipe: Pipe;
+  runtime: Runtime;
+  rpc: Rpc;
   leader: Place | undefined;
   /** Members that a coordinator named last. */
   named: Place[];
   lastError: unknown;
 };
 
-/** A question to the node's own coordinator goes over no pipe, so nothing else bounds it. */
+/** A question to the node's own coordinator goes over no connection, so nothing else bounds it. */
 const answerWithin = <T>(clock: Clock, limit: Us, to: Place, answer: Promise<T>): Promise<T> =>
   new Promise((resolve, reject) => {
     const stopTimer = clock.tick(limit, () =>
@@ -47,10 +47,10 @@
 const askOne = async (client: Client, to: Place, ask: CoreAsk, limit: Us): Promise<Agreed | undefined> => {
   try {
     const result = await answerWithin(
-      client.lens.clock,
+      client.runtime.clock,
       limit,
       to,
-      client.pipe.ask<CoreResult>(to, 'core', ask, limit),
+      client.rpc.ask<CoreResult>(to, 'core', ask, limit),
     );
     if (result.ok) {
       client.leader = to;
@@ -70,7 +70,7 @@
 /** Asks each member once, the next one when one refused or is slow; the first agreed answer ends it. */
 const askRound = (client: Client, ask: CoreAsk, members: Place[], end: Us): Promise<Agreed | undefined> =>
   new Promise((resolve) => {
-    const { clock } = client.lens;
+    const { clock } = client.runtime;
     const left = [...members];
     const asked = new Set<Place>();
     let open = 0;
@@ -113,7 +113,7 @@
   members: () => Place[],
   timeLeft: Us,
 ): Promise<{ seq: number; value: T }> => {
-  const { clock, rand } = client.lens;
+  const { clock, rand } = client.runtime;
   const patience = operatorCalls.includes(ask.op) ? Math.min(timeLeft, operatorPatience) : timeLeft;
   const end = clock.now() + patience;
   while (clock.now() < end) {
@@ -129,9 +129,9 @@
 };
 
 export const coreClient = {
-  open: (options: { lens: Lens; pipe: Pipe; towers: () => Place[] }): CoreClient => {
-    const { lens, pipe, towers } = options;
-    const client: Client = { lens, pipe, leader: undefined, named: [], lastError: undefined };
+  open: (options: { runtime: Runtime; rpc: Rpc; towers: () => Place[] }): CoreClient => {
+    const { runtime, rpc, towers } = options;
+    const client: Client = { runtime, rpc, leader: undefined, named: [], lastError: undefined };
     return {
       ask: (ask, timeLeft = defaultTimeLeft) => askUntil(client, ask, towers, timeLeft),
     };
--- a/packages/consensus/src/configuration.ts
+++ b/packages/consensus/src/configuration.ts
@@ -1,7 +1,8 @@
-// The configuration as the towers order it (§7.2): a register with compare-and-set. A push names the version that it
+// The configuration as the coordinators order it (§7.2): a register with compare-and-set. A push names the version
+// that it
 // builds on, and at most one push is accepted for each of these; it is recognised when it is sent again.
 import { createHash } from 'node:crypto';
-import { chart, type Config, type Problem } from '@thornsail/config-schema';
+import { configSchema, type Config, type Problem } from '@thornsail/config-schema';
 import { shape } from '@thornsail/rpc';
 import type { Us } from '@thornsail/runtime';
 import type { Ordered } from './order.js';
@@ -35,8 +36,8 @@
   | { ok: false; why: 'collision'; mark: number }
   /** Its base was replaced so long ago that nothing is known of who replaced it: it may have been this push. */
   | { ok: false; why: 'forgotten'; mark: number }
-  /** Ordered and durable, and not yet in use at these fronts. */
-  | { ok: false; why: 'unconfirmed'; mark: number; fronts: string[] }
+  /** Ordered and durable, and not yet in use at these gateways. */
+  | { ok: false; why: 'unconfirmed'; mark: number; gateways: string[] }
   | { ok: false; why: 'invalid'; mark: number; problems: Problem[] };
 
 /**
@@ -128,9 +129,9 @@
   const present = presentFor(ordered, push);
   if (push.revision !== undefined && push.revision <= present)
     return { ok: false, problems: [{ path: 'revision', text: `must be above ${present}` }] };
-  const next = chart.change(ordered.config.raw ?? {}, push.how, push.body);
+  const next = configSchema.change(ordered.config.raw ?? {}, push.how, push.body);
   if (!next.ok) return next;
-  const checked = chart.check(next.value);
+  const checked = configSchema.check(next.value);
   return checked.ok ? { ok: true, raw: next.value, value: checked.value } : checked;
 };
 
--- a/packages/consensus/src/core.ts
+++ b/packages/consensus/src/core.ts
@@ -1,8 +1,9 @@
-// The core (§3.3): serves the operations that change what the towers order, and runs the duties of its leader: rulings
+// The core (§3.3): serves the operations that change what the coordinators order, and runs the duties of its leader:
+// rulings
 // on failures, and the repair of both groups.
-import { fault, time, us, type Lens, type Place, type Us } from '@thornsail/runtime';
-import type { Logbook } from '@thornsail/durable-files';
-import { shape, type Pipe } from '@thornsail/rpc';
+import { fault, time, us, type Runtime, type Place, type Us } from '@thornsail/runtime';
+import type { DurableStore } from '@thornsail/durable-files';
+import { shape, type Rpc } from '@thornsail/rpc';
 import type { Push, PushResult } from './configuration.js';
 import { groupDuties } from './group-duties.js';
 import { groups } from './groups.js';
@@ -21,28 +22,30 @@
   | { ok: true; seq: number; value: unknown }
   | { ok: false; why: 'moved' | 'unknown'; head: Place | null; towers: Place[] };
 
-/** The fronts at which a configuration is not yet in use, and whether enough of them could be asked at all. */
-export type Confirmed = { ok: true } | { ok: false; fronts: string[] };
+/** The gateways at which a configuration is not yet in use, and whether enough of them could be asked at all. */
+export type Confirmed = { ok: true } | { ok: false; gateways: string[] };
 /**
- * A configuration is in use when every front that the roster has alive says so, and more than half of all that were
+ * A configuration is in use when every gateway that the roster has alive says so, and more than half of all that were
  * alive lately: if the core is cut off from most of them, they may be serving on without it (§7.2).
  */
 export const confirmed = (s: Ordered, at: Us, mark: number, uses: (id: string) => number): Confirmed => {
-  const fronts = Object.values(s.roster).filter((n) => n.role === 'front');
-  const live = fronts.filter((n) => n.standing === 'live');
+  const gateways = Object.values(s.roster).filter((n) => n.role === 'gateway');
+  const live = gateways.filter((n) => n.standing === 'live');
   // One whose address a new process has taken is gone for good.
   const behindACut = (n: NodeEntry): boolean =>
     n.standing === 'dead' && at - n.since < goneForGood && !live.some((x) => x.place === n.place);
-  const lately = [...live, ...fronts.filter(behindACut)];
+  const lately = [...live, ...gateways.filter(behindACut)];
   const slow = lately.filter((n) => uses(n.id) < mark);
   const need = slow.filter((n) => n.standing === 'live');
-  if (need.length) return { ok: false, fronts: slow.map((n) => n.name).sort() };
+  if (need.length) return { ok: false, gateways: slow.map((n) => n.name).sort() };
   const enough = lately.length === 0 || (lately.length - slow.length) * 2 > lately.length;
-  return enough ? { ok: true } : { ok: false, fronts: slow.map((n) => n.name).sort() };
+  return enough ? { ok: true } : { ok: false, gateways: slow.map((n) => n.name).sort() };
 };
 /** One dead for so long is not waited for: it is not serving on behind a cut. */
 const goneForGood = us.s(600);
-/** Shorter than a node waits for a tower's answer; whoever asked repeats the same push until its own time is out. */
+/**
+ * Shorter than a node waits for a coordinator's answer; whoever asked repeats the same push until its own time is out.
+ */
 const confirmWithin = us.ms(300);
 
 const isAsk = shape.either(
@@ -67,44 +70,44 @@
 );
 
 export type Core = { views: Views<Ordered>; close: () => void };
-/** `keepers` and `towers` are the sizes of the groups; a drain never leaves fewer than `leastKeepers`. */
+/** `stores` and `coordinators` are the sizes of the groups; a drain never leaves fewer than `leastKeepers`. */
 export type CoreTimes = {
   suspectFor: Us;
   replaceAfter: Us;
   keepers: number;
   towers: number;
-  leastKeepers: number;
+  leastStores: number;
 };
 
 export const core = {
   open: async (o: {
-    lens: Lens;
-    pipe: Pipe;
-    book: Logbook;
+    runtime: Runtime;
+    rpc: Rpc;
+    durable: DurableStore;
     founders: Place[];
     onDone: (v: Marked<Ordered>) => void;
     news?: () => unknown;
-    /** The mark of the configuration that a front says it uses. */
-    uses?: (front: string) => number;
+    /** The mark of the configuration that a gateway says it uses. */
+    uses?: (gateway: string) => number;
     /** Told now and then while a majority confirms this head. */
     onLead?: (mark: number) => void;
     times?: Partial<CoreTimes>;
   }): Promise<Core> => {
-    const { lens, pipe } = o;
+    const { runtime, rpc } = o;
     const T: CoreTimes = {
       suspectFor: us.ms(1500),
       replaceAfter: us.s(3),
       keepers: 3,
       towers: 3,
-      leastKeepers: 0,
+      leastStores: 0,
       ...o.times,
     };
-    const log = lens.log('tower');
+    const log = runtime.log('coordinator');
     let onAgreed = (): void => undefined;
     const v = await views.open<Ordered>({
-      lens,
-      pipe,
-      book: o.book,
+      runtime,
+      rpc,
+      durable: o.durable,
       founders: o.founders,
       initial: order.initial(),
       onDone: (version) => {
@@ -113,21 +116,23 @@
       },
       sound: order.soundState,
     });
-    const failures = rulings.open({ clock: lens.clock, suspectFor: T.suspectFor });
+    const failures = rulings.open({ clock: runtime.clock, suspectFor: T.suspectFor });
 
-    /** Acknowledged once a majority of towers has it and the fronts use it; otherwise its outcome is not known. */
+    /**
+     * Acknowledged once a majority of coordinators has it and the gateways use it; otherwise its outcome is not known.
+     */
     const push = async (p: Push): Promise<{ seq: number; result: PushResult }> => {
-      const r = await v.propose<PushResult>((s) => order.push(s, p, lens.clock.wall()));
+      const r = await v.propose<PushResult>((s) => order.push(s, p, runtime.clock.wall()));
       const { result } = r;
       if (!result.ok || !o.uses || v.done()?.state.config.value?.acknowledge === 'agreed') return r;
-      const end = lens.clock.now() + confirmWithin;
+      const end = runtime.clock.now() + confirmWithin;
       for (;;) {
         const s = v.done()?.state;
-        const c = s ? confirmed(s, lens.clock.wall(), result.mark, o.uses) : { ok: false as const, fronts: [] };
+        const c = s ? confirmed(s, runtime.clock.wall(), result.mark, o.uses) : { ok: false as const, gateways: [] };
         if (c.ok) return r;
-        if (lens.clock.now() >= end)
-          return { seq: r.seq, result: { ok: false, why: 'unconfirmed', mark: result.mark, fronts: c.fronts } };
-        await time.sleep(lens.clock, us.ms(20));
+        if (runtime.clock.now() >= end)
+          return { seq: r.seq, result: { ok: false, why: 'unconfirmed', mark: result.mark, gateways: c.gateways } };
+        await time.sleep(runtime.clock, us.ms(20));
       }
     };
     const run = async (ask: CoreAsk): Promise<{ seq: number; result: unknown }> => {
@@ -135,14 +140,14 @@
         case 'push':
           return push(ask.push);
         case 'join':
-          return v.propose((s) => order.join(s, ask.node, lens.clock.wall()));
+          return v.propose((s) => order.join(s, ask.node, runtime.clock.wall()));
         case 'swept':
           return v.propose((s) => groups.swept(s, ask.mark));
         case 'drain':
-          return v.propose((s) => groups.drain(s, ask.id, ask.on, T.leastKeepers));
+          return v.propose((s) => groups.drain(s, ask.id, ask.on, T.leastStores));
         case 'read': {
           const d = await v.agreed();
-          const repaired = duties.keepersRepaired(d.state);
+          const repaired = duties.storesRepaired(d.state);
           const news = o.news?.() ?? null;
           return { seq: d.seq, result: { state: d.state, view: d.view, members: d.members, news, repaired } };
         }
@@ -153,7 +158,7 @@
         }
       }
     };
-    pipe.on<CoreAsk>('core', isAsk, async (ask): Promise<CoreResult> => {
+    rpc.on<CoreAsk>('core', isAsk, async (ask): Promise<CoreResult> => {
       try {
         const r = await run(ask);
         return { ok: true, seq: r.seq, value: r.result };
@@ -170,7 +175,7 @@
     });
 
     const duties = groupDuties.open({
-      clock: lens.clock,
+      clock: runtime.clock,
       views: v,
       sizes: T,
       replaceAfter: T.replaceAfter,
@@ -181,7 +186,7 @@
       if (v.standing() !== 'lead' || !d) return;
       for (const { entry, watchers } of failures.due(d.state)) {
         log(`${entry.name} is dead: ${watchers} watchers agree.`);
-        await v.propose((s) => order.dead(s, entry.id, entry.inc, lens.clock.wall()));
+        await v.propose((s) => order.dead(s, entry.id, entry.inc, runtime.clock.wall()));
       }
     };
     const safely = (fn: () => Promise<void>) => async (): Promise<void> => {
@@ -195,14 +200,14 @@
     // What is agreed on may make a step due: a loss, a return, a sweep that is complete.
     onAgreed = () => void repairNow();
     let told = 0;
-    /** Says that the core is there: a front that hears it gets every configuration in time (§7.2). */
+    /** Says that the core is there: a gateway that hears it gets every configuration in time (§7.2). */
     const say = (): void => {
       if (v.led() && o.onLead) o.onLead((v.done()?.view ?? 0) * 1e9 + ++told);
     };
     const stops = [
-      time.every(lens.clock, us.ms(500), say),
-      time.every(lens.clock, us.ms(200), safely(rule)),
-      time.every(lens.clock, us.ms(200), repairNow),
+      time.every(runtime.clock, us.ms(500), say),
+      time.every(runtime.clock, us.ms(200), safely(rule)),
+      time.every(runtime.clock, us.ms(200), repairNow),
     ];
     return {
       views: v,
--- a/packages/consensus/src/driver.ts
+++ b/packages/consensus/src/driver.ts
@@ -1,7 +1,7 @@
 // Runs the consensus state machine (§3.3): carries out its effects over RPC and disk, and feeds it what comes of them.
-import { fault, time, us, type Lens, type Place, type Us } from '@thornsail/runtime';
-import { logbook, type Logbook } from '@thornsail/durable-files';
-import type { Pipe } from '@thornsail/rpc';
+import { fault, time, us, type Runtime, type Place, type Us } from '@thornsail/runtime';
+import { durableStore, type DurableStore } from '@thornsail/durable-files';
+import type { Rpc } from '@thornsail/rpc';
 import { defaultTiming, replica } from './replica.js';
 import type { Change, Effect, Event, ProposalOutcome, ReadOutcome, ReplicaState } from './types.js';
 import type { ReplyMessage, RequestMessage, Role, Snapshot, Timing, WriteEffect } from './types.js';
@@ -27,9 +27,9 @@
 };
 /** What a member needs: its clock and chance, its connections, its disk, and the state to start from. */
 export type ConsensusOptions<S> = {
-  lens: Lens;
-  pipe: Pipe;
-  book: Logbook;
+  runtime: Runtime;
+  rpc: Rpc;
+  durable: DurableStore;
   founders: Place[];
   initial: S;
   onCommit: (snapshot: Snapshot<S>) => void;
@@ -45,12 +45,12 @@
 type Waiting<T> = { resolve: (value: T) => void; reject: (error: Error) => void };
 
 type Stored<S> = { id: string; term: number; accepted: Snapshot<S> | undefined; fileMark: number };
-const load = async <S>(book: Logbook, newId: () => string): Promise<Stored<S>> => {
-  const identity = await book.read<wire.IdentityDocument>(wire.documents.identity);
+const load = async <S>(durable: DurableStore, newId: () => string): Promise<Stored<S>> => {
+  const identity = await durable.read<wire.IdentityDocument>(wire.documents.identity);
   const id = identity?.value.id ?? newId();
-  if (!identity) await book.write(wire.documents.identity, 1, { id });
-  const term = (await book.read<wire.TermDocument>(wire.documents.term))?.value.view ?? 0;
-  const kept = await book.read<wire.Marked<S>>(wire.documents.snapshot);
+  if (!identity) await durable.write(wire.documents.identity, 1, { id });
+  const term = (await durable.read<wire.TermDocument>(wire.documents.term))?.value.view ?? 0;
+  const kept = await durable.read<wire.Marked<S>>(wire.documents.snapshot);
   return { id, term, accepted: kept && wire.fromMarked(kept.value), fileMark: kept?.mark ?? 0 };
 };
 
@@ -102,7 +102,7 @@
 
 const sendRequest = async <S>(io: Io<S>, effect: Effect<S> & { type: 'send' }): Promise<void> => {
   const { request, at, message, timeout } = effect;
-  const body = await io.options.pipe
+  const body = await io.options.rpc
     .ask<unknown>(at, wire.requestNames[message.kind], wire.encodeRequest(message), timeout)
     .catch(() => undefined);
   const reply = body === undefined ? undefined : wire.decodeReply<S>(message.kind, body, io.isState);
@@ -110,10 +110,10 @@
 };
 
 const writeDocument = async <S>(io: Io<S>, effect: WriteEffect<S>): Promise<void> => {
-  const { book } = io.options;
+  const { durable } = io.options;
   try {
-    if (effect.document === 'term') await book.write(wire.documents.term, effect.term, { view: effect.term });
-    else await book.write(wire.documents.snapshot, io.nextFileMark(), wire.toMarked(effect.snapshot));
+    if (effect.document === 'term') await durable.write(wire.documents.term, effect.term, { view: effect.term });
+    else await durable.write(wire.documents.snapshot, io.nextFileMark(), wire.toMarked(effect.snapshot));
   } catch (error) {
     const code = fault.info(error).code ?? '';
     io.log(`${effect.document} was not written: ${fault.text(error)}.`);
@@ -143,7 +143,7 @@
     case 'read-outcome':
       return io.reads.settle(effect.read, (waiting) => settleRead(waiting, effect.outcome));
     case 'timer':
-      return void io.options.lens.clock.tick(effect.after, () => io.dispatch(effect.event));
+      return void io.options.runtime.clock.tick(effect.after, () => io.dispatch(effect.event));
     case 'log':
       return io.log(effect.text);
   }
@@ -156,7 +156,7 @@
   carryOutEffect: (effect: Effect<S>) => void,
   onFault: (event: Event<S>, error: Error) => void,
 ): ((event: Event<S>) => void) => {
-  const { clock, rand } = options.lens;
+  const { clock, rand } = options.runtime;
   const events: Event<S>[] = [];
   let running = false;
   const handle = (event: Event<S>): void => {
@@ -179,7 +179,7 @@
 const serve = <S>(io: Io<S>): void => {
   const shapes = wire.requestShapes(io.isState);
   for (const kind of Object.keys(wire.requestNames) as RequestMessage<S>['kind'][])
-    io.options.pipe.on<unknown>(wire.requestNames[kind], shapes[kind], async (body, from) => {
+    io.options.rpc.on<unknown>(wire.requestNames[kind], shapes[kind], async (body, from) => {
       const message = wire.decodeRequest<S>(kind, body);
       const reply = await io.calls.add((call) => io.dispatch({ type: 'request', call, from, message }));
       return wire.encodeReply(reply);
@@ -187,20 +187,20 @@
 };
 
 const createState = <S>(
-  { lens, pipe, founders, initial }: ConsensusOptions<S>,
+  { runtime, rpc, founders, initial }: ConsensusOptions<S>,
   stored: Stored<S>,
   timing: Timing,
 ): ReplicaState<S> =>
   replica.create<S>({
     id: stored.id,
-    at: pipe.at,
+    at: rpc.at,
     founders,
     initial,
     timing,
     term: stored.term,
     accepted: stored.accepted,
-    now: lens.clock.now(),
-    random: (limit) => lens.rand.int(limit),
+    now: runtime.clock.now(),
+    random: (limit) => runtime.rand.int(limit),
   });
 
 const openIo = <S>(
@@ -232,25 +232,25 @@
 };
 
 const open = async <S>(options: ConsensusOptions<S>): Promise<Consensus<S>> => {
-  const { lens, book } = options;
-  const log = lens.log('tower');
-  await logbook.sound(book, log);
-  const stored = await load<S>(book, () => `tower-${lens.rand.id()}`);
+  const { runtime, durable } = options;
+  const log = runtime.log('coordinator');
+  await durableStore.sound(durable, log);
+  const stored = await load<S>(durable, () => `coordinator-${runtime.rand.id()}`);
   const timing = { ...defaultTiming, ...options.timing };
   const state = createState(options, stored, timing);
   const io = openIo(options, state, stored.fileMark, log);
   serve(io);
   const stops = [
-    time.every(lens.clock, timing.heartbeat, async () => io.dispatch({ type: 'heartbeat-due' })),
-    time.every(lens.clock, tickInterval, async () => io.dispatch({ type: 'tick' })),
+    time.every(runtime.clock, timing.heartbeat, async () => io.dispatch({ type: 'heartbeat-due' })),
+    time.every(runtime.clock, tickInterval, async () => io.dispatch({ type: 'tick' })),
   ];
   return {
     id: state.id,
     role: () => state.role,
     committed: () => state.committed,
     leader: () => state.leader,
-    isLeaseValid: () => replica.isLeaseValid(state, lens.clock.now()),
-    isInTouch: (memberId) => replica.isInTouch(state, memberId, lens.clock.now()),
+    isLeaseValid: () => replica.isLeaseValid(state, runtime.clock.now()),
+    isInTouch: (memberId) => replica.isInTouch(state, memberId, runtime.clock.now()),
     propose: <R>(change: Change<S, R>) =>
       io.proposals.add((proposal) => io.dispatch({ type: 'propose', proposal, change })) as Promise<{
         index: number;
--- a/packages/consensus/src/group-duties.ts
+++ b/packages/consensus/src/group-duties.ts
@@ -1,4 +1,4 @@
-// The leader's duties to the two groups (§3.3, §6.5): it forms the keeper group, and takes one step of repair after
+// The leader's duties to the two groups (§3.3, §6.5): it forms the store group, and takes one step of repair after
 // another, each as soon as the one before is agreed on.
 import type { Clock, Us } from '@thornsail/runtime';
 import { groups } from './groups.js';
@@ -13,8 +13,8 @@
 export type GroupDuties = {
   /** Takes the steps that are due, until there is none; a call while one runs makes it look once more. */
   act: () => Promise<void>;
-  /** Whether the keeper group's last change is complete and no further one is due (§6.5). */
-  keepersRepaired: (ordered: Ordered) => boolean;
+  /** Whether the store group's last change is complete and no further one is due (§6.5). */
+  storesRepaired: (ordered: Ordered) => boolean;
 };
 type DutyOptions = {
   clock: Clock;
@@ -58,20 +58,20 @@
   return {
     keepers: (ordered) => {
       const { members, mark, swept } = ordered.keepers;
-      const group = groupOf(ordered, members, sparesOf(ordered, 'keeper', members), sizes.keepers);
+      const group = groupOf(ordered, members, sparesOf(ordered, 'store', members), sizes.keepers);
       return { ...group, settled: mark > 0 && swept === mark };
     },
     towers: (ordered, members) => {
-      const group = groupOf(ordered, members, sparesOf(ordered, 'tower', members), sizes.towers);
+      const group = groupOf(ordered, members, sparesOf(ordered, 'coordinator', members), sizes.towers);
       return heardDirectly(group, isInTouch);
     },
   };
 };
 
-const keeperFormation =
+const storeFormation =
   ({ views, sizes }: DutyOptions): Duty =>
   async ({ state }) => {
-    const live = order.live(state, 'keeper').filter((node) => node.standing === 'live');
+    const live = order.live(state, 'store').filter((node) => node.standing === 'live');
     if (state.keepers.mark !== 0 || live.length < sizes.keepers) return false;
     const first = spreadOver(live, []).slice(0, sizes.keepers).map(memberOf);
     await views.propose((ordered) => groups.form(ordered, first));
@@ -88,12 +88,12 @@
   return next?.id === step.id && next.change === step.change;
 };
 
-const keeperRepair =
+const storeRepair =
   (options: DutyOptions, reader: GroupReader): Duty =>
   async ({ state }) => {
     const step = repair.next(reader.keepers(state));
     if (!step) return false;
-    logStep(options, 'keeper', state, step);
+    logStep(options, 'store', state, step);
     await options.views.propose((ordered) => {
       if (!isStillNext(step, reader.keepers(ordered))) return { state: ordered, result: false };
       return step.change === 'remove'
@@ -103,12 +103,12 @@
     return true;
   };
 
-const towerRepair =
+const coordinatorRepair =
   (options: DutyOptions, reader: GroupReader): Duty =>
   async (version) => {
     const step = repair.next(reader.towers(version.state, version.members));
     if (!step) return false;
-    logStep(options, 'tower', version.state, step);
+    logStep(options, 'coordinator', version.state, step);
     await options.views.propose((ordered, members) => {
       if (!isStillNext(step, reader.towers(ordered, members))) return { state: ordered, result: false };
       const next =
@@ -144,7 +144,7 @@
   open: (options: DutyOptions): GroupDuties => {
     const { views, sizes } = options;
     const reader = groupReader(presence.open(options), sizes, views.isInTouch);
-    const duties = [keeperFormation(options), keeperRepair(options, reader), towerRepair(options, reader)];
+    const duties = [storeFormation(options), storeRepair(options, reader), coordinatorRepair(options, reader)];
     /** One step for each group; false if nothing was due. */
     const once = async (): Promise<boolean> => {
       const version = views.done();
@@ -153,7 +153,7 @@
       return taken.includes(true);
     };
     return {
-      keepersRepaired: (ordered) => {
+      storesRepaired: (ordered) => {
         const group = reader.keepers(ordered);
         return group.settled && repair.next(group) === undefined;
       },
--- a/packages/consensus/src/groups.ts
+++ b/packages/consensus/src/groups.ts
@@ -1,18 +1,18 @@
-// The keeper group as part of the agreed state (§6.5): pure changes of it, each of at most one member.
+// The store group as part of the agreed state (§6.5): pure changes of it, each of at most one member.
 import { invariant } from '@thornsail/runtime';
 import type { Ordered } from './order.js';
 import type { Member } from './views.js';
 
 /** `swept`: the newest mark under which every record was on a majority; `draining`: those asked to leave. */
-export type KeeperGroup = { mark: number; members: Member[]; swept: number; draining: string[] };
-/** A change of the keeper group by one member: `add` a new one, or `remove` one by its identity. */
+export type StoreGroup = { mark: number; members: Member[]; swept: number; draining: string[] };
+/** A change of the store group by one member: `add` a new one, or `remove` one by its identity. */
 export type GroupChange = { add: Member } | { remove: string };
 type Outcome = { state: Ordered; result: boolean };
 
 /** Fewer members than this hold no majority that survives a change. */
 export const leastMembers = 2;
 
-/** Changes of the keeper group. Each gives the state after it; `result` is false where it was refused. */
+/** Changes of the store group. Each gives the state after it; `result` is false where it was refused. */
 export const groups = {
   /** One member in or out; the next change waits until the sweep under this mark is complete (§6.5). */
   change: (ordered: Ordered, change: GroupChange): Outcome => {
@@ -22,10 +22,10 @@
     if ('add' in change ? has(change.add.id) : !has(change.remove)) return { state: ordered, result: false };
     const members =
       'add' in change ? [...group.members, change.add] : group.members.filter((member) => member.id !== change.remove);
-    invariant.hold(Math.abs(members.length - group.members.length) === 1, 'a keeper group changes by one');
+    invariant.hold(Math.abs(members.length - group.members.length) === 1, 'a store group changes by one');
     invariant.hold(
       members.length >= leastMembers || group.members.length < leastMembers,
-      'a keeper group never falls to one',
+      'a store group never falls to one',
     );
     return { state: { ...ordered, keepers: { ...group, mark: group.mark + 1, members } }, result: true };
   },
@@ -42,7 +42,7 @@
     const { draining } = ordered.keepers;
     if (draining.includes(id) === on) return { state: ordered, result: true };
     const staying = Object.values(ordered.roster).filter(
-      (node) => node.role === 'keeper' && node.standing === 'live' && node.id !== id && !draining.includes(node.id),
+      (node) => node.role === 'store' && node.standing === 'live' && node.id !== id && !draining.includes(node.id),
     );
     if (on && staying.length < least) return { state: ordered, result: false };
     const next = on ? [...draining, id] : draining.filter((other) => other !== id);
--- a/packages/consensus/src/index.ts
+++ b/packages/consensus/src/index.ts
@@ -3,7 +3,7 @@
 export { views, type Standing, type Marked, type Views } from './views.js';
 export { order, type NodeEntry, type NodeRole, type Ordered } from './order.js';
 export { configuration, type PastConfig, type Push, type PushResult } from './configuration.js';
-export { groups, type GroupChange, type KeeperGroup } from './groups.js';
+export { groups, type GroupChange, type StoreGroup } from './groups.js';
 export { presence, type Presence } from './presence.js';
 export { repair, type Condition, type ReplicaGroup, type ReplicaMember, type RepairStep } from './repair.js';
 export { core, type Core, type CoreAsk, type CoreResult } from './core.js';
--- a/packages/consensus/src/order.ts
+++ b/packages/consensus/src/order.ts
@@ -1,11 +1,11 @@
-// What the towers order (§3.3): the configuration, the roster of nodes and the keeper group; pure changes on it.
+// What the coordinators order (§3.3): the configuration, the roster of nodes and the store group; pure changes on it.
 import { place, type Place, type Us } from '@thornsail/runtime';
 import { shape } from '@thornsail/rpc';
 import { configuration, isReceipts, type ConfigurationState, type Receipts } from './configuration.js';
-import type { KeeperGroup } from './groups.js';
+import type { StoreGroup } from './groups.js';
 import { isMarked, type Marked, type Member } from './views.js';
 
-export type NodeRole = 'tower' | 'keeper' | 'pilot' | 'front';
+export type NodeRole = 'coordinator' | 'store' | 'agent' | 'gateway';
 export type NodeEntry = {
   id: string;
   name: string;
@@ -23,7 +23,7 @@
   pushes: { id: string; mark: number }[];
   receipts?: Receipts;
   roster: Record<string, NodeEntry>;
-  keepers: KeeperGroup;
+  keepers: StoreGroup;
   towers: Member[];
 };
 
@@ -33,7 +33,7 @@
 export const isNode = shape.has({
   id: shape.text,
   name: shape.text,
-  role: shape.one('tower', 'keeper', 'pilot', 'front'),
+  role: shape.one('coordinator', 'store', 'agent', 'gateway'),
   place: place.ok,
   http: place.ok,
   zone: shape.text,
@@ -104,7 +104,7 @@
     };
   },
 
-  /** Whether something that came over a pipe has the shape of agreed state under its marks. */
+  /** Whether something that came over a connection has the shape of agreed state under its marks. */
   sound: (u: unknown): boolean => isMarkedOrder(u),
   soundState: (u: unknown): boolean => isOrdered(u),
 
--- a/packages/consensus/src/repair.ts
+++ b/packages/consensus/src/repair.ts
@@ -1,4 +1,4 @@
-// What a group of replicas needs next (§3.3, §6.5): a pure decision, the same for coordinators and for keepers. It
+// What a group of replicas needs next (§3.3, §6.5): a pure decision, the same for coordinators and for stores. It
 // sees the members with their conditions and the spares, and gives one change of one member, or none.
 
 /**
--- a/packages/consensus/src/views.ts
+++ b/packages/consensus/src/views.ts
@@ -1,7 +1,7 @@
 // The former names of the consensus interface, for callers that still use them (§3.3).
-import type { Lens, Place } from '@thornsail/runtime';
-import type { Logbook } from '@thornsail/durable-files';
-import type { Pipe } from '@thornsail/rpc';
+import type { Runtime, Place } from '@thornsail/runtime';
+import type { DurableStore } from '@thornsail/durable-files';
+import type { Rpc } from '@thornsail/rpc';
 import { consensus } from './driver.js';
 import type { Change, Role, Snapshot, Timing } from './types.js';
 import { toMarked, type Marked } from './wire.js';
@@ -42,9 +42,9 @@
 
 export const views = {
   open: async <S>(options: {
-    lens: Lens;
-    pipe: Pipe;
-    book: Logbook;
+    runtime: Runtime;
+    rpc: Rpc;
+    durable: DurableStore;
     founders: Place[];
     initial: S;
     onDone: (version: Marked<S>) => void;
--- a/packages/consensus/test/presence.test.ts
+++ b/packages/consensus/test/presence.test.ts
@@ -9,7 +9,7 @@
 const entry = (id: string, place: string, over: Partial<NodeEntry> = {}): NodeEntry => ({
   id,
   name: id,
-  role: 'keeper',
+  role: 'store',
   place,
   http: place,
   zone: 'z1',
--- a/packages/data-plane/src/admission.ts
+++ b/packages/data-plane/src/admission.ts
@@ -1,19 +1,27 @@
-// Admission of this edge: pilotage decides for programs, berth for slots; this part carries out what they say
+// Admission of this edge: admission scheduler decides for programs, load balancer for slots; this part carries out
+// what they say
 // (§4.4, §5.2).
 import {
-  berth,
+  loadBalancer,
   formats,
   groupOf,
   newsLag,
   load as loads,
-  type Berths,
+  type LoadBalancer,
   type Load,
   type WorkerEntry,
 } from '@thornsail/load-balancer';
 import { serviceOf, type Config } from '@thornsail/config-schema';
-import { time, us, wholeText, type Lens, type Stop, type Us } from '@thornsail/runtime';
+import { time, us, wholeText, type Runtime, type Stop, type Us } from '@thornsail/runtime';
 import { likely, type Likely } from './likely.js';
-import { pilotage, type Effect, type Event, type Options, type State, type Why } from '@thornsail/admission-scheduler';
+import {
+  admissionScheduler,
+  type Effect,
+  type Event,
+  type Options,
+  type State,
+  type Why,
+} from '@thornsail/admission-scheduler';
 
 export type EdgeLoad = {
   load: Load;
@@ -99,19 +107,19 @@
 };
 
 export const admission = {
-  /** `plain` leaves pilotage out, to measure against: every turn goes to the least loaded worker at once. */
+  /** `plain` leaves admission scheduler out, to measure against: every turn goes to the least loaded worker at once. */
   /** `changed` is told when what runs or waits at this edge has changed. */
-  open: (lens: Lens, me: string, changed: () => void, plain = false, zone = ''): Admission => {
-    const { clock } = lens;
-    const log = lens.log('pilotage');
-    const st = pilotage.open(pilotage.defaults(), clock.now());
-    const berths: Berths = berth.open(clock.now, me, () => Math.floor(clock.wall() / newsLag));
+  open: (runtime: Runtime, me: string, changed: () => void, plain = false, zone = ''): Admission => {
+    const { clock } = runtime;
+    const log = runtime.log('admission');
+    const st = admissionScheduler.open(admissionScheduler.defaults(), clock.now());
+    const balancer: LoadBalancer = loadBalancer.open(clock.now, me, () => Math.floor(clock.wall() / newsLag));
     const take = (worker: string, cls: string): void => {
-      berths.take(worker, cls);
+      balancer.take(worker, cls);
       changed();
     };
     const wait = (cls: string, by: 1 | -1): void => {
-      berths.wait(cls, by);
+      balancer.wait(cls, by);
       changed();
     };
     const waiting = new Map<string, (r: Released) => void>();
@@ -134,11 +142,11 @@
       }
       arm();
     };
-    const step = (e: Event): void => apply(pilotage.step(st, e, clock.now()).effects);
+    const step = (e: Event): void => apply(admissionScheduler.step(st, e, clock.now()).effects);
     let armedAt = Infinity;
     let disarm: Stop = () => undefined;
     const arm = (): void => {
-      const at = pilotage.dueAt(st);
+      const at = admissionScheduler.dueAt(st);
       if (at === undefined || closed || at >= armedAt) return;
       disarm();
       armedAt = at;
@@ -166,7 +174,7 @@
           .filter((w) => w.kind === 'model' && w.cacheTokens === undefined)
           .map(async (w) => {
             try {
-              const r = await lens.net.call({
+              const r = await runtime.net.call({
                 at: w.at,
                 method: 'GET',
                 path: formats.report.path,
@@ -216,7 +224,7 @@
           const late = w.until <= now;
           const hungry = now - (hungrySince.get(cls) ?? now);
           const of = w.service === undefined ? {} : { service: w.service };
-          const got = late ? null : berths.pick(cls, { hint: w.hint, warm: w.warm, not: w.not, hungry, ...of });
+          const got = late ? null : balancer.pick(cls, { hint: w.hint, warm: w.warm, not: w.not, hungry, ...of });
           if (!late && !got) break;
           q.shift();
           wait(cls, -1);
@@ -273,7 +281,7 @@
       slot: (cls, o) => {
         const of = o.service === undefined ? {} : { service: o.service };
         const warm = o.warm ?? false;
-        const got = berths.pick(cls, { hint: o.hint, warm, not: o.not, force: o.force, ...of });
+        const got = balancer.pick(cls, { hint: o.hint, warm, not: o.not, force: o.force, ...of });
         const none = { gone: () => undefined };
         const q = buffers.get(cls) ?? [];
         if (got && (o.force || q.length === 0)) {
@@ -282,11 +290,11 @@
         }
         const own = config?.classes[cls];
         const service = o.service ?? (own && serviceOf(own));
-        if (!berths.list().some((w) => groupOf(w) === service && !w.leaving && !o.not.has(w.id)))
+        if (!balancer.list().some((w) => groupOf(w) === service && !w.leaving && !o.not.has(w.id)))
           return { got: Promise.resolve<Slot>({ ok: false, why: 'none' }), ...none };
         // Early rejection: what cannot be had in time is said at once, not at the end of the wait (§4.3).
         // What waits at the other edges wants the same slots.
-        const ahead = (berths.waiting(cls) + 1) / Math.max(1, berths.entitled(cls));
+        const ahead = (balancer.waiting(cls) + 1) / Math.max(1, balancer.entitled(cls));
         if (q.length >= (config?.classes[cls]?.buffer ?? 0) || o.limit <= 0 || ahead * expected(cls) > o.limit) {
           c.slotRejects += 1;
           return { got: Promise.resolve<Slot>({ ok: false, why: 'full' }), ...none };
@@ -315,7 +323,7 @@
         };
       },
       leave: (worker, cls, took) => {
-        berths.leave(worker, cls);
+        balancer.leave(worker, cls);
         changed();
         if (took !== null) service.set(cls, Math.round(expected(cls) * 0.8 + took * 0.2));
         pump();
@@ -335,12 +343,12 @@
         f.saw(took);
       },
       hasWorkers: () => list.some((w) => !w.leaving),
-      bad: (worker) => berths.bad(worker, clock.now() + us.s(1)),
-      worker: (id) => berths.get(id),
+      bad: (worker) => balancer.bad(worker, clock.now() + us.s(1)),
+      worker: (id) => balancer.get(id),
       workers: (l) => {
         const fresh = l.filter((w) => !capacity.has(w.id));
         list = l;
-        berths.workers(l);
+        balancer.workers(l);
         giveWorkers();
         if (fresh.length)
           void measure(fresh).then(() => {
@@ -351,7 +359,7 @@
       siblings: (l) => {
         const tokens = new Map<string, number>();
         for (const e of l) for (const [w, n] of Object.entries(e.tokens)) tokens.set(w, (tokens.get(w) ?? 0) + n);
-        berths.siblings(l.map((e) => ({ id: e.id, load: e.load ?? loads.empty() })));
+        balancer.siblings(l.map((e) => ({ id: e.id, load: e.load ?? loads.empty() })));
         for (const e of l) for (const program of e.took ?? []) step({ kind: 'moved', program });
         step({
           kind: 'siblings',
@@ -365,7 +373,7 @@
       },
       config: (cfg) => {
         config = cfg;
-        berths.config(cfg);
+        balancer.config(cfg);
         const options = optionsOf(cfg);
         step({ kind: 'options', options });
         if (options.interval !== interval) {
@@ -375,8 +383,8 @@
         }
         pump();
       },
-      load: () => ({ load: berths.load(), ...pilotage.totals(st) }),
-      runningAt: berths.runningAt,
+      load: () => ({ load: balancer.load(), ...admissionScheduler.totals(st) }),
+      runningAt: balancer.runningAt,
       held: () => st.held.size,
       waits: () => buffers.size > 0,
       counts: () => ({ ...st.counts, ...c }),
--- a/packages/data-plane/src/chat.ts
+++ b/packages/data-plane/src/chat.ts
@@ -2,7 +2,7 @@
 import { formats, type WorkerEntry } from '@thornsail/load-balancer';
 import { fault, invariant, us, type HttpSay, type Us } from '@thornsail/runtime';
 import type { Released } from './admission.js';
-import { accountOf, keyOf, type Charged, type Chat } from './books.js';
+import { accountOf, keyOf, type Charged, type Chat } from './turn-records.js';
 import type { ErrorCode } from './errors.js';
 import { claimKey, silenceLimit, slotLimit, untilRoom, worker, type Edge } from './edge.js';
 import { relay } from './relay.js';
@@ -21,7 +21,7 @@
   claimed: boolean;
   charged: boolean;
   inTable: boolean;
-  /** The turn was given up; its books are being closed behind the answer. */
+  /** The turn was given up; its records are being closed behind the answer. */
   closing: boolean;
   at: string | null;
   hint: string | null;
@@ -38,12 +38,12 @@
 };
 type Next = 'done' | 'again';
 
-const spent = (r: Run): Us => r.x.lens.clock.now() - r.begun;
+const spent = (r: Run): Us => r.x.runtime.clock.now() - r.begun;
 const left = (r: Run): Us => Math.min(silenceLimit, r.p.timeLeft) - spent(r);
 /** What may be waited: the client's patience less what charging and a first token are likely to take (§4.3). */
 const quiet = (r: Run, forced = false): Us => silenceLimit - spent(r) - r.x.adm.ahead(r.p.cls, forced);
 
-/** Gives the turn up before anything was sent: the answer goes out first, the books follow. */
+/** Gives the turn up before anything was sent: the answer goes out first, the records follow. */
 const no = (r: Run, error: ErrorCode, text: string, retryAfter: number | null, ran?: Ran): 'done' => {
   const { x, p } = r;
   r.st.go('reject');
@@ -51,8 +51,8 @@
   r.inTable = false;
   r.closing = true;
   const close = async (): Promise<void> => {
-    if (r.charged) await x.books.giveBack(accountOf(p), r.turn);
-    if (r.claimed) await x.books.unclaim(keyOf(p), r.first);
+    if (r.charged) await x.turnRecords.giveBack(accountOf(p), r.turn);
+    if (r.claimed) await x.turnRecords.unclaim(keyOf(p), r.first);
   };
   void close().finally(() => x.inFlight.delete(r.first));
   x.say.reject(r.say, error, text, ran ?? r.st.ran(), retryAfter);
@@ -66,22 +66,22 @@
   r.x.bump('budget_rejected');
   return no(r, 'budget_spent', 'the budget of this program is spent', null);
 };
-const noKeepers = (r: Run, text: string, ran?: Ran): 'done' => no(r, 'no_keepers', text, r.x.say.backoff(), ran);
+const noStores = (r: Run, text: string, ran?: Ran): 'done' => no(r, 'no_keepers', text, r.x.say.backoff(), ran);
 
 const claim = (r: Run): Promise<Next> =>
   claimKey(r, r.first, left(r), (text, error) =>
-    error === 'stale' ? no(r, 'stale', text, 1, 'unknown') : noKeepers(r, text, 'unknown'),
+    error === 'stale' ? no(r, 'stale', text, 1, 'unknown') : noStores(r, text, 'unknown'),
   );
 
-/** Reads what is kept: the conversation, and of a program that is new to this edge its purse (§4.4). */
+/** Reads what is kept: the conversation, and of a program that is new to this edge its budget record (§4.4). */
 const context = async (r: Run): Promise<Context | 'done'> => {
   const { x, p } = r;
   try {
-    const [kept, purse] = await Promise.all([
-      p.conversation === null ? undefined : x.books.kept(p.conversation, left(r)),
-      x.adm.knows(p.program) ? undefined : x.books.purse(p.program, left(r)),
+    const [kept, budgetRecord] = await Promise.all([
+      p.conversation === null ? undefined : x.turnRecords.kept(p.conversation, left(r)),
+      x.adm.knows(p.program) ? undefined : x.turnRecords.budgetRecord(p.program, left(r)),
     ]);
-    if (purse && purse.turns > 0) x.tookOver(p.program);
+    if (budgetRecord && budgetRecord.turns > 0) x.tookOver(p.program);
     const messages = [...(kept?.messages ?? []), ...p.messages];
     const bytes = Buffer.byteLength(JSON.stringify(messages), 'utf8');
     const limits = x.config().limits;
@@ -91,13 +91,13 @@
     return {
       messages,
       base: kept?.messages.length ?? 0,
-      known: purse && { tokens: purse.tokens, worker: purse.worker },
+      known: budgetRecord && { tokens: budgetRecord.tokens, worker: budgetRecord.worker },
       reserve: bound + p.maxTokens,
       guess: Math.ceil(bound / 4),
     };
   } catch (e) {
-    x.lens.log('fairway')(`a program's register could not be read: ${fault.text(e)}.`);
-    return noKeepers(r, 'no majority of keepers was reached');
+    x.runtime.log('data-plane')(`a program's register could not be read: ${fault.text(e)}.`);
+    return noStores(r, 'no majority of stores was reached');
   }
 };
 
@@ -144,15 +144,15 @@
 /** Reserves the turn's most in the program's budget, before it is sent (§5.3). */
 const charge = async (r: Run, c: Context): Promise<Next> => {
   const { x, p } = r;
-  const begun = x.lens.clock.now();
+  const begun = x.runtime.clock.now();
   while (!r.charged) {
     let got: Charged;
     try {
-      got = await x.books.charge(accountOf(p), r.turn, c.reserve, Math.max(us.ms(50), left(r)));
+      got = await x.turnRecords.charge(accountOf(p), r.turn, c.reserve, Math.max(us.ms(50), left(r)));
     } catch (e) {
-      x.lens.log('fairway')(`a charge failed: ${fault.text(e)}.`);
-      r.charged = true; // It may have been written: the books give it back if so.
-      return noKeepers(r, 'the charge could not be kept by a majority');
+      x.runtime.log('data-plane')(`a charge failed: ${fault.text(e)}.`);
+      r.charged = true; // It may have been written: the records give it back if so.
+      return noStores(r, 'the charge could not be kept by a majority');
     }
     if (!got.ok && got.why === 'spent') return overBudget(r);
     r.charged = got.ok;
@@ -161,7 +161,7 @@
     if (left(r) < us.ms(400)) return no(r, 'turn_open', 'other turns of this program hold its budget', 1);
     await untilRoom(x, p.program, p.of.budgetTokens, { left: left(r) - us.ms(400), gone: () => r.say.gone() });
   }
-  x.adm.sawCharge(x.lens.clock.now() - begun);
+  x.adm.sawCharge(x.runtime.clock.now() - begun);
   if (r.st.now() === 'admitted') r.st.go('charge');
   return 'again';
 };
@@ -183,8 +183,8 @@
   invariant.hold(r.charged && r.inTable, 'a turn is charged and admitted before it is sent');
   r.st.go('send');
   r.at = to.id;
-  const sentAt = x.lens.clock.now();
-  const got = await worker.send(x.lens, to, {
+  const sentAt = x.runtime.clock.now();
+  const got = await worker.send(x.runtime, to, {
     path: formats.chat.path,
     body: formats.chat.body({ messages: c.messages, maxTokens: p.maxTokens, rest: p.rest }),
     left: us.s(30),
@@ -209,7 +209,7 @@
     first: r.first,
     forced: r.forced,
   });
-  return { how, took: how === 'done' ? x.lens.clock.now() - sentAt : null };
+  return { how, took: how === 'done' ? x.runtime.clock.now() - sentAt : null };
 };
 
 /** What was reserved for a lost turn stays charged; a second one gets a charge of its own. */
@@ -217,12 +217,12 @@
   const { x, p } = r;
   x.bump('retried');
   const lost = { actual: c.reserve, tokens: c.guess, worker: null };
-  await x.books.settle(accountOf(p), r.turn, lost, Math.max(us.ms(50), left(r))).catch(() => undefined);
+  await x.turnRecords.settle(accountOf(p), r.turn, lost, Math.max(us.ms(50), left(r))).catch(() => undefined);
   r.charged = false;
   x.adm.end(r.turn, { tokens: null, final: false, worker: null });
   r.inTable = false;
   const was = r.turn;
-  r.turn = `${x.me}.${x.lens.rand.id()}`;
+  r.turn = `${x.me}.${x.runtime.rand.id()}`;
   x.inFlight.add(r.turn);
   x.inFlight.delete(was);
   const rel = await admit(r, c, () => undefined);
@@ -306,13 +306,13 @@
 
 export const chat = async (x: Edge, p: Chat, say: HttpSay): Promise<void> => {
   x.bump('turns');
-  const turn = `${x.me}.${x.lens.rand.id()}`;
+  const turn = `${x.me}.${x.runtime.rand.id()}`;
   const r: Run = {
     x,
     p,
     say,
     st: stages.open(),
-    begun: x.lens.clock.now(),
+    begun: x.runtime.clock.now(),
     first: turn,
     turn,
     claimed: false,
--- a/packages/data-plane/src/edge.ts
+++ b/packages/data-plane/src/edge.ts
@@ -1,25 +1,25 @@
 // What the parts that carry plans out share at one edge.
 import type { WorkerEntry } from '@thornsail/load-balancer';
 import type { Config } from '@thornsail/config-schema';
-import { dues } from '@thornsail/token-budget';
-import { fault, time, us, type HttpResult, type HttpSay, type Lens, type Place, type Us } from '@thornsail/runtime';
-import type { Mooring } from '@thornsail/membership';
+import { tokenBudget } from '@thornsail/token-budget';
+import { fault, time, us, type HttpResult, type HttpSay, type Runtime, type Place, type Us } from '@thornsail/runtime';
+import type { Membership } from '@thornsail/membership';
 import type { Admission } from './admission.js';
-import { keyOf, type Books, type Chat, type Claimed, type Done, type Job, type Once } from './books.js';
+import { keyOf, type TurnRecords, type Chat, type Claimed, type Done, type Job, type Once } from './turn-records.js';
 import { errors } from './errors.js';
 import { completion, type Say } from './say.js';
 import type { Stages } from './stage.js';
 
 export type Edge = {
-  lens: Lens;
+  runtime: Runtime;
   me: string;
-  mooring: Mooring;
+  membership: Membership;
   adm: Admission;
-  books: Books;
+  turnRecords: TurnRecords;
   say: Say;
   config: () => Config;
   bump: (k: string) => void;
-  /** Turns of this edge whose books are not closed. */
+  /** Turns of this edge whose records are not closed. */
   inFlight: Set<string>;
   /** Takes one from the retry budget, if there is one left (§5.4). */
   mayRetry: () => boolean;
@@ -38,14 +38,14 @@
 export type Sent = { ok: true; res: HttpResult } | { ok: false; unsent: boolean };
 export const worker = {
   send: async (
-    lens: Lens,
+    runtime: Runtime,
     w: WorkerEntry,
     o: { path: string; body: string; headers: Record<string, string>; left: Us },
   ): Promise<Sent> => {
     try {
       return {
         ok: true,
-        res: await lens.net.call({
+        res: await runtime.net.call({
           at: w.at,
           method: 'POST',
           path: o.path,
@@ -75,20 +75,20 @@
   budget: number,
   o: { left: Us; gone: () => boolean },
 ): Promise<void> => {
-  const { clock, rand } = x.lens;
+  const { clock, rand } = x.runtime;
   const end = clock.now() + Math.min(o.left, chargeEvery);
   for (;;) {
     await time.sleep(clock, us.ms(40 + rand.int(40)));
     if (clock.now() >= end || o.gone()) return;
-    const p = await x.books.purse(program, Math.max(us.ms(50), end - clock.now())).catch(() => undefined);
-    if (!p || !dues.held(p, budget)) return;
+    const p = await x.turnRecords.budgetRecord(program, Math.max(us.ms(50), end - clock.now())).catch(() => undefined);
+    if (!p || !tokenBudget.held(p, budget)) return;
   }
 };
 
 /** Whether the edge that claimed a key still has the turn at hand; its own word, not a clock, decides. */
 export const stillOpen = async (x: Edge, once: Once): Promise<boolean> => {
   if (once.by === x.me) return x.inFlight.has(once.turn);
-  const n = x.mooring.state()?.roster[once.by];
+  const n = x.membership.state()?.roster[once.by];
   if (!n || n.standing === 'dead') return false;
   return x.askOpen(n.place, once.turn).catch(() => true);
 };
@@ -100,7 +100,7 @@
 const recorded = async (x: Edge, p: Chat | Job, once: Once): Promise<Done | undefined> => {
   const done = once.done as Done | null;
   if (done && done.type !== 'too-large') return done;
-  return keptResult(await x.books.keptReply(p, us.ms(600)).catch(() => undefined));
+  return keptResult(await x.turnRecords.keptReply(p, us.ms(600)).catch(() => undefined));
 };
 const replay = (x: Edge, p: Chat | Job, say: HttpSay, d: Done): void => {
   x.bump('replayed');
@@ -131,9 +131,11 @@
   // to send the message under another key if it is not there: from here on it does not come any more (§5.5).
   let late: Done | undefined;
   try {
-    late = keptResult(await x.books.fence(p, Math.min(us.ms(600), Math.max(us.ms(50), end - x.lens.clock.now()))));
+    late = keptResult(
+      await x.turnRecords.fence(p, Math.min(us.ms(600), Math.max(us.ms(50), end - x.runtime.clock.now()))),
+    );
   } catch (e) {
-    x.lens.log('fairway')(`a turn could not be fenced: ${fault.text(e)}.`);
+    x.runtime.log('data-plane')(`a turn could not be fenced: ${fault.text(e)}.`);
     const why = 'whether the turn with this key is kept could not be settled by a majority';
     return x.say.reject(say, 'no_keepers', why, 'unknown', x.say.backoff());
   }
@@ -152,13 +154,13 @@
 ): Promise<'done' | 'again'> => {
   const { x, p } = r;
   if (p.key === null) return 'again';
-  if (x.mooring.stale()) return no('this node has just woken: the request may be an old copy', 'stale');
-  const end = x.lens.clock.now() + left;
+  if (x.membership.stale()) return no('this node has just woken: the request may be an old copy', 'stale');
+  const end = x.runtime.clock.now() + left;
   let c: Claimed;
   try {
-    c = await x.books.claim(keyOf(p), turn, Math.max(us.ms(50), left));
+    c = await x.turnRecords.claim(keyOf(p), turn, Math.max(us.ms(50), left));
   } catch (e) {
-    x.lens.log('fairway')(`a claim failed: ${fault.text(e)}.`);
+    x.runtime.log('data-plane')(`a claim failed: ${fault.text(e)}.`);
     return no('the claim could not be kept by a majority', 'no_keepers');
   }
   r.claimed = c.ok;
--- a/packages/data-plane/src/forward/claim.ts
+++ b/packages/data-plane/src/forward/claim.ts
@@ -1,7 +1,7 @@
 // A key's operation, whichever edge it reaches (§5.4): claimed by majority before any wait, repeated from its record.
 import { createHash } from 'node:crypto';
 import { fault } from '@thornsail/runtime';
-import type { Answer, Claimed, Key, Once } from '../books.js';
+import type { Answer, Claimed, Key, Once } from '../turn-records.js';
 import { stillOpen } from '../edge.js';
 import type { Forward } from './plan.js';
 import { requests, type Next, type Request } from './request.js';
@@ -38,9 +38,9 @@
  * an id of its own: that this one has not run, and will not, may be promised.
  */
 export const claim = async (request: Request): Promise<Next> => {
-  const { edge, plan, stages, bookings, id } = request;
+  const { edge, plan, stages, reservations, id } = request;
   if (plan.key === null) return 'again';
-  if (edge.mooring.stale() && !(await edge.freshen())) {
+  if (edge.membership.stale() && !(await edge.freshen())) {
     stages.go('reject');
     requests.answerError(request, 'stale', 'this node has just woken', requests.soon(request));
     return 'done';
@@ -48,14 +48,14 @@
   const key = keyOf(plan);
   let claimed: Claimed;
   try {
-    claimed = await edge.books.claim(key, id, requests.bookWait(request));
+    claimed = await edge.turnRecords.claim(key, id, requests.recordTimeout(request));
   } catch (error) {
     requests.log(request, `a claim failed: ${fault.text(error)}.`);
-    bookings.key = key; // It may have been written: the books free the key if so.
-    return requests.noKeepers(request, 'the claim could not be kept by a majority');
+    reservations.key = key; // It may have been written: the records free the key if so.
+    return requests.noStores(request, 'the claim could not be kept by a majority');
   }
   if (claimed.ok) {
-    bookings.key = key;
+    reservations.key = key;
     return 'again';
   }
   stages.go('reject');
--- a/packages/data-plane/src/forward/exchange.ts
+++ b/packages/data-plane/src/forward/exchange.ts
@@ -1,7 +1,7 @@
 // One exchange with one worker (§5.7): what it sends is held against the attempt it was asked for, and nothing of it
 // reaches the caller before that.
 import type { WorkerEntry } from '@thornsail/load-balancer';
-import { us, type ExchangeControl, type HttpSay, type Lens, type Us } from '@thornsail/runtime';
+import { us, type ExchangeControl, type HttpSay, type Runtime, type Us } from '@thornsail/runtime';
 import type { Lease } from './connections.js';
 import type { Dialect, Incoming } from './dialect.js';
 import { events, type StreamEvent } from './events.js';
@@ -32,7 +32,7 @@
 
 export const exchange = {
   run: (o: {
-    lens: Lens;
+    runtime: Runtime;
     lease: Lease;
     worker: WorkerEntry;
     dialect: Dialect;
@@ -46,7 +46,7 @@
     most: number;
   }): Promise<Outcome> =>
     new Promise((done) => {
-      const { lens, lease, plan, dialect: d } = o;
+      const { runtime, lease, plan, dialect: d } = o;
       let sent = false;
       let over = false;
       let streaming = false;
@@ -70,7 +70,7 @@
           sent ? (streaming ? { how: 'cut', why } : { how: 'lost', why }) : { how: 'unsent', why, worker: true },
           false,
         );
-      const stopTimer = lens.clock.tick(o.left + overrun, () => broken('its time ran out'));
+      const stopTimer = runtime.clock.tick(o.left + overrun, () => broken('its time ran out'));
       const onHead = (status: number, headers: Record<string, string>, raw: readonly string[]): void => {
         const said = d.incoming(plan, status, headers);
         if (!said.mine) return broken('an answer to another request');
--- a/packages/data-plane/src/forward/finish.ts
+++ b/packages/data-plane/src/forward/finish.ts
@@ -57,15 +57,19 @@
   worker: WorkerEntry,
   answer: Outcome & { how: 'answer' },
 ): Promise<'done'> => {
-  const { edge, bookings, response } = request;
+  const { edge, reservations, response } = request;
   const { status, headers, body } = answer;
   request.stages.go('relay');
   void requests.settle(request, 0, worker.id);
   requests.leaveScheduler(request, null, worker.id);
-  if (bookings.key) {
-    const recorded = edge.books.record(bookings.key, request.id, { status, headers, body: body.toString('latin1') });
+  if (reservations.key) {
+    const recorded = edge.turnRecords.record(reservations.key, request.id, {
+      status,
+      headers,
+      body: body.toString('latin1'),
+    });
     const longest = Math.max(0, requests.left(request) + recordOverrun);
-    await Promise.race([recorded, time.sleep(edge.lens.clock, longest)]);
+    await Promise.race([recorded, time.sleep(edge.runtime.clock, longest)]);
   }
   request.stages.go('end');
   edge.bump('results');
--- a/packages/data-plane/src/forward/forward.ts
+++ b/packages/data-plane/src/forward/forward.ts
@@ -51,14 +51,14 @@
   edge.bump(plan.turn ? 'turns' : 'jobs');
   const request = requests.open(forwarding, plan, response, arrivedAt);
   const within = requests.left(request) + overrun;
-  const timed = timedResponse.open(edge.lens.clock, response, within, () => expire(request));
+  const timed = timedResponse.open(edge.runtime.clock, response, within, () => expire(request));
   request.response = timed.response;
   edge.inFlight.add(request.id);
   try {
     await carryOut(request);
   } finally {
     timed.stop();
-    if (!request.bookings.closing) edge.inFlight.delete(request.id);
+    if (!request.reservations.closing) edge.inFlight.delete(request.id);
     requests.leaveScheduler(request, null, null);
   }
 };
--- a/packages/data-plane/src/forward/request.ts
+++ b/packages/data-plane/src/forward/request.ts
@@ -1,7 +1,7 @@
 // One request that is passed on unread, while it is served (§5.7): its state, the time it has left, and how it is given
 // up. The stages that carry it out stand in modules of their own.
 import { fault, us, type HttpSay, type Us } from '@thornsail/runtime';
-import type { Account, Key } from '../books.js';
+import type { Account, Key } from '../turn-records.js';
 import type { Edge } from '../edge.js';
 import type { ErrorCode } from '../errors.js';
 import { stages, type Stages } from '../stage.js';
@@ -21,10 +21,10 @@
 };
 
 /** What the request holds in the registers, to be closed at its end. */
-type Bookings = {
+type Reservations = {
   key: Key | null;
   account: Account | null;
-  /** The answer is out, and the books are being closed behind it. */
+  /** The answer is out, and the records are being closed behind it. */
   closing: boolean;
 };
 /** Where the scheduler and earlier sends lead the request. */
@@ -77,7 +77,7 @@
   arrivedAt: Us;
   /** Names this request's claim, charge and place in the scheduler's table. */
   id: string;
-  bookings: Bookings;
+  reservations: Reservations;
   placement: Placement;
   context: Context;
   relayed: Relayed;
@@ -104,7 +104,7 @@
 
 const open = (forwarding: Forwarding, plan: Forward, response: HttpSay, arrivedAt: Us): Request => {
   const { edge } = forwarding;
-  const service = serviceOf(plan, edge.lens.rand.next());
+  const service = serviceOf(plan, edge.runtime.rand.next());
   return {
     forwarding,
     edge,
@@ -112,8 +112,8 @@
     response,
     stages: stages.open(),
     arrivedAt,
-    id: `${edge.me}.${edge.lens.rand.id()}`,
-    bookings: { key: null, account: null, closing: false },
+    id: `${edge.me}.${edge.runtime.rand.id()}`,
+    reservations: { key: null, account: null, closing: false },
     placement: {
       service,
       tokensPerEvent: tokensPerEventOf(edge, service),
@@ -136,7 +136,7 @@
 const patienceOf = ({ route }: Forward): Us =>
   Math.max(leastPatience, us.ms(4 * route.aimMs), us.ms(8 * route.gapMs)) - patienceMargin;
 
-const spent = (request: Request): Us => request.edge.lens.clock.now() - request.arrivedAt;
+const spent = (request: Request): Us => request.edge.runtime.clock.now() - request.arrivedAt;
 /** Until the caller's deadline. */
 const left = (request: Request): Us => request.plan.deadline - spent(request);
 /** Until the caller gives up waiting for a first event. */
@@ -146,14 +146,15 @@
   return Math.min(untilDeadline, patienceOf(request.plan) - spent(request));
 };
 
-/** What a step of the books takes at least, where it is to succeed at all. */
-const leastBookWait = us.ms(50);
-/** Of the time that is left, so much may go by waiting for the books: another node may serve it in the rest. */
-const bookWaitPart = 0.5;
+/** What a step of the records takes at least, where it is to succeed at all. */
+const minimumRecordTimeout = us.ms(50);
+/** Of the time that is left, so much may go by waiting for the records: another node may serve it in the rest. */
+const recordTimeoutShare = 0.5;
 /** How long a claim, a charge or a chain may take. */
-const bookWait = (request: Request): Us => Math.max(leastBookWait, untilGivenUp(request) * bookWaitPart);
+const recordTimeout = (request: Request): Us =>
+  Math.max(minimumRecordTimeout, untilGivenUp(request) * recordTimeoutShare);
 
-const log = (request: Request, text: string): void => request.edge.lens.log('fairway')(text);
+const log = (request: Request, text: string): void => request.edge.runtime.log('data-plane')(text);
 
 /** The final answer of a request that is given up, at once (§4.3). `retryAfter` in seconds, or null. */
 const answerError = (request: Request, code: ErrorCode, text: string, retryAfter: number | null): void => {
@@ -166,7 +167,7 @@
   response.end(words.body);
 };
 /** Soon, and spread out: those refused together do not come back together. In seconds. */
-const soon = (request: Request): number => 0.1 + 0.2 * request.edge.lens.rand.next();
+const soon = (request: Request): number => 0.1 + 0.2 * request.edge.runtime.rand.next();
 
 const leaveScheduler = (request: Request, tokens: number | null, worker: string | null, final = false): void => {
   const { placement, edge, id } = request;
@@ -174,7 +175,7 @@
   placement.scheduled = false;
 };
 
-/** How long the books may take to close before a stream's end. */
+/** How long the records may take to close before a stream's end. */
 const closeWithin = us.ms(900);
 /** Tokens that reached the client: what it has is known, what a worker went on to make is not its. */
 const tokensRelayed = (request: Request): number => {
@@ -183,32 +184,32 @@
 };
 /** Settles what was used. Resolves when that is kept or has failed; a turn that is not settled stays charged (§5.3). */
 const settle = (request: Request, used: number, worker: string | null): Promise<void> => {
-  const { account } = request.bookings;
+  const { account } = request.reservations;
   if (!account) return Promise.resolve();
   const entry = { actual: used, tokens: request.context.prompt + used, worker };
-  return request.edge.books
+  return request.edge.turnRecords
     .settle(account, request.id, entry, closeWithin)
     .catch((error) => log(request, `a turn was not settled and stays charged: ${fault.text(error)}.`));
 };
 
-/** Closes the books of a request that was given up. */
-const closeBooks = async (request: Request): Promise<void> => {
-  const { edge, bookings, id } = request;
+/** Closes the records of a request that was given up. */
+const releaseReservations = async (request: Request): Promise<void> => {
+  const { edge, reservations, id } = request;
   const ran = request.stages.ran() !== 'no';
-  if (bookings.account) {
+  if (reservations.account) {
     if (ran) await settle(request, tokensRelayed(request), null);
-    else await edge.books.giveBack(bookings.account, id);
+    else await edge.turnRecords.giveBack(reservations.account, id);
   }
   // Each attempt has an id of its own here: no copy of this one can be on its way, so the key is free at once.
-  if (bookings.key && !ran) await edge.books.unclaim(bookings.key, id, 0);
+  if (reservations.key && !ran) await edge.turnRecords.unclaim(reservations.key, id, 0);
 };
-/** Gives the request up before anything was sent: the answer goes out first, the books follow. */
+/** Gives the request up before anything was sent: the answer goes out first, the records follow. */
 const reject = (request: Request, code: ErrorCode, text: string, retryAfter: number | null): 'done' => {
   request.stages.go('reject');
   const programEnds = code === 'budget_spent' || code === 'no_such_turn';
   leaveScheduler(request, null, null, programEnds);
-  request.bookings.closing = true;
-  void closeBooks(request).finally(() => request.edge.inFlight.delete(request.id));
+  request.reservations.closing = true;
+  void releaseReservations(request).finally(() => request.edge.inFlight.delete(request.id));
   answerError(request, code, text, retryAfter);
   return 'done';
 };
@@ -216,14 +217,14 @@
   request.edge.bump('orphaned');
   return reject(request, 'gone', 'the client went away', null);
 };
-const noKeepers = (request: Request, text: string): 'done' => reject(request, 'no_keepers', text, soon(request));
+const noStores = (request: Request, text: string): 'done' => reject(request, 'no_keepers', text, soon(request));
 
 /** Operations on a request that its stages share. Times are microseconds. */
 export const requests = {
   open,
   left,
   untilGivenUp,
-  bookWait,
+  recordTimeout,
   log,
   answerError,
   soon,
@@ -232,6 +233,6 @@
   settle,
   reject,
   clientGone,
-  noKeepers,
+  noStores,
   closeWithin,
 };
--- a/packages/data-plane/src/forward/send.ts
+++ b/packages/data-plane/src/forward/send.ts
@@ -41,7 +41,7 @@
 const untilDrained = async ({ edge, response }: Request): Promise<void> => {
   const stuck = await Promise.race([
     response.drained().then(() => false),
-    time.sleep(edge.lens.clock, slowReader).then(() => true),
+    time.sleep(edge.runtime.clock, slowReader).then(() => true),
   ]);
   if (!stuck || response.gone()) return;
   edge.bump('slow_cut');
@@ -95,7 +95,7 @@
   };
   return {
     head: (status, headers) => {
-      edge.adm.sawFirst(plan.cls, edge.lens.clock.now() - sentAt, placement.forced);
+      edge.adm.sawFirst(plan.cls, edge.runtime.clock.now() - sentAt, placement.forced);
       if (request.stages.now() === 'sent') request.stages.go('relay');
       const version = dialect.headVersion(headers);
       // An answer never mixes two versions of weights.
@@ -126,7 +126,7 @@
   const { plan, relayed } = request;
   const stop = stopOf(request);
   const outcome = await exchange.run({
-    lens: request.edge.lens,
+    runtime: request.edge.runtime,
     lease,
     worker,
     dialect: request.forwarding.dialect,
@@ -159,10 +159,10 @@
     if (!lease) return another();
     request.stages.go('send');
     placement.sends += 1;
-    const sentAt = edge.lens.clock.now();
+    const sentAt = edge.runtime.clock.now();
     const outcome = await exchangeWith(request, now, lease, sentAt);
     if (outcome.how === 'unsent' && outcome.worker) placement.sends -= 1;
-    if (outcome.how === 'streamed' || outcome.how === 'answer') took = edge.lens.clock.now() - sentAt;
+    if (outcome.how === 'streamed' || outcome.how === 'answer') took = edge.runtime.clock.now() - sentAt;
     return await finish(request, worker, outcome);
   } finally {
     edge.adm.leave(worker.id, plan.cls, took);
--- a/packages/data-plane/src/index.ts
+++ b/packages/data-plane/src/index.ts
@@ -1,5 +1,5 @@
-// fairway: the data plane that a front embeds (§5): plans a request, then carries the plan out.
-import type { Beam } from '@thornsail/dissemination';
+// data plane: the data plane that a gateway embeds (§5): plans a request, then carries the plan out.
+import type { Dissemination } from '@thornsail/dissemination';
 import type { WorkerEntry } from '@thornsail/load-balancer';
 import type { Config } from '@thornsail/config-schema';
 import {
@@ -10,14 +10,14 @@
   type HttpAsk,
   type HttpHandler,
   type HttpSay,
-  type Lens,
+  type Runtime,
   type Us,
 } from '@thornsail/runtime';
 import { registers, type Registers } from '@thornsail/register-store';
-import type { Mooring } from '@thornsail/membership';
-import { shape, type Pipe } from '@thornsail/rpc';
+import type { Membership } from '@thornsail/membership';
+import { shape, type Rpc } from '@thornsail/rpc';
 import { admission, type Admission } from './admission.js';
-import { books, maxTurn } from './books.js';
+import { turnRecords, maxTurn } from './turn-records.js';
 import { chat } from './chat.js';
 import type { Edge } from './edge.js';
 import { errors } from './errors.js';
@@ -36,12 +36,12 @@
 export { optionsOf } from './admission.js';
 export { plan, type Plan } from './plan.js';
 export { dialect, type Dialect, type HeaderNames } from './forward/dialect.js';
-/** What the platform's list looks like in the news: one item for each pilot that reads it. */
+/** What the platform's list looks like in the news: one item for each agent that reads it. */
 export type WorkersNews = { list: WorkerEntry[] };
 
-/** How a front leaves (§5.10): what it still takes, and when it ends at the latest. */
+/** How a gateway leaves (§5.10): what it still takes, and when it ends at the latest. */
 export type Drain = { acceptFor?: Us; within?: Us };
-export type Fairway = {
+export type DataPlane = {
   handle: HttpHandler;
   /** Passes on, unread, what comes in a dialect's words (§5.7). */
   forward: (d: Dialect) => HttpHandler;
@@ -56,18 +56,18 @@
   close: () => void;
 };
 
-/** A front that has heard neither of the core nor of most fronts for so long takes nothing new (§7.2). */
+/** A gateway that has heard neither of the core nor of most gateways for so long takes nothing new (§7.2). */
 const touchWithin = us.s(2);
-/** How long a request may wait at a front that does not know the fleet yet. */
+/** How long a request may wait at a gateway that does not know the fleet yet. */
 const holdAtStart = us.ms(1500);
-/** It waits for no longer than this part of its client's time, so that another front may serve it in the rest. */
+/** It waits for no longer than this part of its client's time, so that another gateway may serve it in the rest. */
 const holdAtStartPart = 0.5;
 /** Retries within the system: so many at once, one more each second (§5.4). */
 const retryBudget = 10;
 
 /** The workers as the news has them: the newest list, and leaving wherever any fresh list says so (§3.8). */
-export const workersOf = (beam: Beam, now: Us): WorkerEntry[] => {
-  const items = beam
+export const workersOf = (dissemination: Dissemination, now: Us): WorkerEntry[] => {
+  const items = dissemination
     .all('workers/')
     .map((x) => ({ name: x.name, at: x.item.at, list: (x.item.value as WorkersNews).list }));
   if (items.length === 0) return [];
@@ -77,20 +77,20 @@
   return newest.list.map((w) => ({ ...w, leaving: w.leaving || leaving.has(w.id) }));
 };
 
-export const fairway = {
-  open: (o: { lens: Lens; pipe: Pipe; mooring: Mooring; plain?: boolean; zone?: string }): Fairway => {
-    const { lens, pipe, mooring } = o;
-    const { clock } = lens;
-    const log = lens.log('fairway');
-    const me = mooring.id;
-    const reports = report.open({ clock, pipe, mooring, me, adm: () => adm, uses: () => configMark });
-    const adm: Admission = admission.open(lens, me, reports.changed, o.plain, o.zone);
+export const dataPlane = {
+  open: (o: { runtime: Runtime; rpc: Rpc; membership: Membership; plain?: boolean; zone?: string }): DataPlane => {
+    const { runtime, rpc, membership } = o;
+    const { clock } = runtime;
+    const log = runtime.log('data-plane');
+    const me = membership.id;
+    const reports = report.open({ clock, rpc, membership, me, adm: () => adm, uses: () => configMark });
+    const adm: Admission = admission.open(runtime, me, reports.changed, o.plain, o.zone);
     const regs = registers.open({
-      lens,
-      pipe,
+      runtime,
+      rpc,
       by: me,
       group: () => {
-        const k = mooring.state()?.keepers;
+        const k = membership.state()?.keepers;
         return k && k.mark > 0 ? { mark: k.mark, members: k.members } : undefined;
       },
     });
@@ -121,22 +121,22 @@
     let closed = false;
     let config: Config | undefined;
     let configMark = 0;
-    let keepersOk = false;
+    let storesOk = false;
     let doneBefore = 0;
     let retries = retryBudget;
-    const out = saying.open({ rand: lens.rand, bump });
-    pipe.on<{ turn: string }>('turn.open', shape.has({ turn: shape.text }), ({ turn }) => inFlight.has(turn));
-    const book = books.open({
-      lens,
+    const out = saying.open({ rand: runtime.rand, bump });
+    rpc.on<{ turn: string }>('turn.open', shape.has({ turn: shape.text }), ({ turn }) => inFlight.has(turn));
+    const records = turnRecords.open({
+      runtime,
       registers: regs,
       me,
       inFlight,
       limits: () => config!.limits,
-      deadFor: (id) => mooring.deadFor(id),
+      deadFor: (id) => membership.deadFor(id),
     });
 
     const takeState = (): void => {
-      const s = mooring.state();
+      const s = membership.state();
       if (!s || s.config.value === null || s.config.mark <= configMark) return;
       invariant.hold(s.config.mark > configMark, 'the configuration slipped back');
       configMark = s.config.mark;
@@ -146,12 +146,12 @@
       reports.changed();
     };
     const takeWorkers = (): void => {
-      const list = workersOf(mooring.beam, clock.now());
+      const list = workersOf(membership.dissemination, clock.now());
       adm.workers(list);
       pool.retain(new Set(list.map((w) => w.id)));
     };
-    mooring.onState(takeState);
-    mooring.beam.on((n) => {
+    membership.onState(takeState);
+    membership.dissemination.on((n) => {
       if (n.name.startsWith('workers/')) takeWorkers();
       if (n.name.startsWith('load/')) reports.told(n.name.slice(5), n.mark);
     });
@@ -164,7 +164,7 @@
       time.every(clock, us.ms(500), async () => {
         // Changes that a majority took are proof enough.
         const done = regs.counts().done;
-        keepersOk = done > doneBefore || (await regs.reachable());
+        storesOk = done > doneBefore || (await regs.reachable());
         doneBefore = done;
         takeWorkers();
       }),
@@ -174,29 +174,30 @@
       const why: string[] = [];
       if (leaving) why.push('leaving');
       if (!config) why.push('no configuration');
-      if (!workersOf(mooring.beam, clock.now()).some((w) => !w.leaving)) why.push('no workers');
-      if (!keepersOk) why.push('no keeper majority');
+      if (!workersOf(membership.dissemination, clock.now()).some((w) => !w.leaving)) why.push('no workers');
+      if (!storesOk) why.push('no store majority');
       if (!inTouch()) why.push('cut off from most others');
       return { ok: why.length === 0, why };
     };
 
     /**
      * Whether a configuration that the core has acknowledged is sure to be in use here (§7.2): the core was heard of
-     * lately, or more than half of the fronts, without which the core acknowledges nothing.
+     * lately, or more than half of the gateways, without which the core acknowledges nothing.
      */
     const inTouch = (): boolean => {
-      const fresh = (name: string): boolean => clock.now() - (mooring.beam.get(name)?.at ?? -touchWithin) < touchWithin;
-      const s = mooring.state();
+      const fresh = (name: string): boolean =>
+        clock.now() - (membership.dissemination.get(name)?.at ?? -touchWithin) < touchWithin;
+      const s = membership.state();
       if (!s || fresh('core')) return true;
-      const fronts = Object.values(s.roster).filter((n) => n.role === 'front' && n.standing === 'live');
+      const gateways = Object.values(s.roster).filter((n) => n.role === 'gateway' && n.standing === 'live');
       const heard = (id: string): boolean => clock.now() - reports.heardOf(id) < touchWithin;
-      return fronts.filter((n) => n.id === me || heard(n.id)).length * 2 > fronts.length;
+      return gateways.filter((n) => n.id === me || heard(n.id)).length * 2 > gateways.length;
     };
     /** After a freeze nothing is dispatched on old news (§3.7). */
     const freshen = async (): Promise<boolean> => {
-      if (!mooring.stale()) return true;
+      if (!membership.stale()) return true;
       bump('refreshed');
-      const ok = await mooring.refresh();
+      const ok = await membership.refresh();
       if (ok) {
         takeState();
         takeWorkers();
@@ -206,15 +207,15 @@
     };
 
     const edge: Edge = {
-      lens,
+      runtime,
       me,
-      mooring,
+      membership,
       adm,
       say: out,
       bump,
       inFlight,
       freshen,
-      books: book,
+      turnRecords: records,
       config: () => config!,
       mayRetry: () => {
         if (retries < 1) return false;
@@ -222,20 +223,20 @@
         return true;
       },
       tookOver: reports.tookOver,
-      askOpen: (at, turn) => pipe.ask<boolean>(at, 'turn.open', { turn }, us.ms(300)),
+      askOpen: (at, turn) => rpc.ask<boolean>(at, 'turn.open', { turn }, us.ms(300)),
     };
-    const pool = connections.open({ clock, net: lens.net });
+    const pool = connections.open({ clock, net: runtime.net });
     const turns = kept.open({ clock, registers: regs });
-    const fronts = (): number => {
-      const s = mooring.state();
+    const gateways = (): number => {
+      const s = membership.state();
       return Math.max(
         1,
-        s ? Object.values(s.roster).filter((n) => n.role === 'front' && n.standing === 'live').length : 1,
+        s ? Object.values(s.roster).filter((n) => n.role === 'gateway' && n.standing === 'live').length : 1,
       );
     };
     const recall = async (id: string, say: HttpSay): Promise<void> => {
       try {
-        const v = await book.kept(id, us.ms(1500));
+        const v = await records.kept(id, us.ms(1500));
         if (v) out.json(say, 200, { conversation: id, messages: v.messages });
         else
           out.json(say, errors.status('chat', 'no_such_conversation'), {
@@ -244,7 +245,7 @@
             ran: 'no',
           });
       } catch {
-        out.reject(say, 'no_keepers', 'no majority of keepers was reached', 'no', out.backoff());
+        out.reject(say, 'no_keepers', 'no majority of stores was reached', 'no', out.backoff());
       }
     };
 
@@ -254,7 +255,7 @@
       const ran = ask.headers['idempotency-key'] === undefined ? 'no' : 'unknown';
       if (!config) return out.reject(say, 'not_ready', 'no configuration yet', ran, 1);
       if (draining && ask.method === 'POST') return out.reject(say, 'leaving', 'this node is leaving', ran, 1);
-      if (!inTouch() && (ran === 'unknown' || !(await mooring.refresh()) || !inTouch()))
+      if (!inTouch() && (ran === 'unknown' || !(await membership.refresh()) || !inTouch()))
         return out.reject(say, 'stale', 'this node is cut off from most others', ran, 1);
       if (inFlight.size >= config.scheduler.maxTurns)
         return out.reject(say, 'full', 'this node holds as many turns as it may', ran, out.backoff());
@@ -291,7 +292,7 @@
         ),
     });
     let wasKnown = false;
-    /** A front that has just started takes requests at once and serves them as soon as it can (§5.10). */
+    /** A gateway that has just started takes requests at once and serves them as soon as it can (§5.10). */
     const untilKnown = async (say: HttpSay, longest: Us): Promise<void> => {
       const begun = clock.now();
       const end = begun + longest;
@@ -306,7 +307,7 @@
       if (!draining) await untilKnown(say, Math.min(holdAtStart, (patience ?? Infinity) * holdAtStartPart));
       if (draining) return 'this node is leaving';
       if (!config) return 'no configuration yet';
-      if (!inTouch() && (!(await mooring.refresh()) || !inTouch())) return 'this node is cut off from most others';
+      if (!inTouch() && (!(await membership.refresh()) || !inTouch())) return 'this node is cut off from most others';
       return inFlight.size >= config.scheduler.maxTurns ? 'this node holds as many requests as it may' : null;
     };
     const passOn = async (f: Forwarding, ask: HttpAsk, say: HttpSay): Promise<void> => {
@@ -320,7 +321,7 @@
         say.end(w.body);
       };
       const why = await closedFor(say, d.patience(ask));
-      if (why !== null) return refuse(refused('closed', null, why), 0.2 + 0.3 * lens.rand.next());
+      if (why !== null) return refuse(refused('closed', null, why), 0.2 + 0.3 * runtime.rand.next());
       const p = d.plan(ask, config!);
       if (p.kind === 'refuse') {
         bump('bad_requests');
@@ -331,7 +332,7 @@
 
     return {
       forward: (d) => {
-        const f: Forwarding = { edge, dialect: d, connections: pool, kept: turns, edges: fronts };
+        const f: Forwarding = { edge, dialect: d, connections: pool, kept: turns, edges: gateways };
         return async (ask, say) => {
           answering += 1;
           try {
--- a/packages/data-plane/src/job.ts
+++ b/packages/data-plane/src/job.ts
@@ -1,7 +1,7 @@
 // Carrying out a job (§5.1), a function for each stage: claim, slot, send, result.
 import { formats, type WorkerEntry } from '@thornsail/load-balancer';
 import { fault, us, type HttpResult, type HttpSay, type Us } from '@thornsail/runtime';
-import { keyOf, type Job } from './books.js';
+import { keyOf, type Job } from './turn-records.js';
 import type { ErrorCode } from './errors.js';
 import { claimKey, silenceLimit, slotLimit, worker, type Edge } from './edge.js';
 import type { Ran } from './say.js';
@@ -15,19 +15,19 @@
   begun: Us;
   turn: string;
   claimed: boolean;
-  /** The key is given back behind the answer: a refusal does not wait for the keepers. */
+  /** The key is given back behind the answer: a refusal does not wait for the stores. */
   closing: boolean;
   not: Set<string>;
 };
 type Next = 'done' | 'again';
 const largestResult = 4 << 20;
 
-const spent = (r: Run): Us => r.x.lens.clock.now() - r.begun;
+const spent = (r: Run): Us => r.x.runtime.clock.now() - r.begun;
 const left = (r: Run): Us => Math.min(silenceLimit, r.p.timeLeft) - spent(r);
 const close = (r: Run): void => {
   if (!r.claimed) return;
   r.closing = true;
-  void r.x.books.unclaim(keyOf(r.p), r.turn).finally(() => r.x.inFlight.delete(r.turn));
+  void r.x.turnRecords.unclaim(keyOf(r.p), r.turn).finally(() => r.x.inFlight.delete(r.turn));
 };
 const no = (r: Run, error: ErrorCode, text: string, retryAfter: number | null, ran?: Ran): 'done' => {
   r.st.go('reject');
@@ -87,7 +87,7 @@
   const type = res.headers['content-type'] ?? 'application/json';
   const done = { status: res.status, type, body, finish: null, prompt: 0, completion: 0 };
   r.st.go('relay');
-  if (r.claimed) await r.x.books.record(keyOf(r.p), r.turn, done);
+  if (r.claimed) await r.x.turnRecords.record(keyOf(r.p), r.turn, done);
   r.st.go('end');
   r.x.bump('results');
   if (r.say.gone()) return;
@@ -110,8 +110,8 @@
     if (r.say.gone() || left(r) <= 0) return no(r, 'late', 'the time left ran out before anything was sent', 1);
     if (r.st.now() === 'admitted') r.st.go('charge');
     r.st.go('send');
-    const sentAt = x.lens.clock.now();
-    const got = await worker.send(x.lens, now, {
+    const sentAt = x.runtime.clock.now();
+    const got = await worker.send(x.runtime, now, {
       path: formats.job.path,
       body: p.body,
       headers: p.key === null ? {} : { 'idempotency-key': p.key },
@@ -128,10 +128,10 @@
     try {
       body = await wholeResult(got.res);
     } catch (e) {
-      x.lens.log('fairway')(`a job's result broke off: ${fault.text(e)}.`);
+      x.runtime.log('data-plane')(`a job's result broke off: ${fault.text(e)}.`);
       return lost(r, 'the result broke off', false);
     }
-    took = x.lens.clock.now() - sentAt;
+    took = x.runtime.clock.now() - sentAt;
     await tell(r, got.res, body);
     return 'done';
   } finally {
@@ -146,8 +146,8 @@
     p,
     say,
     st: stages.open(),
-    begun: x.lens.clock.now(),
-    turn: `${x.me}.${x.lens.rand.id()}`,
+    begun: x.runtime.clock.now(),
+    turn: `${x.me}.${x.runtime.rand.id()}`,
     claimed: false,
     closing: false,
     not: new Set(),
--- a/packages/data-plane/src/load-exchange.ts
+++ b/packages/data-plane/src/load-exchange.ts
@@ -1,6 +1,6 @@
 // Sends this edge's load to the other edges and hears of theirs (§3.5), over the paths that `load-paths.ts` names.
 import { isLoad } from '@thornsail/membership';
-import { shape, type Pipe } from '@thornsail/rpc';
+import { shape, type Rpc } from '@thornsail/rpc';
 import type { Clock, Us } from '@thornsail/runtime';
 import type { EdgeLoad } from './admission.js';
 import type { LoadPaths } from './load-paths.js';
@@ -23,13 +23,13 @@
   /** `pause` is the least time between two bundles, `received` is called when another edge's load has come. */
   open: (options: {
     clock: Clock;
-    pipe: Pipe;
+    rpc: Rpc;
     me: string;
     paths: () => LoadPaths;
     pause: () => Us;
     onReceived: () => void;
   }): LoadExchange => {
-    const { clock, pipe, me } = options;
+    const { clock, rpc, me } = options;
     const received = new Map<string, ReceivedLoad>();
     /** What this edge has not passed on to the other rows yet. */
     const bundle = new Map<string, LoadMessage>();
@@ -38,7 +38,7 @@
     const sendBundle = (): void => {
       bundleDue = false;
       lastBundle = clock.now();
-      pipe.tellAll(options.paths().otherRows, 'loads', [...bundle.values()]);
+      rpc.tellAll(options.paths().otherRows, 'loads', [...bundle.values()]);
       bundle.clear();
     };
     const passOn = (message: LoadMessage): void => {
@@ -54,18 +54,18 @@
       received.set(from, { mark, at: clock.now(), load });
       return true;
     };
-    pipe.on<LoadMessage>('load', isLoadMessage, (message) => {
+    rpc.on<LoadMessage>('load', isLoadMessage, (message) => {
       if (!take(message)) return;
       passOn(message);
       options.onReceived();
     });
-    pipe.on<LoadMessage[]>('loads', shape.list(isLoadMessage), (messages) => {
+    rpc.on<LoadMessage[]>('loads', shape.list(isLoadMessage), (messages) => {
       if (messages.filter(take).length > 0) options.onReceived();
     });
     return {
       received,
       send: (message) => {
-        pipe.tellAll(options.paths().row, 'load', message);
+        rpc.tellAll(options.paths().row, 'load', message);
         passOn(message);
       },
     };
--- a/packages/data-plane/src/relay.ts
+++ b/packages/data-plane/src/relay.ts
@@ -1,12 +1,12 @@
 // Relaying a worker's stream to its caller (§5.6): counted, numbered, ended or visibly cut.
 import { formats, type Piece } from '@thornsail/load-balancer';
 import { fault, time, us, type HttpResult, type HttpSay, type Us } from '@thornsail/runtime';
-import { accountOf, keyOf, type Chat } from './books.js';
+import { accountOf, keyOf, type Chat } from './turn-records.js';
 import type { Edge } from './edge.js';
 import { completion as completionOf } from './say.js';
 import type { Stages } from './stage.js';
 
-/** How long each of the books may take to close before the stream's end marker. */
+/** How long each of the records may take to close before the stream's end marker. */
 const closeLimit = us.ms(900);
 /** A reader that has read nothing for so long is let go of. */
 const slowReader = us.s(5);
@@ -49,9 +49,9 @@
     forced: boolean;
   },
 ): Promise<'done' | 'empty' | 'cut'> => {
-  const { adm, books } = e;
-  const { clock } = e.lens;
-  const log = e.lens.log('fairway');
+  const { adm, turnRecords } = e;
+  const { clock } = e.runtime;
+  const log = e.runtime.log('data-plane');
   const split = formats.chat.reader();
   let n = 0;
   let count = 0;
@@ -85,13 +85,13 @@
     const actual = completion === null ? Math.max(x.reserve - p.maxTokens, prompt) + count : prompt + completion;
     const tokens = prompt + (completion ?? count);
     // Beside one another: the client hears nothing meanwhile.
-    const settled = books
+    const settled = turnRecords
       .settle(accountOf(p), turn, { actual, tokens, worker: x.worker }, closeLimit)
       .catch((err) => log(`a turn was not settled and stays charged: ${fault.text(err)}.`));
     const reply = { role: 'assistant', content, ...(tools.size ? { tool_calls: [...tools.values()] } : {}) };
-    if (p.conversation !== null) await books.append(p, x.first, x.base, [...p.messages, reply], closeLimit);
+    if (p.conversation !== null) await turnRecords.append(p, x.first, x.base, [...p.messages, reply], closeLimit);
     if (x.claimed)
-      await books.record(keyOf(p), x.first, {
+      await turnRecords.record(keyOf(p), x.first, {
         status: 200,
         type: 'chat',
         body: content,
--- a/packages/data-plane/src/report.ts
+++ b/packages/data-plane/src/report.ts
@@ -1,9 +1,9 @@
 // When an edge tells the other edges of its load, and when it takes in theirs (§4.4, §5.2): soon after a change, so
 // that two edges seldom see the same slot free. The news (§3.5) carries it as well, seldom: for operators, for an edge
 // that the exchange does not reach; and by itself which configuration is in use.
-import type { Mooring } from '@thornsail/membership';
+import type { Membership } from '@thornsail/membership';
 import { us, type Clock, type Us } from '@thornsail/runtime';
-import type { Pipe } from '@thornsail/rpc';
+import type { Rpc } from '@thornsail/rpc';
 import type { Admission, EdgeLoad } from './admission.js';
 import { loadExchange, type ReceivedLoad } from './load-exchange.js';
 import { directUpTo, loadPaths, type EdgePeer, type LoadPaths } from './load-paths.js';
@@ -38,14 +38,14 @@
 export const report = {
   open: (o: {
     clock: Clock;
-    pipe: Pipe;
-    mooring: Mooring;
+    rpc: Rpc;
+    membership: Membership;
     me: string;
     adm: () => Admission;
     uses: () => number;
   }): Report => {
-    const { clock, me, pipe } = o;
-    const { beam } = o.mooring;
+    const { clock, me, rpc } = o;
+    const { dissemination } = o.membership;
     const took = new Map<string, Us>();
     let mark = 0;
     let last = '';
@@ -55,7 +55,7 @@
     let due = false;
     let gathering = false;
     let lastTaken = -latest;
-    type Roster = ReturnType<Mooring['state']>;
+    type Roster = ReturnType<Membership['state']>;
     let edges: { of: Roster; live: EdgePeer[]; paths: LoadPaths } = {
       of: undefined,
       live: [],
@@ -63,10 +63,10 @@
     };
     /** Made anew only with a new state. */
     const current = (): typeof edges => {
-      const state = o.mooring.state();
+      const state = o.membership.state();
       if (state === edges.of) return edges;
       const all = Object.values(state?.roster ?? {});
-      const live = all.filter((n) => n.role === 'front' && n.standing !== 'dead');
+      const live = all.filter((n) => n.role === 'gateway' && n.standing !== 'dead');
       return (edges = { of: state, live, paths: loadPaths.of(live, me) });
     };
     const pause = (): Us => {
@@ -86,17 +86,17 @@
       exchange.send({ from: me, mark, load });
       // What is in use is told by itself: it lasts, so it finds its way round a relay that hangs.
       // It is put again now and then, since whoever took this edge for dead has dropped it.
-      if (now - lastNews >= newsEvery || load.uses > lastUses) beam.put(`uses/${me}`, load.uses, {});
+      if (now - lastNews >= newsEvery || load.uses > lastUses) dissemination.put(`uses/${me}`, load.uses, {});
       lastUses = load.uses;
       if (now - lastNews < newsEvery) return;
       lastNews = now;
-      beam.put(`load/${me}`, mark, load);
+      dissemination.put(`load/${me}`, mark, load);
     };
     /** The newest of each edge, by whichever way it came. */
     const newest = (): Map<string, ReceivedLoad> => {
       const now = clock.now();
       const all = new Map<string, ReceivedLoad>();
-      for (const x of beam.all('load/'))
+      for (const x of dissemination.all('load/'))
         all.set(x.name.slice(5), { mark: x.item.mark, at: x.item.at, load: x.item.value as EdgeLoad });
       const known = new Set(current().live.map((n) => n.id));
       for (const [id, h] of exchange.received)
@@ -121,7 +121,7 @@
     };
     const exchange = loadExchange.open({
       clock,
-      pipe,
+      rpc,
       me,
       paths: () => current().paths,
       pause,
@@ -133,7 +133,7 @@
         if (edge !== me && (exchange.received.get(edge)?.mark ?? -1) < m) soon();
       },
       heardOf: (edge) =>
-        Math.max(exchange.received.get(edge)?.at ?? -Infinity, beam.get(`load/${edge}`)?.at ?? -Infinity),
+        Math.max(exchange.received.get(edge)?.at ?? -Infinity, dissemination.get(`load/${edge}`)?.at ?? -Infinity),
       changed: () => {
         if (due) return;
         due = true;
--- a/packages/data-plane/src/books.ts
+++ b/packages/data-plane/src/turn-records.ts
@@ -1,8 +1,8 @@
-// What a turn writes down (§5.3 to §5.5): the claim of its key, the program's purse, the kept conversation.
+// What a turn writes down (§5.3 to §5.5): the claim of its key, the program's budget record, the kept conversation.
 // Each is one register, changed by compare-and-set.
 import type { Config } from '@thornsail/config-schema';
-import { dues, type Purse } from '@thornsail/token-budget';
-import { fault, time, us, type Lens, type Us } from '@thornsail/runtime';
+import { tokenBudget, type BudgetRecord } from '@thornsail/token-budget';
+import { fault, time, us, type Runtime, type Us } from '@thornsail/runtime';
 import type { Registers, Walls, Write } from '@thornsail/register-store';
 import type { Plan } from './plan.js';
 
@@ -10,8 +10,8 @@
 export type Job = Plan & { kind: 'job' };
 /**
  * A program's account (§5.3): whose budget, how much, and for how long it is remembered at least. `fresh`: this is
- * likely its first turn, so that there is no purse yet; `past`: its last turn was
- * at another edge, and so many ballots its purse has likely seen (§6.2).
+ * likely its first turn, so that there is no budget record yet; `past`: its last turn was
+ * at another edge, and so many ballots its budget record has likely seen (§6.2).
  */
 export type Account = {
   program: string;
@@ -40,14 +40,14 @@
  */
 export type Kept = { messages: unknown[]; marks: string[]; ends?: number[]; fenced?: string[] };
 export type Claimed = { ok: true } | { ok: false; once: Once };
-/** `purse` is what stands after the charge. */
-export type Charged = { ok: true; purse: Purse } | { ok: false; why: 'spent' | 'open' };
-export type Books = {
+/** `budget record` is what stands after the charge. */
+export type Charged = { ok: true; budgetRecord: BudgetRecord } | { ok: false; why: 'spent' | 'open' };
+export type TurnRecords = {
   claim: (k: Key, turn: string, left: Us) => Promise<Claimed>;
   /** `quiet`: how long copies of this very attempt may still be on their way. */
   unclaim: (k: Key, turn: string, quiet?: Us) => Promise<void>;
   record: (k: Key, turn: string, done: Done | Answer) => Promise<void>;
-  purse: (program: string, left: Us) => Promise<Purse | undefined>;
+  budgetRecord: (program: string, left: Us) => Promise<BudgetRecord | undefined>;
   charge: (a: Account, turn: string, reserve: number, left: Us) => Promise<Charged>;
   settle: (
     a: Account,
@@ -88,17 +88,17 @@
 const tooLarge = (d: Done | Answer): Done | Answer =>
   'type' in d ? { ...d, body: '', type: 'too-large' } : { status: 0, headers: [], body: '' };
 
-export const books = {
+export const turnRecords = {
   open: (o: {
-    lens: Lens;
+    runtime: Runtime;
     registers: Registers;
     me: string;
     limits: () => Config['limits'];
     inFlight: ReadonlySet<string>;
     deadFor: (id: string) => Us;
-  }): Books => {
-    const { lens, registers: regs, me, inFlight } = o;
-    const log = lens.log('fairway');
+  }): TurnRecords => {
+    const { runtime, registers: regs, me, inFlight } = o;
+    const log = runtime.log('data-plane');
     const keys = {
       once: (k: Key): string => `once/${k.name}`,
       program: (id: string): string => `program/${id}`,
@@ -119,16 +119,20 @@
         left,
       );
     /** A budget is remembered at least as long as the program's conversation can be resumed. */
-    const purseUntil = (a: Account, w: Walls, promised: Us): Us =>
+    const budgetRecordUntil = (a: Account, w: Walls, promised: Us): Us =>
       until(w, promised, Math.max(o.limits().programKeepSeconds, a.keepSeconds));
-    const purseChange = (a: Account, fn: (was: Purse | undefined) => Purse | undefined, left: Us): Promise<void> =>
+    const changeBudgetRecord = (
+      a: Account,
+      fn: (was: BudgetRecord | undefined) => BudgetRecord | undefined,
+      left: Us,
+    ): Promise<void> =>
       regs.change<void>(
         keys.program(a.program),
         (v, w, promised): Write<void> => {
-          const next = fn(v as Purse | undefined);
+          const next = fn(v as BudgetRecord | undefined);
           return next === v || next === undefined
             ? { keep: true, result: undefined }
-            : { held: { value: next, until: purseUntil(a, w, promised) }, result: undefined };
+            : { held: { value: next, until: budgetRecordUntil(a, w, promised) }, result: undefined };
         },
         left,
       );
@@ -152,7 +156,7 @@
       unclaim: async (k, turn, quiet = refusedQuiet) => {
         // A copy that was already on its way must not run after "not run" was said: until the caller may come back
         // the key stays claimed. The time is this edge's own; no two machines' clocks are compared (§5.4).
-        if (quiet > 0) await time.sleep(lens.clock, quiet);
+        if (quiet > 0) await time.sleep(runtime.clock, quiet);
         const free = (v: unknown): Write<void> =>
           (v as Once | undefined)?.turn === turn
             ? { held: null, result: undefined }
@@ -165,12 +169,12 @@
           log(`a once-result was not recorded: ${fault.text(e)}.`),
         );
       },
-      purse: (program, left) => regs.read(keys.program(program), left) as Promise<Purse | undefined>,
+      budgetRecord: (program, left) => regs.read(keys.program(program), left) as Promise<BudgetRecord | undefined>,
       charge: (a, turn, reserve, left) =>
         regs.change<Charged>(
           keys.program(a.program),
           (v, w, promised) => {
-            const r = dues.charge(v as Purse | undefined, {
+            const r = tokenBudget.charge(v as BudgetRecord | undefined, {
               turn,
               by: me,
               reserve,
@@ -179,14 +183,15 @@
               gone: (x) => (x.by === me ? !inFlight.has(x.turn) : o.deadFor(x.by) > edgeGone || w.min - x.at > maxTurn),
             });
             if (!r.ok) return { keep: true, result: { ok: false, why: r.why } };
-            const result: Charged = { ok: true, purse: r.purse };
-            return { held: { value: r.purse, until: purseUntil(a, w, promised) }, result };
+            const result: Charged = { ok: true, budgetRecord: r.budgetRecord };
+            return { held: { value: r.budgetRecord, until: budgetRecordUntil(a, w, promised) }, result };
           },
           left,
           { fresh: a.fresh === true, past: a.past ?? 0 },
         ),
-      settle: (a, turn, e, left) => purseChange(a, (was) => dues.settle(was, { turn, ...e }), left),
-      giveBack: (a, turn) => purseChange(a, (was) => dues.giveBack(was, turn), us.ms(800)).catch(() => undefined),
+      settle: (a, turn, e, left) => changeBudgetRecord(a, (was) => tokenBudget.settle(was, { turn, ...e }), left),
+      giveBack: (a, turn) =>
+        changeBudgetRecord(a, (was) => tokenBudget.giveBack(was, turn), us.ms(800)).catch(() => undefined),
       kept: async (conversation, left) => {
         const v = (await regs.read(keys.conv(conversation), left)) as Kept | undefined;
         // One that holds nothing but a fence is not there yet.
--- a/packages/data-plane/test/connections.test.ts
+++ b/packages/data-plane/test/connections.test.ts
@@ -1,7 +1,7 @@
 // Which connection to a worker is used again, and which is closed (§5.8).
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { us, type Connection, type Lens, type Net } from '@thornsail/runtime';
+import { us, type Connection, type Runtime, type Net } from '@thornsail/runtime';
 import type { WorkerEntry } from '@thornsail/load-balancer';
 import { connections, type Connections, type Lease } from '../src/forward/connections.js';
 
@@ -21,8 +21,8 @@
     opened.push(one);
     return one;
   };
-  const lens = { clock: { now: () => now }, net: { connect } } as unknown as Lens;
-  return { pool: connections.open(lens), opened, pass: (t) => void (now += t) };
+  const runtime = { clock: { now: () => now }, net: { connect } } as unknown as Runtime;
+  return { pool: connections.open(runtime), opened, pass: (t) => void (now += t) };
 };
 const workerOf = (id: string, at = '10.0.0.1:80'): WorkerEntry => ({ id, at }) as WorkerEntry;
 const take = (pool: Connections, id = 'w1'): Lease => pool.take(workerOf(id), 4)!;
--- a/packages/data-plane/test/sends.test.ts
+++ b/packages/data-plane/test/sends.test.ts
@@ -6,7 +6,7 @@
 import { real, us, wholeText } from '@thornsail/runtime';
 import { worker } from '../src/edge.js';
 
-const lens = real.lens('/nonexistent');
+const runtime = real.runtime('/nonexistent');
 const answer = (body: string): string => `HTTP/1.1 200 X\r\ncontent-length: ${body.length}\r\n\r\n${body}`;
 
 test('an answer that is given twice is not taken for the answer to the next request', async () => {
@@ -25,7 +25,7 @@
   await new Promise<void>((up) => void server.listen(0, '127.0.0.1', up));
   const at = `127.0.0.1:${(server.address() as net.AddressInfo).port}`;
   for (const body of ['first', 'second', 'third']) {
-    const sent = await worker.send(lens, { id: 'w', at } as WorkerEntry, {
+    const sent = await worker.send(runtime, { id: 'w', at } as WorkerEntry, {
       path: '/run',
       body,
       headers: {},
--- a/packages/dissemination/src/index.ts
+++ b/packages/dissemination/src/index.ts
@@ -1,15 +1,15 @@
-// beam: news goes down a tree of relays that the nodes form among themselves (§3.5).
+// dissemination: news goes down a tree of relays that the nodes form among themselves (§3.5).
 // Every node computes the same tree from the roster. A digest exchanged with a random sibling
 // makes up for a dead relay; an older mark never replaces a newer one.
-import { hash, invariant, time, us, type Lens, type Place, type Us } from '@thornsail/runtime';
+import { hash, invariant, time, us, type Runtime, type Place, type Us } from '@thornsail/runtime';
 import { ring } from '@thornsail/failure-detector';
-import { shape, type Pipe } from '@thornsail/rpc';
+import { shape, type Rpc } from '@thornsail/rpc';
 
 export type News = { name: string; mark: number; value: unknown };
 export type Item = { mark: number; value: unknown; at: Us };
 type Digest = Record<string, number>;
 export type Relay = { id: string; place: Place };
-export type Beam = {
+export type Dissemination = {
   put: (name: string, mark: number, value: unknown) => void;
   get: (name: string) => Item | undefined;
   all: (prefix: string) => { name: string; item: Item }[];
@@ -25,7 +25,7 @@
   close: () => void;
 };
 const isNews = shape.has({ name: shape.text, mark: shape.whole, value: shape.any });
-export type BeamTimes = {
+export type DisseminationTiming = {
   arity: number;
   digest: Us;
   attach: Us;
@@ -33,7 +33,7 @@
   /** For how long gathered items are kept back, at each hop. */
   gather: Us;
 };
-const times: BeamTimes = {
+const times: DisseminationTiming = {
   arity: 3,
   digest: us.ms(700),
   attach: us.ms(400),
@@ -55,10 +55,10 @@
   },
 };
 
-export const beam = {
+export const dissemination = {
   open: (o: {
-    lens: Lens;
-    pipe: Pipe;
+    runtime: Runtime;
+    rpc: Rpc;
     self: string;
     leaf: boolean;
     relays: () => Relay[];
@@ -73,10 +73,10 @@
     attachTo: () => Place | undefined;
     /** Further places to try when the relays do not answer. */
     others: () => Place[];
-    times?: Partial<BeamTimes>;
-  }): Beam => {
-    const { lens, pipe } = o;
-    const { clock, rand } = lens;
+    times?: Partial<DisseminationTiming>;
+  }): Dissemination => {
+    const { runtime, rpc } = o;
+    const { clock, rand } = runtime;
     const T = { ...times, ...o.times };
     const items = new Map<string, Item>();
     const leaves = new Map<Place, Us>();
@@ -111,7 +111,7 @@
     const passOn = (list: News[], from: Place | undefined): void => {
       const to = near().filter((p) => p !== from);
       c.relayed += to.length;
-      pipe.tellAll(to, 'beam.news', list);
+      rpc.tellAll(to, 'beam.news', list);
     };
     const passGathered = (): void => {
       const all = [...gathered.values()];
@@ -120,7 +120,7 @@
         const list = all.filter((g) => g.from !== to).map((g) => g.news);
         if (list.length === 0) continue;
         c.relayed += 1;
-        pipe.tell(to, 'beam.news', list);
+        rpc.tell(to, 'beam.news', list);
       }
     };
     const gather = (list: News[], from: Place | undefined): void => {
@@ -152,21 +152,17 @@
       [...items]
         .filter(([k, v]) => lasting(k) && (d[k] ?? -1) < v.mark)
         .map(([name, v]) => ({ name, mark: v.mark, value: v.value }));
-    pipe.on<News[]>('beam.news', shape.list(isNews), (list, from) => {
+    rpc.on<News[]>('beam.news', shape.list(isNews), (list, from) => {
       heard = clock.now();
       c.pushed += list.length;
       take(list, from, true);
     });
-    pipe.on<{ sum: number; leaf: boolean }>(
-      'beam.sum',
-      shape.has({ sum: shape.whole, leaf: shape.flag }),
-      (m, from) => {
-        if (m.leaf) leaves.set(from, clock.now());
-        heard = clock.now();
-        return m.sum === sum();
-      },
-    );
-    pipe.on<{ digest: Digest; leaf: boolean }>(
+    rpc.on<{ sum: number; leaf: boolean }>('beam.sum', shape.has({ sum: shape.whole, leaf: shape.flag }), (m, from) => {
+      if (m.leaf) leaves.set(from, clock.now());
+      heard = clock.now();
+      return m.sum === sum();
+    });
+    rpc.on<{ digest: Digest; leaf: boolean }>(
       'beam.digest',
       shape.has({ digest: shape.table(shape.whole), leaf: shape.flag }),
       ({ digest: d, leaf }, from) => {
@@ -177,11 +173,11 @@
     );
     const refresh = async (to: Place, left: Us = T.exchange): Promise<boolean> => {
       try {
-        if (await pipe.ask<boolean>(to, 'beam.sum', { sum: sum(), leaf: o.leaf }, left)) {
+        if (await rpc.ask<boolean>(to, 'beam.sum', { sum: sum(), leaf: o.leaf }, left)) {
           heard = clock.now();
           return true;
         }
-        const r = await pipe.ask<{ news: News[]; digest: Digest }>(
+        const r = await rpc.ask<{ news: News[]; digest: Digest }>(
           to,
           'beam.digest',
           { digest: digest(), leaf: o.leaf },
@@ -191,7 +187,7 @@
         c.pulled += r.news.length;
         take(r.news.filter(isNews), to, true);
         const lacks = newerThan(r.digest);
-        if (lacks.length) pipe.tell(to, 'beam.news', lacks);
+        if (lacks.length) rpc.tell(to, 'beam.news', lacks);
         return true;
       } catch {
         return false;
@@ -210,7 +206,7 @@
       const up = o.leaf ? o.attachTo() : undefined;
       if (up && (await refresh(up))) return;
       const p = pick();
-      if (p && p !== pipe.at) await refresh(p);
+      if (p && p !== rpc.at) await refresh(p);
     });
     return {
       put: (name, mark, value) => take([{ name, mark, value }], undefined, true),
--- a/packages/durable-files/src/batches.ts
+++ b/packages/durable-files/src/batches.ts
@@ -3,7 +3,7 @@
 // ones.
 import { fault } from '@thornsail/runtime';
 import { format, type BaseHead, type Extent, type Kind, type Line } from './format.js';
-import type { Logbook } from './index.js';
+import type { DurableStore } from './index.js';
 import { merge, type Limits } from './merge.js';
 import { reserve } from './reserve.js';
 
@@ -48,9 +48,9 @@
 
 export const batches = {
   /** `prefix` names the documents of the former form. */
-  open: <T>(o: { book: Logbook; index: Index<T>; prefix: string; limits?: Partial<Limits> }): Batches<T> => {
-    const { book, index } = o;
-    const { disk } = book;
+  open: <T>(o: { durable: DurableStore; index: Index<T>; prefix: string; limits?: Partial<Limits> }): Batches<T> => {
+    const { durable, index } = o;
+    const { disk } = durable;
     const limits = merge.checked(o.limits);
     const reserved = reserve.open(disk, limits.reservedFiles);
     const c = { batches: 0, records: 0, merges: 0 };
@@ -211,7 +211,7 @@
       try {
         for (let taken = plan(); taken; taken = plan()) await mergeOne(taken);
       } catch (e) {
-        // Without room it is tried again later; a disk that failed has stopped the book.
+        // Without room it is tried again later; a disk that failed has stopped the durable store.
         mergeFrom = fault.info(e).code === 'full' ? next + (limits.batchFiles >> 2) : Infinity;
       }
       merging = false;
@@ -240,8 +240,8 @@
       before.clear();
     };
     const dropFormer = async (): Promise<void> => {
-      const old = book.names().filter((name) => name.startsWith(o.prefix));
-      if (old.length > 0) await book.remove(old).catch(() => undefined);
+      const old = durable.names().filter((name) => name.startsWith(o.prefix));
+      if (old.length > 0) await durable.remove(old).catch(() => undefined);
     };
 
     const readLines = async (kind: Kind, n: number): Promise<string[] | undefined> =>
@@ -301,7 +301,7 @@
       const all = await disk.list();
       const head = await loadBases(all);
       if (!head || !(await loadBatches(all, head.upTo))) {
-        book.sawDamage();
+        durable.sawDamage();
         return false;
       }
       for (const kind of ['b', 'base'] as const) files[kind].sort((x, y) => x.n - y.n);
--- a/packages/durable-files/src/index.ts
+++ b/packages/durable-files/src/index.ts
@@ -1,11 +1,11 @@
-// logbook: documents kept on disk, one file for each version, with a checksum by which a torn file shows (§6.1).
+// durable store: documents kept on disk, one file for each version, with a checksum by which a torn file shows (§6.1).
 import { fault, hash, lock, type Disk } from '@thornsail/runtime';
 
 export { batches, type Batches, type Index, type Slot } from './batches.js';
 export { merge, usualLimits, type Limits } from './merge.js';
 export type { Extent } from './format.js';
 
-export type Logbook = {
+export type DurableStore = {
   /** The newest sound version of a document. */
   read: <T>(name: string) => Promise<{ mark: number; value: T } | undefined>;
   /** Resolves once synced. Older versions are dropped only afterwards. */
@@ -39,36 +39,36 @@
 
 const filesAtOnce = 64;
 
-export const logbook = {
+export const durableStore = {
   /**
    * Reads every document once, giving each to `see`, and then `more`, which says whether the rest of the folder is
    * sound; a damaged folder is emptied, and false returned (§6.1).
    */
   sound: async (
-    book: Logbook,
+    durable: DurableStore,
     log: (text: string) => void,
     see: (name: string, doc: { mark: number; value: unknown }) => void = () => undefined,
     more: () => Promise<boolean> = async () => true,
   ): Promise<boolean> => {
-    const left = book.names();
+    const left = durable.names();
     const half = left.includes(wiping);
     const work = async (): Promise<void> => {
       for (let name = left.pop(); name !== undefined; name = left.pop()) {
-        const d = await book.read(name);
+        const d = await durable.read(name);
         if (d) see(name, d);
       }
     };
     if (!half) await Promise.all(Array.from({ length: filesAtOnce }, work));
-    if (!half && book.counts().torn === 0 && (await more())) return true;
+    if (!half && durable.counts().torn === 0 && (await more())) return true;
     log('the data folder is damaged: it is emptied, and this is a new identity.');
-    await book.wipe();
+    await durable.wipe();
     return false;
   },
   /**
    * `onFailed` hears of the first write that failed for any reason but want of room. From then on nothing is written:
    * what the disk holds is not known, and a second try that seems to work would prove nothing (§6.1).
    */
-  open: async (folder: Disk, onFailed: (e: Error) => void = () => undefined): Promise<Logbook> => {
+  open: async (folder: Disk, onFailed: (e: Error) => void = () => undefined): Promise<DurableStore> => {
     const have = new Map<string, number[]>();
     const c = { syncs: 0, torn: 0 };
     const all = await folder.list();
@@ -103,7 +103,7 @@
       reserve: (names) => guarded(() => folder.reserve(names)),
       fill: (name, text) => guarded(() => folder.fill(name, text)),
     };
-    const write: Logbook['write'] = (name, mark, value) =>
+    const write: DurableStore['write'] = (name, mark, value) =>
       keyed(name, async () => {
         await disk.put(file(name, mark), seal(JSON.stringify(value)));
         const old = (have.get(name) ?? []).filter((m) => m !== mark);
--- a/packages/durable-files/test/batches.test.ts
+++ b/packages/durable-files/test/batches.test.ts
@@ -5,19 +5,25 @@
 import { fault, us } from '@thornsail/runtime';
 import {
   batches,
-  logbook,
+  durableStore,
   merge,
   usualLimits,
   type Batches,
   type Extent,
   type Index,
   type Limits,
-  type Logbook,
+  type DurableStore,
   type Slot,
 } from '@thornsail/durable-files';
 
 type Value = { n: number; pad: string };
-type Open = { book: Logbook; records: Batches<Value>; at: Map<string, Slot<Value>>; sound: boolean; stopped: Error[] };
+type Open = {
+  durable: DurableStore;
+  records: Batches<Value>;
+  at: Map<string, Slot<Value>>;
+  sound: boolean;
+  stopped: Error[];
+};
 const stage = (seed: number, o: { diskTime?: number } = {}): { w: World; h: Host } => {
   const w = world.open({ seed, zoneDelay: 1, clientDelay: 1, clientIp: 'x', diskTime: o.diskTime ?? us.ms(2) });
   const h = w.host('127.0.0.1', 'z1');
@@ -25,7 +31,7 @@
 };
 const open = async (w: World, h: Host, limits: Partial<Limits> = {}): Promise<Open> => {
   const stopped: Error[] = [];
-  const book = await logbook.open(w.lens(h).disk, (e) => stopped.push(e));
+  const durable = await durableStore.open(w.runtime(h).disk, (e) => stopped.push(e));
   const at = new Map<string, Slot<Value>>();
   const index: Index<Value> = {
     get: (k) => at.get(k),
@@ -33,9 +39,9 @@
     drop: (k) => void at.delete(k),
     clear: () => at.clear(),
   };
-  const records = batches.open<Value>({ book, index, prefix: 'reg:', limits });
-  const sound = await logbook.sound(
-    book,
+  const records = batches.open<Value>({ durable, index, prefix: 'reg:', limits });
+  const sound = await durableStore.sound(
+    durable,
     () => undefined,
     (name, d) => {
       if (name.startsWith('reg:')) records.former(name.slice(4), d.value as Value);
@@ -43,7 +49,7 @@
     records.load,
   );
   if (!sound) records.clear();
-  return { book, records, at, sound, stopped };
+  return { durable, records, at, sound, stopped };
 };
 const until = async <T>(w: World, work: Promise<T>, limit = us.s(60)): Promise<T> => {
   const got: { v?: T; e?: unknown; over: boolean } = { over: false };
@@ -196,7 +202,7 @@
     const o = await until(w, open(w, h));
     assert.not.ok(o.sound, how);
     assert.is(o.at.size, 0);
-    assert.is(o.book.counts().torn, 1);
+    assert.is(o.durable.counts().torn, 1);
     assert.equal([...h.files.keys()], []);
     await until(w, o.records.write('new', value(1)));
     const again = await until(w, open(w, h));
@@ -208,7 +214,7 @@
   for (let seed = 1; seed <= 60; seed++) {
     const { w, h } = await filled(seed, 12);
     const o = await until(w, open(w, h));
-    await until(w, o.book.write('identity', 1, { id: 'old' }));
+    await until(w, o.durable.write('identity', 1, { id: 'old' }));
     w.kill(h, 'power');
     w.start(h);
     h.files.set(batchFiles(h)[4]!, 'damaged');
@@ -219,7 +225,7 @@
     w.start(h);
     const left = h.files.size;
     const again = await until(w, open(w, h));
-    const identity = (await until(w, again.book.read<{ id: string }>('identity')))?.value.id;
+    const identity = (await until(w, again.durable.read<{ id: string }>('identity')))?.value.id;
     if (left > 0 && left < before) halves += 1;
     assert.ok(identity === undefined && again.at.size === 0, `seed ${seed}: ${left} files were left`);
   }
@@ -253,7 +259,7 @@
     assert.equal(codes, ['failed', 'failed']);
     h.disk.fail.sync = 0;
     assert.is(await until(w, codeOf(o.records.write('c', value(3)))), 'failed');
-    assert.is(await until(w, codeOf(o.book.write('doc', 1, {}))), 'failed');
+    assert.is(await until(w, codeOf(o.durable.write('doc', 1, {}))), 'failed');
     assert.is(o.stopped.length, 1);
     assert.is(o.at.get('a')?.value.n, 1);
     w.kill(h, 'process');
@@ -277,7 +283,7 @@
 test('a folder of the former form is read and moved into base files; an end at any moment loses nothing', async () => {
   for (let seed = 1; seed <= 30; seed++) {
     const { w, h } = stage(seed);
-    const old = await until(w, logbook.open(w.lens(h).disk));
+    const old = await until(w, durableStore.open(w.runtime(h).disk));
     const big = 'y'.repeat(30_000);
     await until(w, Promise.all(Array.from({ length: 60 }, (_, i) => old.write(`reg:k/${i}`, 3, { n: i, pad: big }))));
     const name = 'reg%3Ak%2F7.000000000003';
@@ -378,7 +384,7 @@
     );
   }
 });
-test('a merge on a full disk is left for later; one whose rename fails stops the book', async () => {
+test('a merge on a full disk is left for later; one whose rename fails stops the durable store', async () => {
   const { w, h } = stage(8);
   const o = await until(w, open(w, h, tight));
   for (let i = 0; i < 3; i++) await until(w, o.records.write(`k${i}`, value(i)));
--- a/packages/durable-files/test/growth.test.ts
+++ b/packages/durable-files/test/growth.test.ts
@@ -4,17 +4,17 @@
 import { us, type Us } from '@thornsail/runtime';
 import {
   batches,
-  logbook,
+  durableStore,
   usualLimits,
   type Batches,
   type Index,
-  type Logbook,
+  type DurableStore,
   type Slot,
 } from '@thornsail/durable-files';
 import { world, type Host, type World } from '@thornsail/simulation';
 
 type Value = { n: number; pad: string };
-type Open = { book: Logbook; records: Batches<Value>; at: Map<string, Slot<Value>>; took: Us };
+type Open = { durable: DurableStore; records: Batches<Value>; at: Map<string, Slot<Value>>; took: Us };
 const pad = 'v'.repeat(300);
 const stage = (): { w: World; h: Host } => {
   const w = world.open({ seed: 1, zoneDelay: 1, clientDelay: 1, clientIp: 'x', diskTime: us.ms(2) });
@@ -30,10 +30,10 @@
   };
   const begun = w.now();
   const got: { open?: Open } = {};
-  void logbook.open(w.lens(h).disk).then(async (book) => {
-    const records = batches.open<Value>({ book, index, prefix: 'reg:' });
-    assert.ok(await logbook.sound(book, () => undefined, undefined, records.load));
-    got.open = { book, records, at, took: w.now() - begun };
+  void durableStore.open(w.runtime(h).disk).then(async (durable) => {
+    const records = batches.open<Value>({ durable, index, prefix: 'reg:' });
+    assert.ok(await durableStore.sound(durable, () => undefined, undefined, records.load));
+    got.open = { durable, records, at, took: w.now() - begun };
   });
   while (!got.open) await w.run(w.now() + 100);
   return got.open;
@@ -78,7 +78,7 @@
   for (let part = 0; part < 4; part++) {
     for (let i = 1; i <= 500; i++) {
       let isDone = false;
-      void o.book.write('state', part * 500 + i, { pad: pad.repeat(30) }).then(() => (isDone = true));
+      void o.durable.write('state', part * 500 + i, { pad: pad.repeat(30) }).then(() => (isDone = true));
       while (!isDone) await w.run(w.now() + 200);
     }
     const r = await sizeAfterRestart(w, h);
--- a/packages/durable-files/test/power-loss.test.ts
+++ b/packages/durable-files/test/power-loss.test.ts
@@ -6,11 +6,11 @@
 import { simulatedDisk, world, type DiskState, type Host, type World } from '@thornsail/simulation';
 import {
   batches,
-  logbook,
+  durableStore,
   type Batches,
   type Index,
   type Limits,
-  type Logbook,
+  type DurableStore,
   type Slot,
 } from '@thornsail/durable-files';
 
@@ -33,7 +33,7 @@
 type Node = {
   world: World;
   host: Host;
-  book?: Logbook;
+  durable?: DurableStore;
   records?: Batches<number>;
   at: Map<string, Slot<number>>;
   sound?: boolean;
@@ -61,18 +61,18 @@
     drop: (key) => void at.delete(key),
     clear: () => at.clear(),
   };
-  const book = await logbook.open(node.world.lens(node.host).disk);
-  const records = batches.open<number>({ book, index, prefix: 'reg:', limits });
+  const durable = await durableStore.open(node.world.runtime(node.host).disk);
+  const records = batches.open<number>({ durable, index, prefix: 'reg:', limits });
   const see = (name: string, document: { value: unknown }): void => {
     if (name.startsWith('reg:')) records.former(name.slice(4), document.value as number);
   };
-  const sound = await logbook.sound(book, () => undefined, see, records.load);
+  const sound = await durableStore.sound(durable, () => undefined, see, records.load);
   if (!sound) records.clear();
-  Object.assign(node, { book, records, sound });
+  Object.assign(node, { durable, records, sound });
 };
 const found = async (node: Node, key: string): Promise<number> => {
   if (!key.startsWith('document ')) return node.at.get(key)?.value ?? 0;
-  return (await node.book!.read<number>(key.slice('document '.length)))?.value ?? 0;
+  return (await node.durable!.read<number>(key.slice('document '.length)))?.value ?? 0;
 };
 
 let version = 0;
@@ -87,8 +87,8 @@
   allowed.set(name, [...(allowed.get(name) ?? [0]), value]);
   if (action.kind === 'write') await node.records!.write(action.key, value);
   else if (action.kind === 'remove') await node.records!.remove(action.key);
-  else if (action.kind === 'put document') await node.book!.write(action.key, value, value);
-  else await node.book!.remove([action.key]);
+  else if (action.kind === 'put document') await node.durable!.write(action.key, value, value);
+  else await node.durable!.remove([action.key]);
   allowed.set(name, [value]);
 };
 
--- a/packages/failure-detector/src/index.ts
+++ b/packages/failure-detector/src/index.ts
@@ -1,12 +1,12 @@
-// lookout: each node sends heartbeats to the few watchers that its place on a ring names (§3.2).
+// failure detector: each node sends heartbeats to the few watchers that its place on a ring names (§3.2).
 // A watcher only suspects; the core rules, and only when two agree.
-import { hash, time, us, type Lens, type Place, type Us } from '@thornsail/runtime';
-import { shape, type Pipe } from '@thornsail/rpc';
+import { hash, time, us, type Runtime, type Place, type Us } from '@thornsail/runtime';
+import { shape, type Rpc } from '@thornsail/rpc';
 
 export type Sibling = { id: string; place: Place; inc: number };
-export type Lookout = { suspects: () => Sibling[]; watched: () => string[]; close: () => void };
-export type LookoutTimes = { beat: Us; silent: Us; watchers: number };
-const times: LookoutTimes = { beat: us.ms(200), silent: us.ms(1000), watchers: 3 };
+export type FailureDetector = { suspects: () => Sibling[]; watched: () => string[]; close: () => void };
+export type FailureDetectorTiming = { beat: Us; silent: Us; watchers: number };
+const times: FailureDetectorTiming = { beat: us.ms(200), silent: us.ms(1000), watchers: 3 };
 
 const after = <T extends { id: string }>(r: T[], id: string, n: number): T[] => {
   const i = r.findIndex((x) => x.id === id);
@@ -22,22 +22,22 @@
   watched: <T extends { id: string }>(all: T[], id: string, n: number): T[] => after(ring.sorted(all).reverse(), id, n),
 };
 
-export const lookout = {
+export const failureDetector = {
   open: (o: {
-    lens: Lens;
-    pipe: Pipe;
+    runtime: Runtime;
+    rpc: Rpc;
     self: () => Sibling;
     roster: () => Sibling[];
     report: (s: Sibling[]) => void;
-    times?: Partial<LookoutTimes>;
-  }): Lookout => {
-    const { lens, pipe } = o;
-    const { clock } = lens;
+    times?: Partial<FailureDetectorTiming>;
+  }): FailureDetector => {
+    const { runtime, rpc } = o;
+    const { clock } = runtime;
     const T = { ...times, ...o.times };
     const heard = new Map<string, { inc: number; at: Us }>();
     let lastRound = clock.now();
     let suspects: Sibling[] = [];
-    pipe.on<{ id: string; inc: number }>('beat', shape.has({ id: shape.text, inc: shape.whole }), ({ id, inc }) => {
+    rpc.on<{ id: string; inc: number }>('beat', shape.has({ id: shape.text, inc: shape.whole }), ({ id, inc }) => {
       const h = heard.get(id);
       if (!h || inc >= h.inc) heard.set(id, { inc, at: clock.now() });
     });
@@ -56,7 +56,7 @@
       const now = clock.now();
       const self = o.self();
       const { watchers, watched: mine } = around();
-      pipe.tellAll(
+      rpc.tellAll(
         watchers.map((w) => w.place),
         'beat',
         { id: self.id, inc: self.inc },
--- a/packages/leases/src/index.ts
+++ b/packages/leases/src/index.ts
@@ -1,25 +1,25 @@
 // watch: a duty is won by a round of ballots each time that it falls vacant (§3.6).
 // A majority of voters grants it for a while under a mark; the holder stops by its own clock before the
 // grant can run out, and whoever it orders refuses an older mark.
-import { time, us, type Lens, type Place, type Us } from '@thornsail/runtime';
-import { shape, type Pipe } from '@thornsail/rpc';
+import { time, us, type Runtime, type Place, type Us } from '@thornsail/runtime';
+import { shape, type Rpc } from '@thornsail/rpc';
 
 type Grant = { by: string; mark: number; until: Us };
 type BallotResult = { ok: boolean; mark: number; by: string | null; left: Us };
 export type Duty = { holds: () => boolean; mark: () => number; vacancies: () => Us[]; close: () => void };
 
 export const watch = {
-  voter: (o: { lens: Lens; pipe: Pipe; term?: Us }): { grants: () => Record<string, Grant> } => {
-    const { lens, pipe } = o;
+  voter: (o: { runtime: Runtime; rpc: Rpc; term?: Us }): { grants: () => Record<string, Grant> } => {
+    const { runtime, rpc } = o;
     const term = o.term ?? us.s(3);
     const grants = new Map<string, Grant>();
     // A voter that has just started may have forgotten a grant: it abstains for one term.
-    const abstain = lens.clock.now() + term;
-    pipe.on<{ duty: string; by: string; mark: number }>(
+    const abstain = runtime.clock.now() + term;
+    rpc.on<{ duty: string; by: string; mark: number }>(
       'watch.ballot',
       shape.has({ duty: shape.text, by: shape.text, mark: shape.whole }),
       ({ duty, by, mark }): BallotResult => {
-        const now = lens.clock.now();
+        const now = runtime.clock.now();
         const g = grants.get(duty);
         const held = g !== undefined && g.until > now;
         if (now < abstain) return { ok: false, mark: g?.mark ?? 0, by: null, left: abstain - now };
@@ -31,28 +31,28 @@
       },
     );
     // One that comes late is about an earlier grant. A holder of the release before says no mark.
-    pipe.on<{ duty: string; by: string; mark?: number }>(
+    rpc.on<{ duty: string; by: string; mark?: number }>(
       'watch.leave',
       shape.has({ duty: shape.text, by: shape.text, mark: shape.maybe(shape.whole) }),
       ({ duty, by, mark: left }) => {
         const grant = grants.get(duty);
-        if (grant?.by === by && (left ?? grant.mark) >= grant.mark) grant.until = lens.clock.now();
+        if (grant?.by === by && (left ?? grant.mark) >= grant.mark) grant.until = runtime.clock.now();
       },
     );
     return { grants: () => Object.fromEntries(grants) };
   },
   duty: (o: {
-    lens: Lens;
-    pipe: Pipe;
+    runtime: Runtime;
+    rpc: Rpc;
     name: string;
     by: string;
     voters: () => Place[];
     term?: Us;
     onWon?: (mark: number) => void;
   }): Duty => {
-    const { lens, pipe } = o;
-    const { clock, rand } = lens;
-    const log = lens.log('watch');
+    const { runtime, rpc } = o;
+    const { clock, rand } = runtime;
+    const log = runtime.log('watch');
     const term = o.term ?? us.s(3);
     let until = 0;
     let mark = 0;
@@ -69,7 +69,7 @@
       if (voters.length === 0) return;
       const got = await Promise.all(
         voters.map((p) =>
-          pipe
+          rpc
             .ask<BallotResult>(p, 'watch.ballot', { duty: o.name, by: o.by, mark: ask }, us.ms(400))
             .catch(() => undefined),
         ),
@@ -88,7 +88,7 @@
       }
       if (yes > 0 && !held)
         for (const [i, r] of got.entries())
-          if (r?.ok) pipe.tell(voters[i]!, 'watch.leave', { duty: o.name, by: o.by, mark: ask });
+          if (r?.ok) rpc.tell(voters[i]!, 'watch.leave', { duty: o.name, by: o.by, mark: ask });
       const other = got.find((r) => r && r.by !== null && r.by !== o.by);
       if (other) vacantSince = clock.now() + other.left;
       // Looked at again well before the grant can run out: its holder may leave earlier.
@@ -102,7 +102,7 @@
       close: () => {
         stop();
         if (until > clock.now())
-          for (const p of o.voters()) pipe.tell(p, 'watch.leave', { duty: o.name, by: o.by, mark });
+          for (const p of o.voters()) rpc.tell(p, 'watch.leave', { duty: o.name, by: o.by, mark });
       },
     };
   },
--- a/packages/leases/test/late.test.ts
+++ b/packages/leases/test/late.test.ts
@@ -1,8 +1,8 @@
 // A message about an earlier grant that arrives late changes nothing of the one that holds now (§3.6).
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { us, type Lens } from '@thornsail/runtime';
-import type { Pipe } from '@thornsail/rpc';
+import { us, type Runtime } from '@thornsail/runtime';
+import type { Rpc } from '@thornsail/rpc';
 import { watch } from '../src/index.js';
 
 type Ballot = { duty: string; by: string; mark: number };
@@ -10,9 +10,9 @@
 const voter = (): { ballot: (b: Ballot) => boolean; leave: (body: unknown) => void; pass: (t: number) => void } => {
   let now = 0;
   const handlers = new Map<string, Handler>();
-  const pipe = { on: (kind: string, _shape: unknown, fn: Handler) => void handlers.set(kind, fn) };
-  const lens = { clock: { now: () => now } };
-  watch.voter({ lens: lens as unknown as Lens, pipe: pipe as unknown as Pipe, term: us.s(3) });
+  const rpc = { on: (kind: string, _shape: unknown, fn: Handler) => void handlers.set(kind, fn) };
+  const runtime = { clock: { now: () => now } };
+  watch.voter({ runtime: runtime as unknown as Runtime, rpc: rpc as unknown as Rpc, term: us.s(3) });
   now = us.s(4);
   return {
     ballot: (b) => (handlers.get('watch.ballot')!(b) as { ok: boolean }).ok,
--- a/packages/load-balancer/src/index.ts
+++ b/packages/load-balancer/src/index.ts
@@ -1,4 +1,4 @@
-// berth: the workers (§5.2). Which of them may take a turn of a class now, and which one does.
+// load balancer: the workers (§5.2). Which of them may take a turn of a class now, and which one does.
 import { serviceOf, type Config } from '@thornsail/config-schema';
 import { invariant, us, type Place, type Us } from '@thornsail/runtime';
 import { fair } from './fair.js';
@@ -66,7 +66,7 @@
 };
 /** How old an edge's news of its siblings' turns may be. */
 export const newsLag = us.ms(250);
-export type Berths = {
+export type LoadBalancer = {
   workers: (list: WorkerEntry[]) => void;
   config: (c: Config) => void;
   siblings: (l: { id: string; load: Load }[]) => void;
@@ -90,9 +90,9 @@
   bad: (worker: string, until: Us) => void;
 };
 
-export const berth = {
+export const loadBalancer = {
   /** `turn` counts up in step at all edges, as far as their clocks agree: it says whose slots come first. */
-  open: (now: () => Us, me = '', turn: () => number = () => 0): Berths => {
+  open: (now: () => Us, me = '', turn: () => number = () => 0): LoadBalancer => {
     let config: Config | undefined;
     const all = new Map<string, WorkerEntry>();
     let places = new Map<string, number>();
--- a/packages/load-balancer/test/berth.test.ts
+++ b/packages/load-balancer/test/load-balancer.test.ts
@@ -1,19 +1,19 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { berth, formats } from '@thornsail/load-balancer';
-import { chart, type Config } from '@thornsail/config-schema';
+import { loadBalancer, formats } from '@thornsail/load-balancer';
+import { configSchema, type Config } from '@thornsail/config-schema';
 import { seeded } from '@thornsail/runtime';
 
 const config = (): Config => {
-  const c = chart.check({
+  const c = configSchema.check({
     classes: { chat: { kind: 'model', weight: 3 }, alarm: { kind: 'model', weight: 1, urgent: true, reserve: 0.25 } },
     slots: { model: 4, app: 1 },
   });
   assert.ok(c.ok);
   return c.value;
 };
-const open = (): ReturnType<typeof berth.open> => {
-  const b = berth.open(() => 0);
+const open = (): ReturnType<typeof loadBalancer.open> => {
+  const b = loadBalancer.open(() => 0);
   b.config(config());
   b.workers([
     { id: 'a', at: '1.1.1.1:1', kind: 'model', leaving: false },
@@ -21,7 +21,7 @@
   ]);
   return b;
 };
-const fill = (b: ReturnType<typeof berth.open>, cls: string): number => {
+const fill = (b: ReturnType<typeof loadBalancer.open>, cls: string): number => {
   let n = 0;
   for (let w = b.pick(cls, {}); w; w = b.pick(cls, {})) {
     b.take(w.id, cls);
@@ -72,12 +72,12 @@
 });
 test('edges that see the same free slots do not fill them more than once; idle parts go to one that waits', () => {
   const t = { now: 0 };
-  const c = chart.check({ classes: { chat: { kind: 'model', weight: 1 } }, slots: { model: 8, app: 1 } });
+  const c = configSchema.check({ classes: { chat: { kind: 'model', weight: 1 } }, slots: { model: 8, app: 1 } });
   assert.ok(c.ok);
   const names = ['e1', 'e2', 'e3', 'e4', 'e5', 'e6', 'e7'];
   const workers = ['a', 'b', 'c'].map((id, i) => ({ id, at: `1.1.1.${i}:1`, kind: 'model' as const, leaving: false }));
   const all = names.map((me) => {
-    const b = berth.open(() => t.now, me);
+    const b = loadBalancer.open(() => t.now, me);
     b.config(c.value);
     b.workers(workers);
     b.siblings(names.filter((n) => n !== me).map((id) => ({ id, load: { running: {}, waiting: {} } })));
@@ -91,7 +91,7 @@
     }
   assert.equal([...took.values()], [8, 8, 8]);
   // One edge alone gets all, once it has waited for longer than its siblings would have kept silent.
-  const one = berth.open(() => t.now, 'e1');
+  const one = loadBalancer.open(() => t.now, 'e1');
   one.config(c.value);
   one.workers(workers);
   one.siblings(names.slice(1).map((id) => ({ id, load: { running: {}, waiting: {} } })));
@@ -105,7 +105,7 @@
   );
 });
 test('with a least part no edge waits for how free slots are dealt, and equal workers are taken in turn', () => {
-  const c = chart.check({
+  const c = configSchema.check({
     classes: { call: { kind: 'app', weight: 1 } },
     slots: { model: 1, app: 6 },
     limits: { leastPart: 2 },
@@ -113,8 +113,8 @@
   assert.ok(c.ok);
   const names = ['e1', 'e2', 'e3', 'e4', 'e5', 'e6', 'e7', 'e8'];
   const workers = ['a', 'b', 'c'].map((id, i) => ({ id, at: `1.1.1.${i}:1`, kind: 'app' as const, leaving: false }));
-  const opened = (me: string): ReturnType<typeof berth.open> => {
-    const b = berth.open(() => 0, me);
+  const opened = (me: string): ReturnType<typeof loadBalancer.open> => {
+    const b = loadBalancer.open(() => 0, me);
     b.config(c.value);
     b.workers(workers);
     b.siblings(names.filter((n) => n !== me).map((id) => ({ id, load: { running: {}, waiting: {} } })));
@@ -131,11 +131,11 @@
 });
 test('a turn goes back to the worker that has its context while that has a free slot, dealt here or not', () => {
   const t = { now: 0 };
-  const c = chart.check({ classes: { chat: { kind: 'model', weight: 1 } }, slots: { model: 8, app: 1 } });
+  const c = configSchema.check({ classes: { chat: { kind: 'model', weight: 1 } }, slots: { model: 8, app: 1 } });
   assert.ok(c.ok);
   const names = ['e1', 'e2', 'e3', 'e4', 'e5', 'e6', 'e7'];
   for (const me of names) {
-    const b = berth.open(() => t.now, me);
+    const b = loadBalancer.open(() => t.now, me);
     b.config(c.value);
     b.workers(['a', 'b', 'c'].map((id, i) => ({ id, at: `1.1.1.${i}:1`, kind: 'model' as const, leaving: false })));
     const others = names.filter((n) => n !== me);
--- a/packages/membership/src/index.ts
+++ b/packages/membership/src/index.ts
@@ -1,9 +1,9 @@
-// mooring: what every node does to be one of the fleet (§3.2): find the siblings from any live seed,
+// membership: what every node does to be one of the fleet (§3.2): find the siblings from any live seed,
 // join the roster, refute a wrong death, hold the newest agreed state, and notice its own freezes.
-import { beam, type Beam, type News } from '@thornsail/dissemination';
-import { place, time, us, type Lens, type Place, type Us } from '@thornsail/runtime';
-import { lookout, type Lookout } from '@thornsail/failure-detector';
-import { shape, type Pipe } from '@thornsail/rpc';
+import { dissemination, type Dissemination, type News } from '@thornsail/dissemination';
+import { place, time, us, type Runtime, type Place, type Us } from '@thornsail/runtime';
+import { failureDetector, type FailureDetector } from '@thornsail/failure-detector';
+import { shape, type Rpc } from '@thornsail/rpc';
 import {
   coreClient,
   order,
@@ -16,11 +16,11 @@
 
 type Hello = { place: Place; role: NodeRole };
 type HelloResult = { known: Hello[]; order: Marked<Ordered> | null };
-export type Mooring = {
+export type Membership = {
   id: string;
-  beam: Beam;
+  dissemination: Dissemination;
   core: CoreClient;
-  lookout: Lookout;
+  failureDetector: FailureDetector;
   state: () => Ordered | undefined;
   mark: () => number;
   marked: () => Marked<Ordered> | undefined;
@@ -40,7 +40,7 @@
   close: () => void;
 };
 
-const isRole = shape.one('tower', 'keeper', 'pilot', 'front', '');
+const isRole = shape.one('coordinator', 'store', 'agent', 'gateway', '');
 const isHello = shape.has({ place: place.ok, role: isRole });
 const isWorkers = shape.has({
   list: shape.list(shape.has({ id: shape.text, at: place.ok, kind: shape.one('model', 'app'), leaving: shape.flag })),
@@ -65,10 +65,10 @@
 
 const freezeLimit = us.ms(700);
 
-export const mooring = {
+export const membership = {
   open: (o: {
-    lens: Lens;
-    pipe: Pipe;
+    runtime: Runtime;
+    rpc: Rpc;
     id: string;
     name: string;
     role: NodeRole;
@@ -79,13 +79,13 @@
     beside?: Place;
     /** Between two heartbeats; five of them missed are a silence. */
     beat?: Us;
-  }): Mooring => {
-    const { lens, pipe, id, role } = o;
-    const { clock, rand } = lens;
-    const log = lens.log('mooring');
+  }): Membership => {
+    const { runtime, rpc, id, role } = o;
+    const { clock, rand } = runtime;
+    const log = runtime.log('membership');
     const known = new Map<Place, NodeRole | ''>();
-    for (const s of [...o.seeds, ...(o.beside ? [o.beside] : [])]) if (s !== pipe.at) known.set(s, '');
-    for (const t of o.towers ?? []) if (t !== pipe.at) known.set(t, 'tower');
+    for (const s of [...o.seeds, ...(o.beside ? [o.beside] : [])]) if (s !== rpc.at) known.set(s, '');
+    for (const t of o.towers ?? []) if (t !== rpc.at) known.set(t, 'coordinator');
     let inc = 1;
     let leaving = false;
     let closed = false;
@@ -104,7 +104,7 @@
       const s = state();
       if (s === roster.of) return roster;
       const all = s ? order.live(s) : [];
-      return (roster = { of: s, live: all, relays: all.filter((n) => n.role !== 'front') });
+      return (roster = { of: s, live: all, relays: all.filter((n) => n.role !== 'gateway') });
     };
     const live = (): NodeEntry[] => current().live;
     const relays = (): { id: string; place: Place }[] => current().relays;
@@ -116,11 +116,11 @@
       const s = state();
       return i < 0 || !s || s.roster[name.slice(i + 1)]?.standing !== 'dead';
     };
-    const b = beam.open({
-      lens,
-      pipe,
+    const b = dissemination.open({
+      runtime,
+      rpc,
       self: id,
-      leaf: role === 'front',
+      leaf: role === 'gateway',
       relays,
       admits,
       sound: soundNews,
@@ -131,27 +131,27 @@
         const n = live().find((x) => x.place === o.beside);
         return besideBad > clock.now() || (state() && !n) ? undefined : o.beside;
       },
-      others: () => [...known.keys()].filter((p) => p !== pipe.at),
+      others: () => [...known.keys()].filter((p) => p !== rpc.at),
     });
     const core = coreClient.open({
-      lens,
-      pipe,
+      runtime,
+      rpc,
       towers: () => {
         const v = marked();
         const from = v ? v.members.map((m) => m.at) : [];
-        const said = [...known].filter(([, r]) => r === 'tower').map(([p]) => p);
+        const said = [...known].filter(([, r]) => r === 'coordinator').map(([p]) => p);
         return [...new Set([...from, ...said])];
       },
     });
-    const look = lookout.open({
+    const look = failureDetector.open({
       ...(o.beat === undefined ? {} : { times: { beat: o.beat, silent: o.beat * 5 } }),
-      lens,
-      pipe,
-      self: () => ({ id, place: pipe.at, inc }),
+      runtime,
+      rpc,
+      self: () => ({ id, place: rpc.at, inc }),
       roster: live,
       report: (list) => {
         const v = marked();
-        pipe.tellAll(v?.members.map((m) => m.at) ?? [], 'core', {
+        rpc.tellAll(v?.members.map((m) => m.at) ?? [], 'core', {
           op: 'suspect',
           list: list.map((s) => ({ by: id, id: s.id, inc: s.inc })),
         });
@@ -163,16 +163,16 @@
     };
     const remember = (list: Hello[]): void => {
       for (const h of list)
-        if (h.place !== pipe.at && (known.size < 256 || known.has(h.place)))
+        if (h.place !== rpc.at && (known.size < 256 || known.has(h.place)))
           known.set(h.place, h.role || (known.get(h.place) ?? ''));
     };
-    pipe.on<Hello>('hello', isHello, (h): HelloResult => {
+    rpc.on<Hello>('hello', isHello, (h): HelloResult => {
       const list = [...known].map(([p, r]) => ({ place: p, role: r as NodeRole }));
       remember([h]);
-      return { known: [...list, { place: pipe.at, role }], order: marked() ?? null };
+      return { known: [...list, { place: rpc.at, role }], order: marked() ?? null };
     });
     const hello = async (to: Place): Promise<void> => {
-      const r = await pipe.ask<HelloResult>(to, 'hello', { place: pipe.at, role }, us.ms(400));
+      const r = await rpc.ask<HelloResult>(to, 'hello', { place: rpc.at, role }, us.ms(400));
       remember(r.known);
       if (r.order) b.put('order', r.order.seq, r.order);
     };
@@ -195,7 +195,7 @@
         log(`was taken for dead; refutes with incarnation ${inc}.`);
       }
       const r = await core.ask<{ ok: boolean; inc: number }>(
-        { op: 'join', node: { id, name: o.name, role, place: pipe.at, http: o.http, zone: o.zone, inc, leaving } },
+        { op: 'join', node: { id, name: o.name, role, place: rpc.at, http: o.http, zone: o.zone, inc, leaving } },
         us.s(2),
       );
       if (!r.value.ok) inc = Math.max(inc, r.value.inc + 1);
@@ -203,7 +203,7 @@
         for (const p of [...core_places()]) if (await b.refresh(p, us.ms(300))) break;
     };
     const core_places = (): Place[] =>
-      marked()?.members.map((m) => m.at) ?? [...known].filter(([, r]) => r === 'tower').map(([p]) => p);
+      marked()?.members.map((m) => m.at) ?? [...known].filter(([, r]) => r === 'coordinator').map(([p]) => p);
     const stops = [
       time.every(clock, us.ms(100), () => {
         const now = clock.now();
@@ -224,7 +224,8 @@
           const some = all.length > 4 ? Array.from({ length: 4 }, () => all[rand.int(all.length)]!) : all;
           await Promise.all([...new Set(some)].map((p) => hello(p).catch(() => undefined)));
         }
-        if (!inRoster() && (state() || [...known.values()].includes('tower'))) await join().catch(() => undefined);
+        if (!inRoster() && (state() || [...known.values()].includes('coordinator')))
+          await join().catch(() => undefined);
       }),
     ];
     const stale = (): boolean => frozen || clock.now() - lastTick > freezeLimit;
@@ -232,7 +233,7 @@
     const refresh = (left: Us = us.ms(300)): Promise<boolean> =>
       (refreshing ??= (async () => {
         const first = o.beside ? [o.beside] : [];
-        const rest = [...core_places(), ...relays().map((r) => r.place)].filter((p) => p !== pipe.at && p !== o.beside);
+        const rest = [...core_places(), ...relays().map((r) => r.place)].filter((p) => p !== rpc.at && p !== o.beside);
         // One that answers is not enough if it slept too: a core place or two relays.
         const asked = [...first, ...rest.slice(0, 4)];
         const got = await Promise.all(asked.map((p) => b.refresh(p, left)));
@@ -247,9 +248,9 @@
       }));
     return {
       id,
-      beam: b,
+      dissemination: b,
       core,
-      lookout: look,
+      failureDetector: look,
       state,
       marked,
       inRoster,
--- a/packages/query-shell/src/index.ts
+++ b/packages/query-shell/src/index.ts
@@ -1,4 +1,5 @@
-// glass: a small query language over the fleet's state (§7.5). A query is planned first, as data, then run on rows.
+// query shell: a small query language over the fleet's state (§7.5). A query is planned first, as data, then run on
+// rows.
 //   TABLE [where COND [and COND ...]] [show COL, COL ...] [sort COL [down]] [limit N] | TABLE ... count [by COL]
 export type Row = Record<string, unknown>;
 export type Cond = { col: string; op: '=' | '!=' | '<' | '<=' | '>' | '>=' | '~'; value: string };
@@ -37,12 +38,12 @@
     text: 'programs and their budgets',
   },
   loads: {
-    columns: ['front', 'worker', 'class', 'running', 'tokens', 'paused'],
-    text: 'running turns by front, worker and class',
+    columns: ['gateway', 'worker', 'class', 'running', 'tokens', 'paused'],
+    text: 'running turns by gateway, worker and class',
   },
-  marks: { columns: ['name', 'mark'], text: 'marks of the view, the order, the configuration and the keeper group' },
+  marks: { columns: ['name', 'mark'], text: 'marks of the view, the order, the configuration and the store group' },
   duties: { columns: ['name', 'by', 'mark'], text: 'who holds which duty' },
-  registers: { columns: ['key', 'kind', 'ballot', 'copies', 'members', 'until'], text: 'registers on the keepers' },
+  registers: { columns: ['key', 'kind', 'ballot', 'copies', 'members', 'until'], text: 'registers on the stores' },
 };
 
 type Token = { text: string; at: number; quoted: boolean };
@@ -61,7 +62,7 @@
 };
 const ops = ['=', '!=', '<', '<=', '>', '>=', '~'];
 
-export const glass = {
+export const queryShell = {
   parse: (s: string, known: Tables = tables): Parsed => {
     const no = (text: string): Parsed => ({ ok: false, text });
     const all = tokens(s);
@@ -182,19 +183,19 @@
           string,
           { load: { running: Record<string, Record<string, number>> }; tokens: Record<string, number>; paused: number }
         >,
-      ).flatMap(([front, e]): Row[] => {
+      ).flatMap(([gateway, e]): Row[] => {
         const workers = [...new Set([...Object.keys(e.load.running), ...Object.keys(e.tokens)])].sort();
         return workers.flatMap((w): Row[] =>
           e.load.running[w]
             ? Object.entries(e.load.running[w]).map(([cls, n]) => ({
-                front,
+                gateway,
                 worker: w,
                 class: cls,
                 running: n,
                 tokens: e.tokens[w] ?? 0,
                 paused: e.paused,
               }))
-            : [{ front, worker: w, class: null, running: 0, tokens: e.tokens[w] ?? 0, paused: e.paused }],
+            : [{ gateway, worker: w, class: null, running: 0, tokens: e.tokens[w] ?? 0, paused: e.paused }],
         );
       });
     if (Array.isArray(v)) return v as Row[];
--- a/packages/query-shell/test/glass.test.ts
+++ b/packages/query-shell/test/query-shell.test.ts
@@ -1,28 +1,28 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { glass } from '@thornsail/query-shell';
+import { queryShell } from '@thornsail/query-shell';
 
 const ask = (s: string, rows: Record<string, unknown>[]): unknown => {
-  const p = glass.parse(s);
+  const p = queryShell.parse(s);
   if (!p.ok) return p.text;
-  return glass.run(p.query, rows);
+  return queryShell.run(p.query, rows);
 };
 const rows = [
-  { name: 'a', role: 'keeper', zone: 'z1', inc: 2 },
-  { name: 'b', role: 'tower', zone: 'z1', inc: 10 },
-  { name: 'c', role: 'keeper', zone: 'z2', inc: 9 },
+  { name: 'a', role: 'store', zone: 'z1', inc: 2 },
+  { name: 'b', role: 'coordinator', zone: 'z1', inc: 10 },
+  { name: 'c', role: 'store', zone: 'z2', inc: 9 },
 ];
 
 test('queries', () => {
-  assert.equal(ask('nodes where role=keeper and zone != z2 show name', rows), [{ name: 'a' }]);
+  assert.equal(ask('nodes where role=store and zone != z2 show name', rows), [{ name: 'a' }]);
   assert.equal(ask('nodes sort inc down limit 2 show name, inc', rows), [
     { name: 'b', inc: 10 },
     { name: 'c', inc: 9 },
   ]);
   assert.equal(ask('nodes where inc >= 9 count', rows), [{ count: 2 }]);
   assert.equal(ask('nodes count by role', rows), [
-    { role: 'keeper', count: 2 },
-    { role: 'tower', count: 1 },
+    { role: 'store', count: 2 },
+    { role: 'coordinator', count: 1 },
   ]);
   assert.equal(ask('nodes where role ~ eep and name = "c"', rows), [rows[2]]);
   assert.equal(ask('nodes', rows), rows);
--- a/packages/register-store/src/known.ts
+++ b/packages/register-store/src/known.ts
@@ -3,7 +3,7 @@
 import type { Us } from '@thornsail/runtime';
 import type { Ballot, Held } from './messages.js';
 
-/** The wall as the keepers see it: a moved clock on one of them must not age a value (§6.4). */
+/** The wall as the stores see it: a moved clock on one of them must not age a value (§6.4). */
 export type Walls = { min: Us; max: Us };
 export type Known = {
   mark: number;
--- a/packages/register-store/src/members.ts
+++ b/packages/register-store/src/members.ts
@@ -1,7 +1,7 @@
-// Asking the members of the keeper group (§6.2): the same text to all that know the group, the whole group to others,
+// Asking the members of the store group (§6.2): the same text to all that know the group, the whole group to others,
 // and an answer as soon as a majority has given it.
-import { fault, hash, us, type Lens, type Us } from '@thornsail/runtime';
-import type { Pipe } from '@thornsail/rpc';
+import { fault, hash, us, type Runtime, type Us } from '@thornsail/runtime';
+import type { Rpc } from '@thornsail/rpc';
 import type { Walls } from './known.js';
 import { ballot, type Ballot, type Group, type Keep, type Refusal, type Reply } from './messages.js';
 
@@ -62,22 +62,22 @@
 const illFor = us.ms(500);
 /** And after one said that it is being filled. */
 const fillingFor = us.s(2);
-/** For how long a keeper's word on its wall is carried on by this node's own clock. */
+/** For how long a store's word on its wall is carried on by this node's own clock. */
 const wallsFor = us.s(30);
 
 export const members = {
   open: (o: {
-    lens: Lens;
-    pipe: Pipe;
+    runtime: Runtime;
+    rpc: Rpc;
     group: () => Group | undefined;
-    near?: (keeperId: string) => number;
+    near?: (storeId: string) => number;
   }): Members => {
-    const { lens, pipe } = o;
-    const { clock } = lens;
+    const { runtime, rpc } = o;
+    const { clock } = runtime;
     const near = o.near ?? ((): number => 0);
     let ahead: Group | undefined;
     let floor = 0;
-    /** The mark under which a keeper said that it knows the group. */
+    /** The mark under which a store said that it knows the group. */
     const knows = new Map<string, number>();
     const slow = new Map<string, Us>();
     /** Those that did not answer at all, or held up an opening. */
@@ -85,7 +85,7 @@
     const wallOf = new Map<string, { wall: Us; at: Us }>();
 
     const whole = async <T>(g: Group, k: Keep, kind: string, body: object, left: Us): Promise<Reply<T>> => {
-      const r = await pipe.ask<Reply<T>>(k.at, kind, { to: k.id, group: g, ...body }, left);
+      const r = await rpc.ask<Reply<T>>(k.at, kind, { to: k.id, group: g, ...body }, left);
       if (r.ok && r.lean) knows.set(k.id, g.mark);
       return r;
     };
@@ -105,7 +105,7 @@
         else out.push({ from: k, reply: whole<T>(g, k, kind, { ...x.whole, ...b }, left) });
       }
       for (const [b, ks] of same) {
-        const all = pipe.askAll<Reply<T>>(
+        const all = rpc.askAll<Reply<T>>(
           ks.map((k) => k.at),
           kind,
           { group: g.mark, ...b },
@@ -193,7 +193,7 @@
       group: () => {
         const g = o.group();
         const best = ahead && (!g || ahead.mark > g.mark) ? ahead : g;
-        if (!best) throw fault.make({ step: 'register', code: 'no-majority' }, 'no keeper group is known');
+        if (!best) throw fault.make({ step: 'register', code: 'no-majority' }, 'no store group is known');
         return best;
       },
       known: () => ahead !== undefined || o.group() !== undefined,
--- a/packages/register-store/src/messages.ts
+++ b/packages/register-store/src/messages.ts
@@ -1,4 +1,4 @@
-// What proposers, keepers and the sweep say to one another (§6.2, §6.3), and what a keeper holds.
+// What proposers, stores and the sweep say to one another (§6.2, §6.3), and what a store holds.
 import { place, type Place, type Us } from '@thornsail/runtime';
 import { shape } from '@thornsail/rpc';
 
@@ -27,7 +27,7 @@
 export type Keep = { id: string; at: Place };
 export type Group = { mark: number; members: Keep[] };
 
-/** The whole group for a keeper that may not know it, else its mark (§6.2). */
+/** The whole group for a store that may not know it, else its mark (§6.2). */
 export type Base = { to?: string; group: Group | number };
 /** `has`: the asker holds the value of this ballot; `bare`: it wants no value. `lean`: it needs no copy at all. */
 export type PrepareAsk = Base & { key: string; ballot: Ballot; has?: Ballot; bare?: boolean; lean?: boolean };
@@ -51,11 +51,11 @@
 export type Refusal =
   | { ok: false; why: 'ballot'; promised: Ballot }
   | { ok: false; why: 'group'; group: Group }
-  /** `unknown`: this keeper does not know that mark, and needs the whole group. */
+  /** `unknown`: this store does not know that mark, and needs the whole group. */
   | { ok: false; why: 'identity' | 'unknown' }
-  /** This keeper may lack what was opened before it joined (§6.5). */
+  /** This store may lack what was opened before it joined (§6.5). */
   | { ok: false; why: 'filling' };
-/** `lean`: this keeper knows the group now, and its mark is enough. `floor`: see the store's own (§6.4). */
+/** `lean`: this store knows the group now, and its mark is enough. `floor`: see the store's own (§6.4). */
 export type Reply<T> = ({ ok: true; wall: Us; lean?: boolean; floor?: number } & T) | Refusal;
 export type PrepareReply = { copy: Seen };
 export type AcceptReply = { copy?: Copy };
--- a/packages/register-store/src/proposer.ts
+++ b/packages/register-store/src/proposer.ts
@@ -1,6 +1,6 @@
 // What the parts of a proposer share (§6.2): attempts with a growing pause, what a majority says, reads.
-import { fault, hash, time, us, type Lens, type Us } from '@thornsail/runtime';
-import type { Pipe } from '@thornsail/rpc';
+import { fault, hash, time, us, type Runtime, type Us } from '@thornsail/runtime';
+import type { Rpc } from '@thornsail/rpc';
 import { remembered, type Remembered, type Walls } from './known.js';
 import { majority, type Asked, type Good, type Members } from './members.js';
 import {
@@ -28,20 +28,20 @@
   opened: number;
 };
 export type Proposer = {
-  lens: Lens;
-  pipe: Pipe;
+  runtime: Runtime;
+  rpc: Rpc;
   members: Members;
   cache: Remembered;
   /** In every ballot and every op: short, and of no other proposer before or after. */
   me: string;
   c: Counts;
 };
-export const proposer = (o: { lens: Lens; pipe: Pipe; by: string; members: Members }): Proposer => ({
-  lens: o.lens,
-  pipe: o.pipe,
+export const proposer = (o: { runtime: Runtime; rpc: Rpc; by: string; members: Members }): Proposer => ({
+  runtime: o.runtime,
+  rpc: o.rpc,
   members: o.members,
   cache: remembered(),
-  me: hash.of(o.by).toString(36) + o.lens.rand.id().slice(0, 10),
+  me: hash.of(o.by).toString(36) + o.runtime.rand.id().slice(0, 10),
   c: {
     rounds: 0,
     quick: 0,
@@ -66,7 +66,7 @@
   o: { step: string; what: string; end: Us },
   once: (g: Group, round: number, left: Us) => Promise<Attempt<R>>,
 ): Promise<R> => {
-  const { clock, rand } = x.lens;
+  const { clock, rand } = x.runtime;
   for (let round = 0; ; round++) {
     const left = o.end - clock.now();
     if (left <= 0) throw fault.make({ step: o.step, code: 'no-majority' }, `${o.what}: no majority in time`);
@@ -144,7 +144,7 @@
       from,
       reply: reply.then(async (r) => {
         if (!r.ok) return r;
-        // A keeper of the release before knows one key at a time.
+        // A store of the release before knows one key at a time.
         const copies = r.copies ?? [r.copy!, ...(await Promise.all(keys.slice(1).map((key) => one(from, key))))];
         return { ...r, copies };
       }),
--- a/packages/register-store/src/read.ts
+++ b/packages/register-store/src/read.ts
@@ -1,4 +1,4 @@
-// Reads (§6.2): the value comes from the nearest keeper, from the others only its ballot; a majority with the same
+// Reads (§6.2): the value comes from the nearest store, from the others only its ballot; a majority with the same
 // ballot is enough, else the value is settled by a ballot.
 import { us, type Us } from '@thornsail/runtime';
 import { majority, patience, type Good } from './members.js';
@@ -11,7 +11,7 @@
 export const hangsOnExtension = (a: Agreed): boolean =>
   a.held !== null && a.until <= a.walls.min && a.extended > a.walls.min;
 
-/** Brings a copy that a majority has to keepers that answered with an older one. */
+/** Brings a copy that a majority has to stores that answered with an older one. */
 export const mend = (
   x: Proposer,
   g: Group,
@@ -25,7 +25,7 @@
     for (const { from, accepted } of all) {
       if (ballot.cmp(accepted, a.accepted) >= 0) continue;
       x.c.mended += 1;
-      x.pipe.ask(from.at, 'reg.mend', { to: from.id, group: g, ...body }).catch(() => undefined);
+      x.rpc.ask(from.at, 'reg.mend', { to: from.id, group: g, ...body }).catch(() => undefined);
     }
   });
 };
@@ -58,7 +58,7 @@
   x: Proposer,
   settle: (key: string, left: Us) => Promise<unknown>,
 ): ((keys: string[], timeLeft: Us, o?: { once?: boolean }) => Promise<unknown[]>) => {
-  const { clock } = x.lens;
+  const { clock } = x.runtime;
   return async (keys, timeLeft, { once = false } = {}) => {
     x.c.reads += keys.length;
     const end = clock.now() + timeLeft;
@@ -73,7 +73,7 @@
         y.reply.copies[i]!;
     const r = await x.members.gather(
       askCopies(x, g, keys, Math.min(timeLeft, askWithin), { bare: (k) => k !== nearest }),
-      // A keeper that is just syncing a change answers with what was before it: the third one decides.
+      // A store that is just syncing a change answers with what was before it: the third one decides.
       (ok, failed) =>
         (failed.includes(nearest!) || ok.some((y) => y.from === nearest)) &&
         keys.every((_, i) => once || decided(g, agreed(ok, seenOf(i)))),
--- a/packages/register-store/src/registers.ts
+++ b/packages/register-store/src/registers.ts
@@ -1,7 +1,7 @@
 // The proposer's side of registers (§6.2): one ballot for each change, decided by a majority of the group.
-// There is no leader, so losing a keeper leaves no gap.
-import { lock, us, type Lens, type Us } from '@thornsail/runtime';
-import type { Pipe } from '@thornsail/rpc';
+// There is no leader, so losing a store leaves no gap.
+import { lock, us, type Runtime, type Us } from '@thornsail/runtime';
+import type { Rpc } from '@thornsail/rpc';
 import type { Known, Walls } from './known.js';
 import { majority, members } from './members.js';
 import {
@@ -20,18 +20,18 @@
 export type { Walls } from './known.js';
 export { majority } from './members.js';
 export type Write<R> = { held: Omit<Held, 'ops'> | null; result: R } | { keep: true; result: R };
-/** Sees the agreed value, the keepers' walls and until when the value was to be kept (0 if there is none). */
+/** Sees the agreed value, the stores' walls and until when the value was to be kept (0 if there is none). */
 type Fn<R> = (value: unknown, walls: Walls, until: Us) => Write<R>;
 export type Registers = {
   /** Reads the agreed value; throws with code 'no-majority' rather than say it is missing. */
   read: (key: string, timeLeft?: Us) => Promise<unknown>;
-  /** As `read` for several keys, in their order, with one frame to each keeper. */
+  /** As `read` for several keys, in their order, with one frame to each store. */
   /** `once`: these are written once, so any copy's value is the value, and need not be settled (§6.2). */
   readMany: (keys: string[], timeLeft?: Us, o?: { once?: boolean }) => Promise<unknown[]>;
   /**
    * Compare-and-set by function: `fn` sees the agreed value and gives the next. It may be called more than once,
    * but takes effect once: a round whose accepts went to a minority is recognised if its value lives on. `fresh`: there
-   * is likely nothing under this key yet; then one round is enough, if all keepers answer in time (§6.2). `past`:
+   * is likely nothing under this key yet; then one round is enough, if all stores answer in time (§6.2). `past`:
    * other proposers have likely changed it since this one did, and it has seen about so many ballots: what was
    * promised here is not tried, and the first ballot is above them.
    */
@@ -46,7 +46,7 @@
   /** Brings one key onto a majority of the present group under its mark (§6.5). */
   settleKey: (key: string, timeLeft?: Us) => Promise<void>;
   reachable: (timeLeft?: Us) => Promise<boolean>;
-  /** Whether a keeper group is known at all. */
+  /** Whether a store group is known at all. */
   known: () => boolean;
   counts: () => Counts;
 };
@@ -59,17 +59,17 @@
 const untilAll = (h: Held | null, extended: Us): Us => keptUntil(h?.until ?? 0, extended);
 
 export const registers = {
-  /** `near` ranks keepers by id, the lower the nearer: values are read from the nearest. */
+  /** `near` ranks stores by id, the lower the nearer: values are read from the nearest. */
   open: (o: {
-    lens: Lens;
-    pipe: Pipe;
+    runtime: Runtime;
+    rpc: Rpc;
     by: string;
     group: () => Group | undefined;
-    near?: (keeperId: string) => number;
+    near?: (storeId: string) => number;
   }): Registers => {
     const x = proposer({ ...o, members: members.open(o) });
     const { cache, c, me } = x;
-    const { clock } = o.lens;
+    const { clock } = o.runtime;
     const short = lock.keyed();
     let opNo = 0;
 
@@ -259,11 +259,11 @@
         });
       });
 
-    /** By a ballot, for a key of which too few keepers have a value; true if there is none. */
+    /** By a ballot, for a key of which too few stores have a value; true if there is none. */
     const extendByBallot = (key: string, until: Us, left: Us): Promise<boolean> =>
       change<boolean>(
         key,
-        // Written even if one keeper has it extended already: it has to be on a majority.
+        // Written even if one store has it extended already: it has to be on a majority.
         (v, _walls, was) =>
           v === undefined
             ? { keep: true, result: true }
--- a/packages/register-store/src/shelf.ts
+++ b/packages/register-store/src/replica-table.ts
@@ -1,4 +1,4 @@
-// What a keeper holds, by ranges of keys (§6.3): digests that are kept up with each change, and lists that look at one
+// What a store holds, by ranges of keys (§6.3): digests that are kept up with each change, and lists that look at one
 // range, or at what ends at one time, so that nothing walks through a whole day's registers in one go.
 import { hash, us, type Us } from '@thornsail/runtime';
 import type { Index, Slot } from '@thornsail/durable-files';
@@ -8,7 +8,7 @@
 export const ranges = 64;
 export const rangeOf = (key: string): number => hash.of(key) % ranges;
 
-export type Shelf = Index<Copy> & {
+export type ReplicaTable = Index<Copy> & {
   size: () => number;
   digest: (range: number) => number;
   /** Up to `limit` keys, with their ballots, that nothing has needed since `before`; what ended first comes first. */
@@ -57,8 +57,8 @@
   };
 };
 
-export const shelf = {
-  open: (): Shelf => {
+export const replicaTable = {
+  open: (): ReplicaTable => {
     const all = Array.from({ length: ranges }, () => ({
       at: new Map<string, Slot<Copy>>(),
       digest: [0, 0] as Digest,
