--- a/packages/register-store/src/store.ts
+++ b/packages/register-store/src/store.ts
@@ -1,7 +1,7 @@
-// The keeper's side of registers (§6.2): promises and accepted values, each synced before its reply.
-import { fault, invariant, lock, time, us, type Lens, type Us } from '@thornsail/runtime';
-import { batches, logbook, type Index, type Limits, type Logbook, type Slot } from '@thornsail/durable-files';
-import type { Pipe } from '@thornsail/rpc';
+// The store's side of registers (§6.2): promises and accepted values, each synced before its reply.
+import { fault, invariant, lock, time, us, type Runtime, type Us } from '@thornsail/runtime';
+import { batches, durableStore, type Index, type Limits, type DurableStore, type Slot } from '@thornsail/durable-files';
+import type { Rpc } from '@thornsail/rpc';
 import {
   ballot,
   isAsk,
@@ -28,7 +28,7 @@
   type Reply,
   type Seen,
 } from './messages.js';
-import { neededUntil, ranges, shelf, type Shelf } from './shelf.js';
+import { neededUntil, ranges, replicaTable, type ReplicaTable } from './replica-table.js';
 
 export type Store = {
   id: string;
@@ -54,11 +54,11 @@
   };
 };
 
-/** What a keeper waits beyond `until` before it may drop a copy, unless it is told otherwise (§6.4). */
+/** What a store waits beyond `until` before it may drop a copy, unless it is told otherwise (§6.4). */
 export const grace = us.s(600);
 const leastGrace = us.s(10);
 
-/** So many messages may wait for the disk at once; those beyond are refused, as if this keeper were not there (§8). */
+/** So many messages may wait for the disk at once; those beyond are refused, as if this store were not there (§8). */
 const mostWaiting = 2000;
 
 /** Registers were documents of such names before they were kept in batches. */
@@ -70,8 +70,8 @@
 const none: Copy = { promised: ballot.zero, accepted: ballot.zero, held: null, touched: 0 };
 const markOf = (m: Base): number => (typeof m.group === 'number' ? m.group : m.group.mark);
 
-/** The shelf, and beside it the floor: the highest ballot of any copy that was dropped. */
-const withFloor = (copies: Shelf): { index: Index<Copy>; floor: () => number } => {
+/** The replica table, and beside it the floor: the highest ballot of any copy that was dropped. */
+const withFloor = (copies: ReplicaTable): { index: Index<Copy>; floor: () => number } => {
   let slot: Slot<Copy> | undefined;
   return {
     floor: () => slot?.value.promised[0] ?? 0,
@@ -99,27 +99,27 @@
 
 export const store = {
   open: async (o: {
-    lens: Lens;
-    pipe: Pipe;
-    book: Logbook;
+    runtime: Runtime;
+    rpc: Rpc;
+    durable: DurableStore;
     freshId?: string;
     /** How many files, and how large (§6.1). */
     limits?: Partial<Limits>;
     /** How long a copy stays after its end of keeping, 10 s at least (§6.4). */
     grace?: Us;
   }): Promise<Store> => {
-    const { lens, pipe, book } = o;
+    const { runtime, rpc, durable } = o;
     const wait = o.grace ?? grace;
     if (!(Number.isSafeInteger(wait) && wait >= leastGrace))
       throw fault.make({ step: 'store.open', code: 'grace' }, `grace is ${wait} us, it is ${leastGrace} us at least`);
-    const log = lens.log('keeper');
+    const log = runtime.log('store');
     const c = { prepares: 0, accepts: 0, opened: 0, rejected: 0, mended: 0, extended: 0, purged: 0, refused: 0 };
-    const copies = shelf.open();
+    const copies = replicaTable.open();
     const { index, floor } = withFloor(copies);
-    const records = batches.open<Copy>({ book, index, prefix: former, limits: o.limits ?? {} });
+    const records = batches.open<Copy>({ durable, index, prefix: former, limits: o.limits ?? {} });
     // What does not read back, and was acknowledged, shows that the disk is damaged (§6.1).
-    const sound = await logbook.sound(
-      book,
+    const sound = await durableStore.sound(
+      durable,
       log,
       (name, d) => {
         if (name.startsWith(former)) records.former(name.slice(former.length), d.value as Copy);
@@ -127,16 +127,16 @@
       records.load,
     );
     if (!sound) records.clear();
-    const kept = await book.read<{ id: string }>('identity');
-    const id = kept?.value.id ?? o.freshId ?? `keeper-${lens.rand.id()}`;
-    if (!kept) await book.write('identity', 1, { id });
-    let group = (await book.read<Group>('group'))?.value;
+    const kept = await durable.read<{ id: string }>('identity');
+    const id = kept?.value.id ?? o.freshId ?? `store-${runtime.rand.id()}`;
+    if (!kept) await durable.write('identity', 1, { id });
+    let group = (await durable.read<Group>('group'))?.value;
     const short = lock.keyed();
     /** Whether it holds every opening that was decided: it was a founder, or the sweep has said so since (§6.5). */
-    let filled = group !== undefined && (await book.read<{ mark: number }>('filled'))?.value.mark === group.mark;
+    let filled = group !== undefined && (await durable.read<{ mark: number }>('filled'))?.value.mark === group.mark;
     const fill = async (): Promise<void> => {
       const { mark } = group!;
-      await book.write('filled', mark, { mark });
+      await durable.write('filled', mark, { mark });
       filled = group!.mark === mark;
     };
     let emptying = false;
@@ -146,7 +146,7 @@
     const empty = async (): Promise<void> => {
       emptying = true;
       // What was let in before goes to the disk in this turn of the loop; a batch after it shows that it is there.
-      await time.sleep(lens.clock, 0);
+      await time.sleep(runtime.clock, 0);
       do {
         await records.remove(barrierKey);
         const keys = Array.from({ length: ranges }, (_, r) => copies.keys(r, '', Infinity)).flat();
@@ -165,19 +165,19 @@
           return;
         }
         if (wasOut(g)) {
-          if (copies.size() > 0) log('this keeper was out of the group: it begins empty.');
+          if (copies.size() > 0) log('this store was out of the group: it begins empty.');
           filled = false;
           await empty();
         }
-        await book.write('group', g.mark, g);
+        await durable.write('group', g.mark, g);
         const fills = filled || (!group && g.mark === 1);
         filled = false;
         group = g;
         if (fills) await fill();
         log(`group mark is ${g.mark}.`);
       });
-    /** Whether the group has this keeper at the place where it was asked: a bare mark names no keeper. */
-    const here = (): boolean => group!.members.some((k) => k.id === id && k.at === pipe.at);
+    /** Whether the group has this store at the place where it was asked: a bare mark names no store. */
+    const here = (): boolean => group!.members.some((k) => k.id === id && k.at === rpc.at);
     const guard = async (m: Base): Promise<Refusal | undefined> => {
       if (emptying) return { ok: false, why: 'identity' };
       if (typeof m.group === 'number') {
@@ -196,7 +196,7 @@
       if (group!.mark > markOf(m)) return { ok: false, why: 'group', group: group! };
       return {
         ok: true,
-        wall: lens.clock.wall(),
+        wall: runtime.clock.wall(),
         ...(typeof m.group === 'number' || !here() ? {} : { lean: true }),
         ...(floor() > 0 ? { floor: floor() } : {}),
         ...body,
@@ -210,7 +210,7 @@
     const bounded = async <T>(work: () => Promise<T>): Promise<T> => {
       if (waiting >= mostWaiting) {
         c.refused += 1;
-        throw fault.make({ step: 'keeper', code: 'busy' }, 'too much waits for the disk');
+        throw fault.make({ step: 'store', code: 'busy' }, 'too much waits for the disk');
       }
       waiting += 1;
       try {
@@ -231,20 +231,20 @@
       return extended > 0 ? { extended } : {};
     };
 
-    pipe.on<PrepareAsk>('reg.prepare', isAsk.prepare, (m) =>
+    rpc.on<PrepareAsk>('reg.prepare', isAsk.prepare, (m) =>
       inLine(m.key, async (): Promise<Reply<PrepareReply>> => {
         const no = await guard(m);
         if (no) return no;
         const promised = promisedOf(m.key);
         if (ballot.cmp(m.ballot, promised) <= 0) return reject(promised);
-        const next: Copy = { ...copyOf(m.key), promised: m.ballot, touched: lens.clock.wall() };
+        const next: Copy = { ...copyOf(m.key), promised: m.ballot, touched: runtime.clock.wall() };
         await records.write(m.key, next);
         c.prepares += 1;
         // An asker of the release before takes the whole copy.
         return reply(m, { copy: m.lean ? seen(next, m) : next });
       }),
     );
-    pipe.on<AcceptAsk>('reg.accept', isAsk.accept, (m) =>
+    rpc.on<AcceptAsk>('reg.accept', isAsk.accept, (m) =>
       inLine(m.key, async (): Promise<Reply<AcceptReply>> => {
         const no = await guard(m);
         if (no) return no;
@@ -256,7 +256,7 @@
           promised: m.next ? ballot.max(m.next, m.ballot) : m.ballot,
           accepted: m.ballot,
           held: m.held,
-          touched: lens.clock.wall(),
+          touched: runtime.clock.wall(),
           ...extendedOf(cur, m),
         };
         await records.write(m.key, next);
@@ -265,7 +265,7 @@
       }),
     );
     /** An opening was not prepared: it is taken only where nothing was ever promised (§6.2). */
-    pipe.on<OpenAsk>('reg.open', isAsk.open, (m) =>
+    rpc.on<OpenAsk>('reg.open', isAsk.open, (m) =>
       inLine(m.key, async (): Promise<Reply<AcceptReply>> => {
         const no = await guard(m);
         if (no) return no;
@@ -276,29 +276,29 @@
           promised: ballot.max(m.next, m.ballot),
           accepted: ballot.opening(m.op),
           held: m.held,
-          touched: lens.clock.wall(),
+          touched: runtime.clock.wall(),
         });
         c.opened += 1;
         return reply(m, {});
       }),
     );
     /** The sweep found the same with all members, or settled it (§6.5). */
-    pipe.on<Base>('reg.filled', isAsk.filled, async (m) => {
+    rpc.on<Base>('reg.filled', isAsk.filled, async (m) => {
       if (await guard(m)) return { ok: false };
       await short('group', async () => {
-        // The group may have moved on meanwhile, and this keeper begun anew.
+        // The group may have moved on meanwhile, and this store begun anew.
         if (!filled && group!.mark === markOf(m)) await fill();
       });
       return { ok: true };
     });
-    pipe.on<ReadAsk>('reg.read', isAsk.read, async (m): Promise<Reply<ReadReply>> => {
+    rpc.on<ReadAsk>('reg.read', isAsk.read, async (m): Promise<Reply<ReadReply>> => {
       const no = await guard(m);
       if (no) return no;
       if (m.keys) return reply(m, { copies: m.keys.map((key) => seen(copyOf(key), m)) });
       return reply(m, { copy: copyOf(m.key!) });
     });
-    /** A copy already agreed on by a majority, brought to a keeper that has an older one. */
-    pipe.on<MendAsk>('reg.mend', isAsk.mend, (m) =>
+    /** A copy already agreed on by a majority, brought to a store that has an older one. */
+    rpc.on<MendAsk>('reg.mend', isAsk.mend, (m) =>
       inLine(m.key, async (): Promise<Reply<AcceptReply>> => {
         const no = await guard(m);
         if (no) return no;
@@ -309,7 +309,7 @@
           promised: ballot.max(cur.promised, m.ballot),
           accepted: m.ballot,
           held: m.held,
-          touched: lens.clock.wall(),
+          touched: runtime.clock.wall(),
           ...extendedOf(cur, m),
         };
         await records.write(m.key, next);
@@ -322,13 +322,13 @@
       short(key, async () => {
         const cur = copies.get(key)?.value;
         // One that has ended counts as absent: it is not brought back.
-        if (!cur || keptUntil(cur.held?.until ?? 0, cur.extended ?? 0) <= lens.clock.wall()) return false;
+        if (!cur || keptUntil(cur.held?.until ?? 0, cur.extended ?? 0) <= runtime.clock.wall()) return false;
         if ((cur.extended ?? 0) >= until) return true;
         await records.write(key, { ...cur, extended: until });
         c.extended += 1;
         return true;
       });
-    pipe.on<ExtendAsk>('reg.extend', isAsk.extend, async (m): Promise<Reply<ExtendReply>> => {
+    rpc.on<ExtendAsk>('reg.extend', isAsk.extend, async (m): Promise<Reply<ExtendReply>> => {
       const no = await guard(m);
       if (no) return no;
       const found = await bounded(() => Promise.all(m.keys.map((key) => extendOne(key, m.until))));
@@ -340,18 +340,18 @@
       let first: string[] = [];
       for (let r = 0; r < ranges; r++) {
         first = [...first, ...copies.keys(r, after, limit)].sort().slice(0, limit + 1);
-        if (r % 8 === 7) await time.sleep(lens.clock, 0);
+        if (r % 8 === 7) await time.sleep(runtime.clock, 0);
       }
       return first;
     };
     /** For the sweep. Learning the group first is what fences older marks (§6.5). */
-    pipe.on<Base>('reg.digest', isAsk.digest, async (m): Promise<DigestResult> => {
+    rpc.on<Base>('reg.digest', isAsk.digest, async (m): Promise<DigestResult> => {
       if (await guard(m)) return { ok: false, group: group ?? null };
       const digests = Array.from({ length: ranges }, (_, r) => copies.digest(r));
       // A sweep of the release before asks which ranges hold something that may be dropped: `reg.due` says it.
-      return { ok: true, digests, due: [], wall: lens.clock.wall() };
+      return { ok: true, digests, due: [], wall: runtime.clock.wall() };
     });
-    pipe.on<Base & { after: string; limit: number; range?: number }>(
+    rpc.on<Base & { after: string; limit: number; range?: number }>(
       'reg.list',
       isAsk.list,
       async (m): Promise<ListResult> => {
@@ -361,7 +361,7 @@
         const page = keys.slice(0, m.limit);
         return {
           ok: true,
-          wall: lens.clock.wall(),
+          wall: runtime.clock.wall(),
           next: keys.length > m.limit ? page[page.length - 1]! : null,
           keys: page.flatMap((key) => {
             const slot = copies.get(key);
@@ -372,16 +372,16 @@
         };
       },
     );
-    pipe.on<Base & { limit: number }>('reg.due', isAsk.due, async (m): Promise<DueResult> => {
+    rpc.on<Base & { limit: number }>('reg.due', isAsk.due, async (m): Promise<DueResult> => {
       if (await guard(m)) return { ok: false };
-      const wall = lens.clock.wall();
+      const wall = runtime.clock.wall();
       return { ok: true, keys: copies.due(wall - wait, Math.min(m.limit, 1024)), wall };
     });
     /** Whether a copy is the one that is meant, and nothing has needed it since the grace began (§6.4). */
     const mayDrop = (key: string, accepted: Ballot, wall: Us): boolean => {
       const cur = copies.get(key)?.value;
       if (!cur || !ballot.same(cur.accepted, accepted)) return false;
-      return neededUntil(cur) + wait <= Math.min(wall, lens.clock.wall());
+      return neededUntil(cur) + wait <= Math.min(wall, runtime.clock.wall());
     };
     const raiseFloor = (to: number): Promise<void> =>
       short(floorKey, async () => {
@@ -396,14 +396,14 @@
         c.purged += 1;
         return true;
       });
-    pipe.on<DropAsk>('reg.drop', isAsk.drop, async (m) => {
+    rpc.on<DropAsk>('reg.drop', isAsk.drop, async (m) => {
       if (await guard(m)) return { ok: false, dropped: 0 };
       const those = m.keys.filter(([key, accepted]) => mayDrop(key, accepted, m.wall));
       await raiseFloor(those.reduce((most, [key]) => Math.max(most, copyOf(key).promised[0]), 0));
       const done = await Promise.all(m.keys.map(([key, accepted]) => dropOne(key, accepted, m.wall)));
       return { ok: true, dropped: done.filter((x) => x).length };
     });
-    pipe.on<Base & { key: string; ballot: Ballot; wall: Us }>('reg.purge', isAsk.purge, async (m) => ({
+    rpc.on<Base & { key: string; ballot: Ballot; wall: Us }>('reg.purge', isAsk.purge, async (m) => ({
       ok: m.to === id && (await dropOne(m.key, m.ballot, m.wall)),
     }));
 
--- a/packages/register-store/src/sweep.ts
+++ b/packages/register-store/src/sweep.ts
@@ -1,7 +1,7 @@
 // The sweep (§6.5): finds the copies that no read has mended, drops what has expired everywhere,
 // and after a change of group brings every record onto a majority of the new one.
 import { time, us, type Clock, type Us } from '@thornsail/runtime';
-import type { Pipe } from '@thornsail/rpc';
+import type { Rpc } from '@thornsail/rpc';
 import {
   ballot,
   type Ballot,
@@ -12,7 +12,7 @@
   type ListResult,
 } from './messages.js';
 import { majority, type Registers } from './registers.js';
-import { ranges } from './shelf.js';
+import { ranges } from './replica-table.js';
 
 export type SweepResult = {
   complete: boolean;
@@ -23,7 +23,7 @@
   ranges: number;
 };
 /**
- * Ranges looked at, and keys of each settled, at once. After a change of group no further keeper may fail before all is
+ * Ranges looked at, and keys of each settled, at once. After a change of group no further store may fail before all is
  * settled, and each waits for its disk: many share one sync.
  */
 const paces = {
@@ -55,17 +55,15 @@
  */
 const dropDue = async (o: {
   clock: Clock;
-  pipe: Pipe;
+  rpc: Rpc;
   group: Group;
   pause: Us;
   still: () => boolean;
 }): Promise<number> => {
-  const { pipe, group } = o;
+  const { rpc, group } = o;
   const each = <T>(kind: string, body: object): Promise<(T | undefined)[]> =>
     Promise.all(
-      group.members.map((k) =>
-        pipe.ask<T>(k.at, kind, { to: k.id, group, ...body }, us.ms(800)).catch(() => undefined),
-      ),
+      group.members.map((k) => rpc.ask<T>(k.at, kind, { to: k.id, group, ...body }, us.ms(800)).catch(() => undefined)),
     );
   for (let dropped = 0; ;) {
     const lists = await each<DueResult>('reg.due', { limit: dueAtOnce });
@@ -81,11 +79,11 @@
 };
 
 /** All members hold the same now, or it is settled: whatever was opened before is known to this one (§6.5). */
-const tellFilled = (o: { pipe: Pipe; group: Group }, k: Keep): Promise<unknown> =>
-  o.pipe.ask(k.at, 'reg.filled', { to: k.id, group: o.group }, us.ms(800)).catch(() => undefined);
+const tellFilled = (o: { rpc: Rpc; group: Group }, k: Keep): Promise<unknown> =>
+  o.rpc.ask(k.at, 'reg.filled', { to: k.id, group: o.group }, us.ms(800)).catch(() => undefined);
 
 type Page = Extract<ListResult, { ok: true }>;
-type Member<T> = { keeper: Keep; reply: T };
+type Member<T> = { store: Keep; reply: T };
 /**
  * The replies of a group: all that come within `askWithin`, or, with `need`, those that come until a little after so
  * many are there. A member that was lost holds up nothing that is complete without it.
@@ -113,7 +111,7 @@
 
 type Pass = {
   clock: Clock;
-  pipe: Pipe;
+  rpc: Rpc;
   registers: Registers;
   group: Group;
   all: boolean;
@@ -130,9 +128,9 @@
   kind: string,
   body: object,
 ): Promise<Member<Extract<T, { ok: true }>>[]> => {
-  const asked = keepers.map((keeper) =>
-    o.pipe.ask<T>(keeper.at, kind, { to: keeper.id, group: o.group, ...body }, askWithin).then(
-      (reply) => (reply.ok ? { keeper, reply: reply as Extract<T, { ok: true }> } : undefined),
+  const asked = keepers.map((store) =>
+    o.rpc.ask<T>(store.at, kind, { to: store.id, group: o.group, ...body }, askWithin).then(
+      (reply) => (reply.ok ? { store, reply: reply as Extract<T, { ok: true }> } : undefined),
       () => undefined,
     ),
   );
@@ -151,10 +149,10 @@
   const ends = pages.map((p) => p.reply.next).filter((n): n is string => n !== null);
   const end = ends.length ? ends.reduce((a, b) => (a < b ? a : b)) : null;
   const byKey = new Map<string, Found[]>();
-  for (const { keeper, reply } of pages)
+  for (const { store, reply } of pages)
     for (const { key, accepted, extended } of reply.keys) {
       if (end !== null && key > end) continue;
-      byKey.set(key, [...(byKey.get(key) ?? []), { k: keeper, accepted, extended: extended ?? 0 }]);
+      byKey.set(key, [...(byKey.get(key) ?? []), { k: store, accepted, extended: extended ?? 0 }]);
     }
   return { copies: [...byKey].sort(([a], [b]) => (a < b ? -1 : 1)), end };
 };
@@ -186,7 +184,7 @@
 
 export const sweep = {
   /**
-   * One pass. `all` settles every key (after a group change). Otherwise the keepers' digests are compared by range,
+   * One pass. `all` settles every key (after a group change). Otherwise the stores' digests are compared by range,
    * and only what differs or may be dropped is listed.
    */
   pass: async (o: Pass): Promise<SweepResult> => {
@@ -202,7 +200,7 @@
     );
     r.ranges = todo.length;
     // Those that did not answer are not asked again in this pass.
-    let asked = digested.map((d) => d.keeper);
+    let asked = digested.map((d) => d.store);
     let failed = false;
     const sweepRange = async (range: number): Promise<boolean> => {
       for (let after: string | null = ''; after !== null;) {
@@ -210,7 +208,7 @@
         const page = { after, limit: pageOf, range };
         const pages: Member<Page>[] = await askMembers<ListResult>(o, asked, 'reg.list', page);
         if (pages.length < need) return false;
-        asked = asked.filter((k) => pages.some((p) => p.keeper === k));
+        asked = asked.filter((k) => pages.some((p) => p.store === k));
         const { copies, end } = copiesByKey(pages);
         if (!(await settlePage(o, r, copies, pages.length))) return false;
         after = end;
--- a/packages/register-store/test/registers.test.ts
+++ b/packages/register-store/test/registers.test.ts
@@ -16,8 +16,8 @@
   type Write,
 } from '@thornsail/register-store';
 import { fault, invariant, us, type Us } from '@thornsail/runtime';
-import { logbook } from '@thornsail/durable-files';
-import { pipe, shape, type Pipe } from '@thornsail/rpc';
+import { durableStore } from '@thornsail/durable-files';
+import { rpc, shape, type Rpc } from '@thornsail/rpc';
 
 type Stage = {
   w: World;
@@ -25,12 +25,12 @@
   stores: Map<number, Store>;
   boot: (i: number) => Promise<void>;
   group: (mark: number, ids: number[]) => void;
-  edge: (n: number, near?: (id: string) => number) => Promise<{ regs: Registers; host: Host; pipe: Pipe }>;
-  pass: (e: { regs: Registers; pipe: Pipe }, all: boolean) => Promise<SweepResult>;
+  edge: (n: number, near?: (id: string) => number) => Promise<{ regs: Registers; host: Host; rpc: Rpc }>;
+  pass: (e: { regs: Registers; rpc: Rpc }, all: boolean) => Promise<SweepResult>;
   wait: (t: Us) => Promise<void>;
 };
 const at = (i: number): string => `127.0.2.${i}:7101`;
-/** Keepers by number, edges by number, and a story told in simulated time. A keeper is in the zone of its number. */
+/** Stores by number, edges by number, and a story told in simulated time. A store is in the zone of its number. */
 const stage = async (
   seed: number,
   tell: (x: Stage) => Promise<void>,
@@ -52,12 +52,12 @@
     hosts,
     stores,
     boot: async (i) => {
-      const lens = w.lens(hosts[i - 1]!);
-      const p = await pipe.open(lens, at(i));
-      const book = await logbook.open(lens.disk);
+      const runtime = w.runtime(hosts[i - 1]!);
+      const p = await rpc.open(runtime, at(i));
+      const durable = await durableStore.open(runtime.disk);
       stores.set(
         i,
-        await store.open({ lens, pipe: p, book, freshId: `k${i}`, ...('grace' in o ? { grace: o.grace! } : {}) }),
+        await store.open({ runtime, rpc: p, durable, freshId: `k${i}`, ...('grace' in o ? { grace: o.grace! } : {}) }),
       );
     },
     group: (mark, ids) => {
@@ -65,15 +65,15 @@
     },
     edge: async (n, near) => {
       const host = w.host(`127.0.1.${n}`, `z${n}`);
-      const lens = w.lens(host);
-      const p = await pipe.open(lens, `127.0.1.${n}:7101`);
-      const regs = registers.open({ lens, pipe: p, by: `e${n}`, group: () => group, ...(near ? { near } : {}) });
-      return { regs, host, pipe: p };
+      const runtime = w.runtime(host);
+      const p = await rpc.open(runtime, `127.0.1.${n}:7101`);
+      const regs = registers.open({ runtime, rpc: p, by: `e${n}`, group: () => group, ...(near ? { near } : {}) });
+      return { regs, host, rpc: p };
     },
     pass: (e, all) =>
       sweep.pass({
-        clock: w.lens(w.host('127.0.8.8', 'z9')).clock,
-        pipe: e.pipe,
+        clock: w.runtime(w.host('127.0.8.8', 'z9')).clock,
+        rpc: e.rpc,
         registers: e.regs,
         group,
         all,
@@ -119,7 +119,7 @@
   await work();
   return { frames: w.frames() - frames, bytes: w.zoneBytes() - bytes, took: w.now() - from };
 };
-const wallAt = (w: World, after: Us): Us => w.lens(w.host('127.0.8.7', 'z9')).clock.wall() + after;
+const wallAt = (w: World, after: Us): Us => w.runtime(w.host('127.0.8.7', 'z9')).clock.wall() + after;
 
 test('a reserved key takes one round to change; a new one and one that another edge had', () =>
   stage(1, async ({ w, edge, wait }) => {
@@ -154,7 +154,7 @@
       assert.ok(a.regs.counts().conflicts + b.regs.counts().conflicts > 0);
     });
 });
-test('a reservation without a majority fails in time, and one that keepers lost with their disks is tried again', () =>
+test('a reservation without a majority fails in time, and one that stores lost with their disks is tried again', () =>
   stage(2, async ({ w, hosts, edge, boot, group }) => {
     const a = await edge(1);
     await a.regs.reserve('k');
@@ -171,13 +171,13 @@
     assert.equal(await a.regs.change('k', append('b')), ['a'], 'a promise of an older group counted');
   }));
 
-test('many keys are read with one frame to each keeper, their values from the nearest alone', () =>
+test('many keys are read with one frame to each store, their values from the nearest alone', () =>
   stage(3, async ({ w, edge }) => {
     const writer = await edge(2);
     const big = 'v'.repeat(4000);
     const keys = Array.from({ length: 30 }, (_, i) => `k${i}`);
     for (const key of keys) await writer.regs.change(key, put({ key, big }));
-    // The edge of zone 1 reads from the keeper of zone 1: no value crosses a zone.
+    // The edge of zone 1 reads from the store of zone 1: no value crosses a zone.
     const a = await edge(1, (id) => (id === 'k1' ? 0 : 1));
     await a.regs.reachable();
     let got: unknown[] = [];
@@ -191,7 +191,7 @@
     assert.equal(await a.regs.readMany([]), []);
     assert.is(a.regs.counts().fetched, 0);
   }));
-test('a nearest keeper that is down, frozen or behind costs a few milliseconds, never the newest value', () =>
+test('a nearest store that is down, frozen or behind costs a few milliseconds, never the newest value', () =>
   stage(4, async ({ w, hosts, edge, boot, wait }) => {
     const writer = await edge(2);
     const a = await edge(1, (id) => Number(id.slice(1)));
@@ -210,7 +210,7 @@
     w.start(hosts[0]!);
     await boot(1);
     await wait(us.s(3));
-    assert.equal(await a.regs.readMany(keys), all, 'the keeper that came back is behind');
+    assert.equal(await a.regs.readMany(keys), all, 'the store that came back is behind');
     await wait(us.s(1));
     // It was mended by that read: it alone can give the value now, with any other for the majority.
     w.kill(hosts[1]!, 'power');
@@ -225,11 +225,11 @@
     assert.ok(change.took < us.ms(12), `${change.took} for a change`);
     w.wake(hosts[0]!);
   }));
-test('keys of which the keepers differ are settled, the others of the same read are not', () =>
+test('keys of which the stores differ are settled, the others of the same read are not', () =>
   stage(5, async ({ w, hosts, edge }) => {
     const a = await edge(1);
     for (const k of ['x', 'y', 'z']) await a.regs.change(k, append('1'));
-    // The accept of a second append reaches keeper3 alone: the other two lose power before it comes.
+    // The accept of a second append reaches store3 alone: the other two lose power before it comes.
     const b = await edge(3);
     await b.regs.reserve('y');
     const heal = w.cut([b.host], [hosts[0]!, hosts[1]!]);
@@ -252,7 +252,7 @@
     await a.regs.change('k', put(big));
     const again = await cost(w, () => a.regs.change('k', put(big)));
     assert.ok(again.bytes > 40_000 && again.bytes < 43_000, `${again.bytes} bytes for two copies of 20 000`);
-    // The other edge has never seen it: one value comes, from one keeper; then it has it.
+    // The other edge has never seen it: one value comes, from one store; then it has it.
     await b.regs.reachable();
     const first = await cost(w, () => b.regs.reserve('k'));
     assert.ok(first.bytes < 22_000, `${first.bytes} bytes for one value`);
@@ -261,7 +261,7 @@
     assert.is(small.frames, 6);
     assert.ok(small.bytes < 1100, `${small.bytes} bytes between zones for a change of a small value`);
   }));
-test('one keeper that is slow or cut off does not slow the others, and gets the value all the same', () =>
+test('one store that is slow or cut off does not slow the others, and gets the value all the same', () =>
   stage(7, async ({ w, hosts, edge, wait }) => {
     const a = await edge(1);
     await a.regs.change('k', put(0));
@@ -277,7 +277,7 @@
     assert.is(await b.regs.read('k'), 20);
   }));
 
-test('a keeper whose disk hangs holds a bounded number of messages, and is brought up to date afterwards', () =>
+test('a store whose disk hangs holds a bounded number of messages, and is brought up to date afterwards', () =>
   stage(17, async ({ w, hosts, stores, edge, wait, pass }) => {
     const a = await edge(1);
     await a.regs.change('warm', put(0));
@@ -301,7 +301,7 @@
     const keys = Array.from({ length: 2500 }, (_, i) => `k${i}`);
     assert.equal(await b.regs.readMany(keys, us.s(5)), [...keys.keys()]);
   }));
-test('an extension keeps values for longer with one frame to each keeper, and says which keys have none', () =>
+test('an extension keeps values for longer with one frame to each store, and says which keys have none', () =>
   stage(8, async ({ w, edge, wait }) => {
     const [a, b] = [await edge(1), await edge(2)];
     for (const k of ['x', 'y', 'z']) await a.regs.change(k, put(k, us.s(10)));
@@ -329,16 +329,16 @@
     const b = await edge(2);
     await a.regs.change('k', put('v', us.s(10)));
     await a.regs.change('gone', put('w', us.s(10)));
-    // Edge 2 remembers the value with its old end; then the extension reaches keepers 1 and 2 only.
+    // Edge 2 remembers the value with its old end; then the extension reaches stores 1 and 2 only.
     await b.regs.change('k', put('v', us.s(10)));
     const heal = w.cut([a.host], [hosts[2]!]);
     assert.equal(await a.regs.extend(['k', 'gone'], wallAt(w, us.s(4000))), []);
     await wait(us.s(30));
     heal();
-    // Each majority in turn, by a keeper without power.
+    // Each majority in turn, by a store without power.
     for (const i of [0, 1, 2]) {
       w.kill(hosts[i]!, 'power');
-      assert.is(await a.regs.read('k'), 'v', `without keeper ${i + 1}`);
+      assert.is(await a.regs.read('k'), 'v', `without store ${i + 1}`);
       w.start(hosts[i]!);
       await boot(i + 1);
     }
@@ -353,7 +353,7 @@
     assert.is(saw, 'v');
     assert.ok(until > wallAt(w, us.s(3900)), 'the writer was not told of the extension');
     assert.is(await a.regs.read('k'), 'v', 'a shorter end cut what was promised');
-    // Keepers 1 and 2 leave one after the other: the extension has to come with what stays.
+    // Stores 1 and 2 leave one after the other: the extension has to come with what stays.
     await boot(4);
     group(2, [2, 3]);
     assert.ok((await pass(a, true)).complete);
@@ -409,7 +409,7 @@
     await pass(a, false);
     assert.is(await a.regs.read('k'), undefined);
   }));
-test('an extension that reached one keeper alone: what one reader was told, every later reader is told', async () => {
+test('an extension that reached one store alone: what one reader was told, every later reader is told', async () => {
   let shown = 0;
   for (let seed = 1; seed <= 12; seed++)
     await stage(seed, async ({ w, hosts, edge, wait }) => {
@@ -439,9 +439,9 @@
         );
       }
     });
-  assert.ok(shown > 6, 'no reader met the keeper that has the extension');
+  assert.ok(shown > 6, 'no reader met the store that has the extension');
 });
-test('extensions that race with changes and lost keepers: what was acknowledged holds', async () => {
+test('extensions that race with changes and lost stores: what was acknowledged holds', async () => {
   for (let seed = 1; seed <= 20; seed++)
     await stage(seed, async ({ w, hosts, edge, wait, boot }) => {
       const r = w.rand;
@@ -486,7 +486,7 @@
         for (let i = 0; i < 3; i++) {
           const heal = w.cut([es[1]!.host], [hosts[i]!]);
           const v = (await es[1]!.regs.read(k)) as string[] | undefined;
-          assert.ok(v?.includes('0'), `seed ${seed}: ${k} ended before what was promised, without keeper ${i + 1}`);
+          assert.ok(v?.includes('0'), `seed ${seed}: ${k} ended before what was promised, without store ${i + 1}`);
           heal();
         }
       }
@@ -525,7 +525,7 @@
     assert.match(code, /grace/);
   }
 });
-test('a keeper drops only what it is told by its ballot, and what has ended by its own clock, too', () =>
+test('a store drops only what it is told by its ballot, and what has ended by its own clock, too', () =>
   stage(
     13,
     async ({ w, hosts, stores, edge, pass, wait }) => {
@@ -534,7 +534,7 @@
       const group = stores.get(1)!.group();
       type Due = { keys: [string, [number, string]][] };
       const ask = <T>(kind: string, body: object): Promise<T> =>
-        a.pipe.ask<T>(at(1), kind, { to: 'k1', group, ...body }, us.s(1));
+        a.rpc.ask<T>(at(1), kind, { to: 'k1', group, ...body }, us.s(1));
       const due = async (): Promise<Due['keys']> => (await ask<Due>('reg.due', { limit: 10 })).keys;
       await wait(us.s(10));
       assert.equal(await due(), []);
@@ -557,7 +557,7 @@
       assert.is(await dropped({ keys }), 1, 'one was changed after it was listed');
       assert.is(stores.get(1)!.size(), 2);
       await wait(us.s(30));
-      // A keeper whose clock is behind does not agree yet.
+      // A store whose clock is behind does not agree yet.
       hosts[2]!.skew = -us.s(300);
       assert.is((await pass(a, false)).purged, 0);
       hosts[2]!.skew = 0;
@@ -567,7 +567,7 @@
     },
     { grace: us.s(15) },
   ));
-test('a copy that was dropped everywhere but at one keeper does not hide what is written after it', async () => {
+test('a copy that was dropped everywhere but at one store does not hide what is written after it', async () => {
   for (let seed = 1; seed <= 6; seed++)
     await stage(
       seed,
@@ -576,7 +576,7 @@
         // Many changes, so that its ballots are high.
         for (let i = 0; i < 20; i++) await a.regs.change('k', put(i, us.s(5)));
         await wait(us.s(40));
-        // Keeper 3 answers what is due, and the word to drop it does not reach it.
+        // Store 3 answers what is due, and the word to drop it does not reach it.
         let heal = (): void => undefined;
         w.at(w.now() + us.ms(4) + w.rand.int(us.ms(3)), () => (heal = w.cut([a.host], [hosts[2]!])));
         await pass(a, false);
@@ -585,7 +585,7 @@
         await b.regs.change('k', put('again', us.s(500)));
         for (const i of [0, 1, 2]) {
           const healOne = w.cut([b.host], [hosts[i]!]);
-          assert.is(await b.regs.read('k'), 'again', `seed ${seed}, without keeper ${i + 1}`);
+          assert.is(await b.regs.read('k'), 'again', `seed ${seed}, without store ${i + 1}`);
           healOne();
         }
       },
@@ -612,7 +612,7 @@
     assert.is((await cost(w, () => a.regs.change('own', append('2')))).frames, 6);
     assert.equal(await b.regs.read('own'), ['1', '2']);
   }));
-test('a keeper that is lost, cut off or slow holds openings up once, and then none are tried for a while', async () => {
+test('a store that is lost, cut off or slow holds openings up once, and then none are tried for a while', async () => {
   for (const how of ['lost', 'cut', 'frozen'] as const)
     await stage(21, async ({ w, hosts, edge, wait }) => {
       const a = await edge(1);
@@ -656,7 +656,7 @@
       await wait(us.s(1));
       await a.regs.change('k', put('v'), us.s(2), fresh);
       assert.is(a.regs.counts().opened, 1);
-      // Keeper 2 alone has this one: its opening was never decided, nor told to be.
+      // Store 2 alone has this one: its opening was never decided, nor told to be.
       const heal = w.cut([a.host], [hosts[0]!, hosts[2]!]);
       await a.regs.change('alone', put('w'), us.ms(100), fresh).catch(() => undefined);
       heal();
@@ -664,7 +664,7 @@
       const b = await edge(2);
       const { rounds } = b.regs.counts();
       const got = await b.regs.readMany(['k', 'alone', 'none'], us.s(2), { once: true });
-      assert.equal(got, ['v', lost === 1 ? undefined : 'w', undefined], `without keeper ${lost + 1}`);
+      assert.equal(got, ['v', lost === 1 ? undefined : 'w', undefined], `without store ${lost + 1}`);
       assert.is(b.regs.counts().rounds, rounds, 'no ballot for it');
     });
 });
@@ -673,12 +673,12 @@
     const a = await edge(1);
     await a.regs.change('warm', put(1));
     await wait(us.s(1));
-    // Keepers 1 and 2 take it, keeper 3 and its proposer do not get further.
+    // Stores 1 and 2 take it, store 3 and its proposer do not get further.
     w.cut([a.host], [hosts[2]!]);
     void a.regs.change('k', append('a'), us.s(2), fresh).catch(() => undefined);
     await wait(us.ms(4));
     w.kill(a.host, 'power');
-    // Keeper 1 is not there: keeper 2 alone has it.
+    // Store 1 is not there: store 2 alone has it.
     const b = await edge(2);
     w.kill(hosts[0]!, 'power');
     assert.equal(await b.regs.read('k'), ['a']);
@@ -705,7 +705,7 @@
     const [first, next] = [await b.regs.read('k'), await c.regs.read('k')];
     assert.equal(first, next, 'two readers were told of two values');
   }));
-/** An edge that reaches some keepers alone opens a key and goes no further. */
+/** An edge that reaches some stores alone opens a key and goes no further. */
 const strayed = async (s: Stage, n: number, key: string, reached: number[]): Promise<void> => {
   const e = await s.edge(n);
   await e.regs.change(`warm${n}`, put(1));
@@ -718,7 +718,7 @@
   await s.wait(us.ms(5));
   s.w.kill(e.host, 'power');
 };
-test('a keeper that comes back into the group with its old disk does not bring back what it held', async () => {
+test('a store that comes back into the group with its old disk does not bring back what it held', async () => {
   let at3 = 0;
   for (let seed = 1; seed <= 8; seed++)
     await stage(seed, async (s) => {
@@ -780,7 +780,7 @@
       assert.equal(await (await edge(3)).regs.readMany(['k', 'l', 'new']), [['a'], ['a'], ['a']]);
     });
 });
-test('an opening at one keeper does not hide what the others have, however high the floor is', () =>
+test('an opening at one store does not hide what the others have, however high the floor is', () =>
   stage(
     23,
     async (s) => {
@@ -793,12 +793,12 @@
       w.start(hosts[2]!);
       await boot(3);
       await wait(us.s(60));
-      // As the sweep does, but without mending 'k' at keeper 3.
+      // As the sweep does, but without mending 'k' at store 3.
       const drop = async (): Promise<void> => {
         const group = s.stores.get(1)!.group()!;
         for (const i of [1, 2, 3]) {
           const ask = <T>(kind: string, body: object): Promise<T> =>
-            a.pipe.ask<T>(at(i), kind, { to: `k${i}`, group, ...body }, us.s(1));
+            a.rpc.ask<T>(at(i), kind, { to: `k${i}`, group, ...body }, us.s(1));
           const due = await ask<{ keys: [string, Ballot][]; wall: Us }>('reg.due', { limit: 9 });
           await ask('reg.drop', { keys: due.keys, wall: due.wall });
         }
@@ -835,7 +835,7 @@
       const group = stores.get(1)!.group()!;
       const late = { to: 'k1', group, key: 'k9', op: 'x.1', ballot: [1, 'x'], next: [2, 'x'] };
       const held = { value: 'late', until: 4e15, ops: ['x.1'] };
-      const q = await a.pipe.ask<{ ok: boolean }>(at(1), 'reg.open', { ...late, held }, us.s(1));
+      const q = await a.rpc.ask<{ ok: boolean }>(at(1), 'reg.open', { ...late, held }, us.s(1));
       assert.is(q.ok, false, 'an old opening came back');
       const b = await edge(2);
       await b.regs.change('warm', put(2));
@@ -847,10 +847,10 @@
     { grace: us.s(10) },
   ));
 
-/** A keeper of the release before: whole groups only, one key at a time, no extensions; it keeps nothing on disk. */
-const formerKeeper = async (w: World, host: Host, i: number): Promise<void> => {
-  const lens = w.lens(host);
-  const p = await pipe.open(lens, at(i));
+/** A store of the release before: whole groups only, one key at a time, no extensions; it keeps nothing on disk. */
+const formerStore = async (w: World, host: Host, i: number): Promise<void> => {
+  const runtime = w.runtime(host);
+  const p = await rpc.open(runtime, at(i));
   type Copy = { promised: Ballot; accepted: Ballot; held: Held | null; touched: Us };
   type Ask = { to: string; group: Group; key: string; ballot: Ballot; held: Held | null; next: Ballot | null };
   const all = new Map<string, Copy>();
@@ -858,7 +858,7 @@
   const base = { to: shape.text, group: shape.has({ mark: shape.whole }), key: shape.text };
   const answer = (key: string, copy: Copy): object => {
     all.set(key, copy);
-    return { ok: true, copy, wall: lens.clock.wall() };
+    return { ok: true, copy, wall: runtime.clock.wall() };
   };
   p.on<Ask>('reg.prepare', shape.has({ ...base, ballot: shape.ballot }), (m) => {
     const cur = all.get(m.key) ?? none;
@@ -872,12 +872,12 @@
   });
   p.on<Ask>('reg.read', shape.has(base), (m) => answer(m.key, all.get(m.key) ?? none));
 };
-test('keepers of the release before take part: changes, reservations, reads of many keys, extensions', () =>
+test('stores of the release before take part: changes, reservations, reads of many keys, extensions', () =>
   stage(14, async ({ w, hosts, edge, wait }) => {
     for (const i of [2, 3]) {
       w.kill(hosts[i - 1]!, 'disk');
       w.start(hosts[i - 1]!);
-      await formerKeeper(w, hosts[i - 1]!, i);
+      await formerStore(w, hosts[i - 1]!, i);
     }
     const [a, b] = [await edge(1), await edge(2)];
     await a.regs.reserve('x');
@@ -890,11 +890,11 @@
     w.kill(hosts[0]!, 'power');
     assert.is(await b.regs.read('y'), 'y');
   }));
-test('with a keeper of the release before new keys are decided by ballots as before', () =>
+test('with a store of the release before new keys are decided by ballots as before', () =>
   stage(25, async ({ w, hosts, edge }) => {
     w.kill(hosts[2]!, 'disk');
     w.start(hosts[2]!);
-    await formerKeeper(w, hosts[2]!, 3);
+    await formerStore(w, hosts[2]!, 3);
     const [a, b] = [await edge(1), await edge(2)];
     await a.regs.change('warm', put(1));
     for (let i = 0; i < 5; i++) await a.regs.change(`k${i}`, append('a'), us.s(2), fresh);
@@ -910,7 +910,7 @@
       await wait(us.s(1));
       const group = stores.get(1)!.group()!;
       const ask = <T>(kind: string, body: object): Promise<T> =>
-        a.pipe.ask<T>(at(1), kind, { to: 'k1', group, key: 'k', ...body }, us.s(1));
+        a.rpc.ask<T>(at(1), kind, { to: 'k1', group, key: 'k', ...body }, us.s(1));
       type Old = { ok: boolean; copy: { promised: Ballot; accepted: Ballot; held: Held; touched: Us }; wall: Us };
       const p = await ask<Old>('reg.prepare', { ballot: [50, 'old'] });
       assert.equal([p.copy.promised, p.copy.held.value], [[50, 'old'], 'v']);
--- a/packages/rpc/src/index.ts
+++ b/packages/rpc/src/index.ts
@@ -1,6 +1,6 @@
-// pipe: framed devalue between siblings; ask, tell, and polite rejection of foreign protocol marks (§3.1).
+// connection: framed devalue between siblings; ask, tell, and polite rejection of foreign protocol marks (§3.1).
 import { parse, stringify } from 'devalue';
-import { fault, us, type Lens, type Place, type Us } from '@thornsail/runtime';
+import { fault, us, type Runtime, type Place, type Us } from '@thornsail/runtime';
 import type { Shape } from './shape.js';
 
 export { shape, type Shape } from './shape.js';
@@ -9,7 +9,7 @@
 export const protocol = { mark: 1, oldest: 1 };
 
 type Frame = { p: number; k: 'tell' | 'ask' | 'result' | 'fault'; t: string; n: string; b: unknown };
-export type Pipe = {
+export type Rpc = {
   at: Place;
   tell: (to: Place, kind: string, body: unknown) => void;
   /** The same to several, encoded once. */
@@ -23,7 +23,7 @@
   close: () => Promise<void>;
 };
 
-/** A frame by its shape, or nothing: what comes over a pipe may be damaged. */
+/** A frame by its shape, or nothing: what comes over a connection may be damaged. */
 const read = (text: string): Frame | undefined => {
   try {
     const f = parse(text) as Frame | null;
@@ -35,13 +35,13 @@
   }
 };
 
-export const pipe = {
-  open: async (lens: Lens, at: Place): Promise<Pipe> => {
-    const log = lens.log('pipe');
+export const rpc = {
+  open: async (runtime: Runtime, at: Place): Promise<Rpc> => {
+    const log = runtime.log('pipe');
     const handlers = new Map<string, (body: unknown, from: Place) => unknown>();
-    // Results come over the sibling's own pipe, so one for this place's former process may still be on its way:
+    // Results come over the sibling's own connection, so one for this place's former process may still be on its way:
     // the numbers of two processes must never meet.
-    const self = lens.rand.id().slice(0, 10);
+    const self = runtime.rand.id().slice(0, 10);
     /** By the ask's number and the place that was asked: one ask may go to several. */
     const open = new Map<string, { done: (v: unknown) => void; fail: (e: Error) => void; to: Place; kind: string }>();
     let n = 0;
@@ -77,7 +77,7 @@
         (e) => send(from, { k: 'fault', t: f.t, n: f.n, b: fault.text(e) }),
       );
     };
-    /** False if the frame cannot be read; its pipe is broken off then. */
+    /** False if the frame cannot be read; its connection is broken off then. */
     const got = (from: Place, text: string): boolean => {
       if (closed) return true;
       c.got += 1;
@@ -90,16 +90,19 @@
       } else serve(from, f);
       return true;
     };
-    const bad = (from: Place, why: string): void => log(`broke off the pipe from ${from}: ${why}.`);
-    /** A broken pipe ends the asks that went over it at once, with their outcome unknown, instead of at their limit. */
+    const bad = (from: Place, why: string): void => log(`broke off the connection from ${from}: ${why}.`);
+    /**
+     * A broken connection ends the asks that went over it at once, with their outcome unknown, instead of at their
+     * limit.
+     */
     const down = (to: Place): void => {
       for (const [id, w] of open)
         if (w.to === to) {
           open.delete(id);
-          w.fail(fault.make({ step: w.kind, sibling: to, code: 'down' }, 'the pipe broke'));
+          w.fail(fault.make({ step: w.kind, sibling: to, code: 'down' }, 'the connection broke'));
         }
     };
-    const frames = await lens.net.frames(at, got, down, bad);
+    const frames = await runtime.net.frames(at, got, down, bad);
     const askHere = async <T>(kind: string, body: unknown): Promise<T> => {
       await undefined;
       const h = handlers.get(kind);
@@ -108,7 +111,7 @@
     };
     const wait = <T>(to: Place, kind: string, id: string, timeLeft: Us): Promise<T> =>
       new Promise((done, fail) => {
-        const stop = lens.clock.tick(timeLeft, () => {
+        const stop = runtime.clock.tick(timeLeft, () => {
           open.delete(id);
           fail(fault.make({ step: kind, sibling: to, code: 'late' }, 'no result in time'));
         });
--- a/packages/rpc/test/connection.test.ts
+++ b/packages/rpc/test/connection.test.ts
@@ -2,8 +2,8 @@
 import net from 'node:net';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { fault, real, us, type Lens, type Place } from '@thornsail/runtime';
-import { pipe, type Pipe } from '@thornsail/rpc';
+import { fault, real, us, type Runtime, type Place } from '@thornsail/runtime';
+import { rpc, type Rpc } from '@thornsail/rpc';
 
 const host = `127.${64 + (process.pid % 150)}.14.1`;
 /** Counts what a method of sockets is called for. */
@@ -20,9 +20,9 @@
 };
 const writes = [counted('_write'), counted('_writev')];
 const written = (): number => writes.reduce((a, w) => a + w(), 0);
-const pair = async (): Promise<{ a: Pipe; b: Pipe }> => {
-  const a = await pipe.open(real.lens('/nonexistent'), `${host}:0`);
-  const b = await pipe.open(real.lens('/nonexistent'), `${host}:0`);
+const pair = async (): Promise<{ a: Rpc; b: Rpc }> => {
+  const a = await rpc.open(real.runtime('/nonexistent'), `${host}:0`);
+  const b = await rpc.open(real.runtime('/nonexistent'), `${host}:0`);
   for (const p of [a, b])
     p.on<{ n: number }>(
       'double',
@@ -44,7 +44,7 @@
   assert.ok(written() - before <= 6, `${written() - before} writes for 100 asks and their results`);
   await Promise.all([a.close(), b.close()]);
 });
-test('what was written just before the end of a pipe still arrives', async () => {
+test('what was written just before the end of a connection still arrives', async () => {
   const { a, b } = await pair();
   await a.ask(b.at, 'double', { n: 1 });
   const heard = new Promise<string>((done) => b.on<string>('last', () => true, done));
@@ -55,13 +55,13 @@
 });
 test('an ask to several is encoded once, and each result, fault and limit is its own', async () => {
   const sent: { to: Place; text: string }[] = [];
-  const lens = real.lens('/nonexistent');
-  const spied: Lens = {
-    ...lens,
+  const runtime = real.runtime('/nonexistent');
+  const spied: Runtime = {
+    ...runtime,
     net: {
-      ...lens.net,
+      ...runtime.net,
       frames: async (...x) => {
-        const f = await lens.net.frames(...x);
+        const f = await runtime.net.frames(...x);
         return { ...f, send: (to, text) => (sent.push({ to, text }), f.send(to, text)) };
       },
     },
@@ -72,7 +72,7 @@
     () => true,
     () => Promise.reject(new Error('not today')),
   );
-  const me = await pipe.open(spied, `${host}:0`);
+  const me = await rpc.open(spied, `${host}:0`);
   me.on<{ n: number }>(
     'double',
     () => true,
--- a/packages/rpc/test/damage.test.ts
+++ b/packages/rpc/test/damage.test.ts
@@ -1,9 +1,9 @@
-// Damaged frames from a sibling break its pipe; the node lives and says who it was (§3.1).
+// Damaged frames from a sibling break its connection; the node lives and says who it was (§3.1).
 import net from 'node:net';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { real, seeded, us, type Lens } from '@thornsail/runtime';
-import { pipe, type Pipe } from '@thornsail/rpc';
+import { real, seeded, us, type Runtime } from '@thornsail/runtime';
+import { rpc, type Rpc } from '@thornsail/rpc';
 
 const host = `127.${64 + (process.pid % 150)}.13.1`;
 const head = (n: number): Buffer => {
@@ -30,10 +30,10 @@
     });
     s.resume();
   });
-const open = async (logs: string[]): Promise<{ a: Pipe; b: Pipe; close: () => Promise<void> }> => {
-  const lens: Lens = { ...real.lens('/nonexistent'), log: () => (t) => void logs.push(t) };
-  const a = await pipe.open(lens, `${host}:0`);
-  const b = await pipe.open(real.lens('/nonexistent'), `${host}:0`);
+const open = async (logs: string[]): Promise<{ a: Rpc; b: Rpc; close: () => Promise<void> }> => {
+  const runtime: Runtime = { ...real.runtime('/nonexistent'), log: () => (t) => void logs.push(t) };
+  const a = await rpc.open(runtime, `${host}:0`);
+  const b = await rpc.open(real.runtime('/nonexistent'), `${host}:0`);
   a.on<{ n: number }>(
     'double',
     () => true,
@@ -42,7 +42,7 @@
   return { a, b, close: async () => void (await Promise.all([a.close(), b.close()])) };
 };
 
-test('frames with a bad length, cut in half, unreadable or of another shape end nothing but their pipe', async () => {
+test('frames with a bad length, cut in half, unreadable or of another shape end only their connection', async () => {
   const logs: string[] = [];
   const { a, b, close } = await open(logs);
   const from = frame(`${host}:7777`);
--- a/packages/rpc/test/identity.test.ts
+++ b/packages/rpc/test/identity.test.ts
@@ -1,13 +1,13 @@
 // An answer belongs to the request whose identity it carries, whatever has become of connections and processes (§3.1).
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { fault, real, seeded, time, us, type Lens, type Net, type Place } from '@thornsail/runtime';
-import { pipe, shape, type Pipe } from '@thornsail/rpc';
+import { fault, real, seeded, time, us, type Runtime, type Net, type Place } from '@thornsail/runtime';
+import { rpc, shape, type Rpc } from '@thornsail/rpc';
 
 type Sent = { from: Place; to: Place; text: string };
 /** Frames are delivered when the test says so, in any order, also twice, also to a process that came later. */
 const postbox = (): {
-  open: (at: Place) => Promise<Pipe>;
+  open: (at: Place) => Promise<Rpc>;
   waiting: Sent[];
   deliver: (sent: Sent) => void;
   breaks: (at: Place, to: Place) => void;
@@ -18,8 +18,8 @@
     nodes.set(at, { take, down: down ?? (() => undefined) });
     return { at, send: (to, text) => void waiting.push({ from: at, to, text }), close: async () => undefined };
   };
-  const base = real.lens('/nonexistent');
-  const open = (at: Place): Promise<Pipe> => pipe.open({ ...base, net: { ...base.net, frames } } as Lens, at);
+  const base = real.runtime('/nonexistent');
+  const open = (at: Place): Promise<Rpc> => rpc.open({ ...base, net: { ...base.net, frames } } as Runtime, at);
   return {
     open,
     waiting,
@@ -28,9 +28,9 @@
   };
 };
 const [clientAt, serverAt, otherAt] = ['10.0.0.1:1', '10.0.0.2:1', '10.0.0.3:1'];
-const settled = (): Promise<void> => time.sleep(real.lens('/nonexistent').clock, us.ms(5));
+const settled = (): Promise<void> => time.sleep(real.runtime('/nonexistent').clock, us.ms(5));
 const codeOf = (work: Promise<unknown>): Promise<unknown> => work.catch((e: unknown) => fault.info(e).code);
-const echoing = async (open: (at: Place) => Promise<Pipe>, at: Place, name: string): Promise<Pipe> => {
+const echoing = async (open: (at: Place) => Promise<Rpc>, at: Place, name: string): Promise<Rpc> => {
   const server = await open(at);
   server.on<string>('echo', shape.text, (text) => `${name}: ${text}`);
   return server;
--- a/packages/runtime/src/connection.ts
+++ b/packages/runtime/src/connection.ts
@@ -1,5 +1,5 @@
 // One connection to a worker, by undici's client (§5.7). What is kept, for how long and how many there may be is for
-// `fairway` to say: here is only the exchange itself, and whether anything of it was sent.
+// `data plane` to say: here is only the exchange itself, and whether anything of it was sent.
 import type net from 'node:net';
 import { Client, type Dispatcher } from 'undici';
 import { connector } from './connector.js';
--- a/packages/runtime/src/frames.ts
+++ b/packages/runtime/src/frames.ts
@@ -67,7 +67,7 @@
 const receive = (socket: net.Socket, onFrame: FrameListener, onBad: BadListener): void => {
   socket.setNoDelay(true);
   let from: Place | undefined;
-  // The first frame names the sender; whatever cannot be one breaks the pipe, and nothing else.
+  // The first frame names the sender; whatever cannot be one breaks the connection, and nothing else.
   const take = (text: string): boolean => {
     if (from !== undefined) return onFrame(from, text);
     if (place.ok(text)) from = text;
@@ -98,7 +98,8 @@
 };
 
 /**
- * Opens the frames of one address: one TCP pipe each way between two places; frames are length-prefixed, the first
+ * Opens the frames of one address: one TCP connection each way between two places; frames are length-prefixed, the
+ * first
  * names the sender (§3.1). Rejects with step `frames.bind` if the address cannot be bound.
  */
 export const frames: Net['frames'] = (at, onFrame, onDown, onBad) =>
--- a/packages/runtime/src/index.ts
+++ b/packages/runtime/src/index.ts
@@ -1,5 +1,5 @@
-// lens: everything a part may ask of the outside, as plain functions (§2.1).
-// The real ones are in real.ts; fog brings simulated ones. A part takes a Lens and nothing else.
+// runtime: everything a part may ask of the outside, as plain functions (§2.1).
+// The real ones are in real.ts; the simulator brings simulated ones. A part takes a Runtime and nothing else.
 import VError from 'verror';
 
 /** Whole microseconds. */
@@ -88,7 +88,7 @@
   timeLeft: Us;
   /** Limit for silence within the body. */
   silence?: Us;
-  /** Never reuse a kept pipe (§5.4). */
+  /** Never reuse a kept connection (§5.4). */
   fresh?: boolean;
 };
 export type HttpResult = {
@@ -138,13 +138,16 @@
 };
 export type HttpServer = { at: Place; close: () => Promise<void> };
 export type Net = {
-  /** `onDown` says that the pipe to a sibling broke or did not come up: what was sent may or may not have arrived. */
+  /**
+   * `onDown` says that the connection to a sibling broke or did not come up: what was sent may or may not have
+   * arrived.
+   */
   frames: (
     at: Place,
-    /** False if the frame could not be read: its pipe is broken off. */
+    /** False if the frame could not be read: its connection is broken off. */
     onFrame: (from: Place, text: string) => boolean,
     onDown?: (to: Place) => void,
-    /** A pipe was broken off for what came over it. */
+    /** A connection was broken off for what came over it. */
     onBad?: (from: Place, why: string) => void,
   ) => Promise<Frames>;
   serve: (at: Place, handler: HttpHandler, limits: number | HttpLimits) => Promise<HttpServer>;
@@ -154,7 +157,7 @@
 };
 
 export type Log = (text: string) => void;
-export type Lens = { clock: Clock; rand: Rand; disk: Disk; net: Net; log: (part: string) => Log };
+export type Runtime = { clock: Clock; rand: Rand; disk: Disk; net: Net; log: (part: string) => Log };
 
 /** Errors carry the step and the sibling at which they arose (§2.4). */
 export type FaultInfo = { step: string; sibling?: string; sent?: boolean; code?: string };
--- a/packages/runtime/src/real.ts
+++ b/packages/runtime/src/real.ts
@@ -6,7 +6,7 @@
 import { frames } from './frames.js';
 import { call } from './http-client.js';
 import { listener, serve } from './http-server.js';
-import { type Clock, type Lens, type Rand } from './index.js';
+import { type Clock, type Runtime, type Rand } from './index.js';
 
 const clock: Clock = {
   now: () => Number(process.hrtime.bigint() / 1000n),
@@ -46,7 +46,7 @@
 
 export const real = {
   listener,
-  lens: (folder: string): Lens => ({
+  runtime: (folder: string): Runtime => ({
     clock,
     rand,
     disk: files(folder),
@@ -55,6 +55,6 @@
   }),
   /** What a daemon says unless DEBUG says otherwise: all parts but the one that speaks for each program. */
   logsByDefault: (): void => {
-    if (process.env['DEBUG'] === undefined) debug.enable('thornsail:*,-thornsail:pilotage');
+    if (process.env['DEBUG'] === undefined) debug.enable('thornsail:*,-thornsail:admission scheduler');
   },
 };
--- a/packages/runtime/test/answers.test.ts
+++ b/packages/runtime/test/answers.test.ts
@@ -5,7 +5,7 @@
 import * as assert from 'uvu/assert';
 import { real, time, us, wholeText, type Connection } from '@thornsail/runtime';
 
-const lens = real.lens('/nonexistent');
+const runtime = real.runtime('/nonexistent');
 const connectWithin = us.ms(500);
 type Got = { status: number; body: string; how: 'end' | 'fail' | 'silent'; sent: boolean };
 
@@ -27,7 +27,7 @@
 const exchange = (connection: Connection, target: string, body: Uint8Array | null = null): Promise<Got> =>
   new Promise((done) => {
     const got: Got = { status: 0, body: '', how: 'end', sent: false };
-    lens.clock.tick(us.s(1), () => done({ ...got, how: 'silent' }));
+    runtime.clock.tick(us.s(1), () => done({ ...got, how: 'silent' }));
     connection.exchange(
       {
         method: body ? 'POST' : 'GET',
@@ -131,7 +131,7 @@
         ended(socket, one.ending);
       }),
     );
-    const connection = lens.net.connect(server.at, { connectWithin });
+    const connection = runtime.net.connect(server.at, { connectWithin });
     const got = await exchange(connection, '/first');
     assert.is(got.how, one.whole ? 'end' : 'fail');
     if (one.whole) assert.is(got.body, 'ok');
@@ -144,7 +144,7 @@
       assert.is(next.how, 'fail');
       assert.not.ok(asked.includes('/second'), 'the second request has left');
     }
-    await time.sleep(lens.clock, us.ms(60));
+    await time.sleep(runtime.clock, us.ms(60));
     assert.is(connection.open(), one.again);
     connection.close();
     await server.close();
@@ -160,7 +160,7 @@
         }),
       );
       const call = { at: server.at, method: 'GET', path: '/', timeLeft: us.s(1), fresh };
-      const text = await lens.net.call(call).then(
+      const text = await runtime.net.call(call).then(
         (result) => wholeText(result.body).catch(() => null),
         () => null,
       );
@@ -186,7 +186,7 @@
       setTimeout(() => socket.resume(), 150);
     });
   });
-  const connection = lens.net.connect(server.at, { connectWithin });
+  const connection = runtime.net.connect(server.at, { connectWithin });
   const got = await exchange(connection, '/long', Buffer.alloc(size, 'b'));
   assert.is(got.how, 'end');
   assert.is(got.status, 503);
@@ -194,7 +194,7 @@
   const next = await exchange(connection, '/second');
   assert.is(next.how, 'fail');
   assert.not.ok(next.sent);
-  await time.sleep(lens.clock, us.ms(400));
+  await time.sleep(runtime.clock, us.ms(400));
   assert.is(strange, 0);
   assert.ok(read < size);
   connection.close();
--- a/packages/runtime/test/clients.test.ts
+++ b/packages/runtime/test/clients.test.ts
@@ -4,8 +4,8 @@
 import * as assert from 'uvu/assert';
 import { place, real, time, us, type HttpAsk, type HttpSay, type HttpServer } from '@thornsail/runtime';
 
-const lens = real.lens('/nonexistent');
-const sleep = (ms: number): Promise<void> => time.sleep(lens.clock, us.ms(ms));
+const runtime = real.runtime('/nonexistent');
+const sleep = (ms: number): Promise<void> => time.sleep(runtime.clock, us.ms(ms));
 type Client = { socket: net.Socket; text: () => string; closed: () => 'no' | 'close' | 'reset' };
 const client = (at: string, text: string): Client => {
   let got = '';
@@ -25,7 +25,7 @@
   handler: (request: HttpAsk, say: HttpSay) => void | Promise<void>,
   run: (server: HttpServer) => Promise<void>,
 ): Promise<void> => {
-  const server = await lens.net.serve('127.0.0.1:0', handler, { maxBody: () => 1 << 20, idleFor: () => us.ms(300) });
+  const server = await runtime.net.serve('127.0.0.1:0', handler, { maxBody: () => 1 << 20, idleFor: () => us.ms(300) });
   try {
     await run(server);
   } finally {
--- a/packages/runtime/test/closing.test.ts
+++ b/packages/runtime/test/closing.test.ts
@@ -4,7 +4,7 @@
 import * as assert from 'uvu/assert';
 import { place, real, time, us, type HttpSay, type Place } from '@thornsail/runtime';
 
-const lens = real.lens('/nonexistent');
+const runtime = real.runtime('/nonexistent');
 /** More than the system's buffers of a loopback connection take from a server whose client does not read. */
 const answerBytes = 32 << 20;
 const answer = 'x'.repeat(answerBytes);
@@ -38,7 +38,7 @@
     say.end(answer);
     onAnswered();
   };
-  const server = await lens.net.serve('127.0.0.1:0', handler, 1000);
+  const server = await runtime.net.serve('127.0.0.1:0', handler, 1000);
   return { ...server, answered };
 };
 
@@ -51,7 +51,7 @@
     const client = slowClient(server.at);
     await server.answered;
     const closed = server.close();
-    await time.sleep(lens.clock, us.ms(100));
+    await time.sleep(runtime.clock, us.ms(100));
     client.resume();
     assert.ok((await client.read) > answerBytes, 'the whole answer and its head are received');
     await closed;
@@ -61,20 +61,20 @@
   const server = await serveOnce({});
   const client = slowClient(server.at);
   await server.answered;
-  const begun = lens.clock.now();
+  const begun = runtime.clock.now();
   await server.close();
-  assert.ok(lens.clock.now() - begun < us.s(8));
+  assert.ok(runtime.clock.now() - begun < us.s(8));
   client.leave();
 });
 
 test('a close with nothing left to write is immediate', async () => {
-  const server = await lens.net.serve('127.0.0.1:0', async (_, say) => say.end(''), 1000);
+  const server = await runtime.net.serve('127.0.0.1:0', async (_, say) => say.end(''), 1000);
   const client = slowClient(server.at);
   client.resume();
-  await time.sleep(lens.clock, us.ms(100));
-  const begun = lens.clock.now();
+  await time.sleep(runtime.clock, us.ms(100));
+  const begun = runtime.clock.now();
   await server.close();
-  assert.ok(lens.clock.now() - begun < us.s(1));
+  assert.ok(runtime.clock.now() - begun < us.s(1));
   assert.ok((await client.read) > 0);
 });
 
--- a/packages/runtime/test/disk.test.ts
+++ b/packages/runtime/test/disk.test.ts
@@ -6,7 +6,7 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { fault, files, type FileCalls } from '@thornsail/runtime';
-import { batches, logbook, usualLimits, type Batches, type Slot } from '@thornsail/durable-files';
+import { batches, durableStore, usualLimits, type Batches, type Slot } from '@thornsail/durable-files';
 
 type Step = 'open' | 'write' | 'sync' | 'rename' | 'folder' | 'read' | 'none';
 /** File calls of which one fails, with a code of the system's. */
@@ -57,19 +57,19 @@
     const dir = folder();
     const what = { step: 'none' as Step, code: 'ENOSPC' };
     let stopped = 0;
-    const book = await logbook.open(files(dir, failing(what)), () => (stopped += 1));
-    await book.write('a', 1, { v: 1 });
+    const durable = await durableStore.open(files(dir, failing(what)), () => (stopped += 1));
+    await durable.write('a', 1, { v: 1 });
     what.step = step;
-    assert.is(await codeOf(book.write('a', 2, { v: 2 })), 'full');
+    assert.is(await codeOf(durable.write('a', 2, { v: 2 })), 'full');
     assert.equal(readdirSync(dir), ['a.000000000001'], 'nothing is left behind');
     what.step = 'none';
-    await book.write('a', 3, { v: 3 });
-    assert.equal((await (await logbook.open(files(dir))).read<{ v: number }>('a'))?.value, { v: 3 });
+    await durable.write('a', 3, { v: 3 });
+    assert.equal((await (await durableStore.open(files(dir))).read<{ v: number }>('a'))?.value, { v: 3 });
     assert.is(stopped, 0);
   }
 });
 
-test('a write, sync or rename that fails is not acknowledged, stops the book, and is never tried again', async () => {
+test('a write, sync or rename that fails is not acknowledged, stops the store, and is never retried', async () => {
   for (const [step, code] of [
     ['write', 'EIO'],
     ['sync', 'EIO'],
@@ -80,25 +80,25 @@
     const dir = folder();
     const what = { step: 'none' as Step, code };
     let stopped = 0;
-    const book = await logbook.open(files(dir, failing(what)), () => (stopped += 1));
-    await book.write('a', 1, { v: 1 });
+    const durable = await durableStore.open(files(dir, failing(what)), () => (stopped += 1));
+    await durable.write('a', 1, { v: 1 });
     what.step = step;
-    assert.is(await codeOf(book.write('a', 2, { v: 2 })), 'failed', step);
+    assert.is(await codeOf(durable.write('a', 2, { v: 2 })), 'failed', step);
     what.step = 'none';
-    assert.is(await codeOf(book.write('a', 3, { v: 3 })), 'failed', `${step}: a second try must not seem to work`);
-    assert.is(await codeOf(book.write('b', 1, {})), 'failed');
+    assert.is(await codeOf(durable.write('a', 3, { v: 3 })), 'failed', `${step}: a second try must not seem to work`);
+    assert.is(await codeOf(durable.write('b', 1, {})), 'failed');
     assert.is(stopped, 1);
-    const v = (await (await logbook.open(files(dir))).read<{ v: number }>('a'))?.value.v;
+    const v = (await (await durableStore.open(files(dir))).read<{ v: number }>('a'))?.value.v;
     assert.ok(v === 1 || v === 2, `${step}: ${String(v)}`);
   }
 });
 
 test('a file that cannot be read is an error, not a missing file or a damaged folder', async () => {
   const dir = folder();
-  await (await logbook.open(files(dir))).write('a', 1, { v: 1 });
+  await (await durableStore.open(files(dir))).write('a', 1, { v: 1 });
   const what = { step: 'read' as Step, code: 'EIO' };
-  const book = await logbook.open(files(dir, failing(what)));
-  assert.is(await codeOf(logbook.sound(book, () => undefined)), 'failed');
+  const durable = await durableStore.open(files(dir, failing(what)));
+  assert.is(await codeOf(durableStore.sound(durable, () => undefined)), 'failed');
   assert.equal(readdirSync(dir), ['a.000000000001']);
 });
 
@@ -114,9 +114,9 @@
     clear: () => at.clear(),
   };
   let stopped = 0;
-  const book = await logbook.open(files(dir, calls), () => (stopped += 1));
-  const records = batches.open<number>({ book, index, prefix: 'reg:' });
-  const sound = await logbook.sound(book, () => undefined, undefined, records.load);
+  const durable = await durableStore.open(files(dir, calls), () => (stopped += 1));
+  const records = batches.open<number>({ durable, index, prefix: 'reg:' });
+  const sound = await durableStore.sound(durable, () => undefined, undefined, records.load);
   return { records, at, stopped: () => stopped, sound };
 };
 test('a batch takes one sync of its file; the folder is synced before its name is used, for many at once', async () => {
--- a/packages/runtime/test/http.test.ts
+++ b/packages/runtime/test/http.test.ts
@@ -14,11 +14,11 @@
     s.on('close', () => done(got));
     s.on('error', () => done(got));
   });
-const lens = real.lens('/nonexistent');
+const runtime = real.runtime('/nonexistent');
 const status = (text: string): string => text.slice(9, 12);
 
 test('odd paths and bodies get an error, and the server lives on', async () => {
-  const server = await lens.net.serve(
+  const server = await runtime.net.serve(
     '127.0.0.1:0',
     (ask, say) => {
       say.head(ask.tooBig ? 413 : 200, {});
@@ -40,11 +40,11 @@
   await server.close();
 });
 test('"not sent" is said only when nothing was', async () => {
-  const refused = await lens.net
+  const refused = await runtime.net
     .call({ at: '127.0.0.1:1', method: 'GET', path: '/', timeLeft: us.s(1) })
     .catch((e: unknown) => e);
   assert.ok(fault.notSent(refused));
-  // A server that takes the request and drops the pipe: whether it ran is not known.
+  // A server that takes the request and drops the connection: whether it ran is not known.
   const server = net.createServer((s) => {
     s.once('data', () => s.destroy());
   });
@@ -53,7 +53,7 @@
   });
   const at = `127.0.0.1:${(server.address() as net.AddressInfo).port}`;
   for (const fresh of [true, false]) {
-    const lost = await lens.net
+    const lost = await runtime.net
       .call({ at, method: 'POST', path: '/', body: '{}', timeLeft: us.s(2), fresh })
       .catch((e: unknown) => e);
     assert.ok(lost instanceof Error);
--- a/packages/service-catalog/src/index.ts
+++ b/packages/service-catalog/src/index.ts
@@ -1,5 +1,5 @@
-// harbour: the platform that lists the workers and marks those that are leaving (§3.8).
-import { fault, place, time, us, wholeText, type Lens, type Place, type Us } from '@thornsail/runtime';
+// service catalog: the platform that lists the workers and marks those that are leaving (§3.8).
+import { fault, place, time, us, wholeText, type Runtime, type Place, type Us } from '@thornsail/runtime';
 
 /** What is left out is not known from the list: the configuration says it, or the worker itself. */
 export type PlatformWorker = {
@@ -37,17 +37,17 @@
   });
 };
 
-const ownFormat = async (lens: Lens, platform: Place): Promise<PlatformWorker[]> => {
+const ownFormat = async (runtime: Runtime, platform: Place): Promise<PlatformWorker[]> => {
   const limit = us.ms(700);
-  const r = await lens.net.call({ at: platform, method: 'GET', path: '/workers', timeLeft: limit, silence: limit });
+  const r = await runtime.net.call({ at: platform, method: 'GET', path: '/workers', timeLeft: limit, silence: limit });
   const list = parse(await wholeText(r.body));
   if (r.status !== 200) throw new Error(`status ${r.status}`);
   return list;
 };
 
-export const harbour = {
+export const serviceCatalog = {
   open: (o: {
-    lens: Lens;
+    runtime: Runtime;
     /** How the list is read; left out: by our own format, at `platform`. */
     read?: () => Promise<PlatformWorker[]>;
     platform?: Place;
@@ -56,34 +56,34 @@
     due?: () => boolean;
     onList: (list: PlatformWorker[]) => void;
   }): { okAt: () => Us | undefined; close: () => void } => {
-    const log = o.lens.log('harbour');
+    const log = o.runtime.log('service catalog');
     let okAt: Us | undefined;
     let failed = false;
     let lastNamed = -Infinity;
     let notBefore = -Infinity;
     /** A platform that names nobody all at once is more likely ill than right: for a while the last list stands. */
     const doubt = (list: PlatformWorker[]): void => {
-      const now = o.lens.clock.now();
+      const now = o.runtime.clock.now();
       if (list.length > 0) lastNamed = now;
       else if (now - lastNamed < emptyFor) throw new Error('the list is empty all at once');
     };
     const poll = async (): Promise<void> => {
       try {
-        if (o.due && (!o.due() || o.lens.clock.now() < notBefore)) return;
-        const list = await (o.read ? o.read() : ownFormat(o.lens, o.platform!));
+        if (o.due && (!o.due() || o.runtime.clock.now() < notBefore)) return;
+        const list = await (o.read ? o.read() : ownFormat(o.runtime, o.platform!));
         doubt(list);
-        okAt = o.lens.clock.now();
+        okAt = o.runtime.clock.now();
         if (failed) log('the platform is back.');
         failed = false;
         o.onList(list);
       } catch (e) {
         // An ill platform is not asked by everybody all the time.
-        notBefore = o.lens.clock.now() + us.ms(400 + o.lens.rand.int(400));
+        notBefore = o.runtime.clock.now() + us.ms(400 + o.runtime.rand.int(400));
         if (!failed) log(`no list of workers: ${fault.text(e)}.`);
         failed = true;
       }
     };
     void poll();
-    return { okAt: () => okAt, close: time.every(o.lens.clock, o.every ?? us.ms(500), poll) };
+    return { okAt: () => okAt, close: time.every(o.runtime.clock, o.every ?? us.ms(500), poll) };
   },
 };
--- a/packages/simulation/src/fleet.ts
+++ b/packages/simulation/src/fleet.ts
@@ -1,18 +1,18 @@
-// A whole deployment in fog (§9.2): its machines, roles, workers, platform and callers, with faults by name.
-import { chart } from '@thornsail/config-schema';
-import { invariant, us, wholeText, type Lens, type Place, type Us } from '@thornsail/runtime';
+// A whole deployment in the simulator (§9.2): its machines, roles, workers, platform and callers, with faults by name.
+import { configSchema } from '@thornsail/config-schema';
+import { invariant, us, wholeText, type Runtime, type Place, type Us } from '@thornsail/runtime';
 import {
   audit,
   callers,
   classNames,
   layout,
-  ledger,
+  requestLog,
   ports,
   shapes,
   silent,
   standIns,
   type Callers,
-  type Ledger,
+  type RequestLog,
   type Layout,
   type Shape,
   type ShapeName,
@@ -26,7 +26,7 @@
 
 export type Proc = {
   name: string;
-  role: 'front' | 'pilot' | 'tower' | 'keeper';
+  role: 'gateway' | 'agent' | 'coordinator' | 'store';
   host: Host;
   node: Node | null;
   options: Record<string, unknown>;
@@ -36,12 +36,12 @@
   w: World;
   shape: Shape;
   layout: Layout;
-  ledger: Ledger;
+  requestLog: RequestLog;
   procs: Proc[];
   models: StandIn[];
   apps: StandIn[];
   callers: Callers;
-  callerLens: Lens;
+  callerRuntime: Runtime;
   platform: Platform;
   proc: (name: string) => Proc;
   hostOf: (ip: string) => Host;
@@ -51,7 +51,7 @@
   replace: (name: string, as: string, ip: string) => void;
   /** One more machine. */
   addEdge: (n: number) => void;
-  addKeeper: (name: string, ip: string) => void;
+  addStore: (name: string, ip: string) => void;
   /** A worker of its own machine, not yet on the platform's list. */
   addWorker: (w: Listed) => Promise<StandIn>;
   freeze: (name: string, forUs: Us) => void;
@@ -109,7 +109,7 @@
       clientIp: lay.callers,
     });
     if (o.log) w.logs((at, ip, part, text) => o.log!(`${(at / 1e6).toFixed(3)} ${ip} ${part}: ${text}`));
-    const book = ledger.open();
+    const recorded = requestLog.open();
     const hosts = new Map<string, Host>();
     const host = (ip: string, zone: string): Host => {
       const h = hosts.get(ip) ?? w.host(ip, zone);
@@ -132,19 +132,19 @@
     const models: StandIn[] = [];
     const apps: StandIn[] = [];
     const startWorker = async (x: Listed, zone: string): Promise<StandIn> => {
-      const lens = w.lens(host(x.at.split(':')[0]!, zone));
-      const own = { id: x.id, at: x.at, ledger: book, rand: lens.rand };
+      const runtime = w.runtime(host(x.at.split(':')[0]!, zone));
+      const own = { id: x.id, at: x.at, requestLog: recorded, rand: runtime.rand };
       const { capacity, firstToken, perToken } = shape;
       const speed = { capacity, firstToken, perToken, perPrefill: 60 };
       const s =
         x.kind === 'model'
-          ? await standIns.model(lens, { ...own, ...speed, places: places.model })
-          : await standIns.app(lens, { ...own, takes: us.ms(15), places: places.app });
+          ? await standIns.model(runtime, { ...own, ...speed, places: places.model })
+          : await standIns.app(runtime, { ...own, takes: us.ms(15), places: places.app });
       (x.kind === 'model' ? models : apps).push(s);
       return s;
     };
     for (const [i, x] of lay.workers.entries()) await startWorker(x, `z${(i % 3) + 1}`);
-    const platform = await standIns.platform(w.lens(host(lay.platform.split(':')[0]!, 'z1')), {
+    const platform = await standIns.platform(w.runtime(host(lay.platform.split(':')[0]!, 'z1')), {
       at: lay.platform,
       workers: lay.workers,
     });
@@ -169,17 +169,18 @@
     const addEdge = (name: string, ip: string, zone: string): void => {
       const common = { place: `${ip}:${ports.sibling}`, http: `${ip}:${ports.http}` };
       const own = ip.replace('.1.', '.11.');
-      add(`pilot-${name}`, 'pilot', ip, zone, { ...common, platform: lay.platform });
-      add(`front-${name}`, 'front', own, zone, {
-        place: `${own}:${ports.frontSibling}`,
-        http: `${own}:${ports.frontHttp}`,
-        pilot: common.place,
+      add(`agent-${name}`, 'agent', ip, zone, { ...common, platform: lay.platform });
+      add(`gateway-${name}`, 'gateway', own, zone, {
+        place: `${own}:${ports.gatewaySibling}`,
+        http: `${own}:${ports.gatewayHttp}`,
+        agent: common.place,
       });
     };
     for (const m of lay.machines) {
       const common = { place: `${m.host}:${ports.sibling}`, http: `${m.host}:${ports.http}` };
-      if (m.kind === 'tower') add(m.name, 'tower', m.host, m.zone, { ...common, data: 'data', founders: lay.founders });
-      else if (m.kind === 'keeper') add(m.name, 'keeper', m.host, m.zone, { ...common, data: 'data' });
+      if (m.kind === 'coordinator')
+        add(m.name, 'coordinator', m.host, m.zone, { ...common, data: 'data', founders: lay.founders });
+      else if (m.kind === 'store') add(m.name, 'store', m.host, m.zone, { ...common, data: 'data' });
       else addEdge(m.name, m.host, m.zone);
     }
     const proc = (name: string): Proc => {
@@ -188,10 +189,10 @@
       return p;
     };
     const boot = (p: Proc): void => {
-      const c = chart.options(p.role, { ...p.options, seeds: p.seeds });
+      const c = configSchema.options(p.role, { ...p.options, seeds: p.seeds });
       if (!c.ok) throw new Error(JSON.stringify(c.problems));
       const inc = p.host.inc;
-      (roles[p.role] as (l: Lens, x: never, extra: object) => Promise<Node>)(w.lens(p.host), c.value as never, {
+      (roles[p.role] as (l: Runtime, x: never, extra: object) => Promise<Node>)(w.runtime(p.host), c.value as never, {
         plain: o.plain ?? false,
       }).then(
         (node) => {
@@ -210,14 +211,14 @@
       w,
       shape,
       layout: lay,
-      ledger: book,
+      requestLog: recorded,
       procs,
       models,
       apps,
       platform,
       hostOf: (ip) => host(ip, 'z1'),
       callers: undefined as unknown as Callers,
-      callerLens: w.lens(host(lay.callers, 'c')),
+      callerRuntime: w.runtime(host(lay.callers, 'c')),
       proc,
       expectBreach: extraBreaches,
       kill: (name, how = 'process') => {
@@ -243,7 +244,7 @@
           name: as,
           place: `${ip}:${ports.sibling}`,
           http: `${ip}:${ports.http}`,
-          ...(p.role === 'tower' ? { founders: [] } : {}),
+          ...(p.role === 'coordinator' ? { founders: [] } : {}),
         });
         proc(as).seeds = p.seeds;
         boot(proc(as));
@@ -251,12 +252,12 @@
       addEdge: (n) => {
         addEdge(`edge${n}`, lay.machines[0]!.host.replace(/\d+$/, String(n)), 'z2');
         for (const p of procs.slice(-2)) {
-          p.seeds = proc('pilot-edge2').seeds;
+          p.seeds = proc('agent-edge2').seeds;
           boot(p);
         }
       },
-      addKeeper: (name, ip) => {
-        add(name, 'keeper', ip, 'z1', { place: `${ip}:${ports.sibling}`, http: `${ip}:${ports.http}`, data: 'data' });
+      addStore: (name, ip) => {
+        add(name, 'store', ip, 'z1', { place: `${ip}:${ports.sibling}`, http: `${ip}:${ports.http}`, data: 'data' });
         boot(proc(name));
       },
       addWorker: (x) => startWorker(x, 'z1'),
@@ -280,7 +281,7 @@
       },
       cutMachine: (ip, from) => w.cut([host(ip, 'z1')], from),
       http: async (at, method, path, body, headers = {}) => {
-        const r = await f.callerLens.net.call({
+        const r = await f.callerRuntime.net.call({
           at,
           method,
           path,
@@ -302,7 +303,7 @@
         });
         return { status: r.status, mark: Number(r.body['mark'] ?? -1) };
       },
-      ready: () => procs.filter((p) => p.role === 'front' && p.host.alive && p.node?.ready().ok).length,
+      ready: () => procs.filter((p) => p.role === 'gateway' && p.host.alive && p.node?.ready().ok).length,
       until: async (what, ok, limit) => {
         const begun = w.now();
         while (!ok()) {
@@ -353,14 +354,14 @@
           ...invariant.breaches(),
           ...extraBreaches,
           ...f.callers.summary.breaches,
-          ...silent(book, f.callers.summary.silences, shape.firstToken).breaches,
-          ...audit({ ledger: book, keys: f.callers.keys, budgets: budget, leftAt: platform.leftAt }),
+          ...silent(recorded, f.callers.summary.silences, shape.firstToken).breaches,
+          ...audit({ requestLog: recorded, keys: f.callers.keys, budgets: budget, leftAt: platform.leftAt }),
         ];
       },
     };
     f.callers = callers.open({
-      lens: f.callerLens,
-      rand: f.callerLens.rand,
+      runtime: f.callerRuntime,
+      rand: f.callerRuntime.rand,
       classes: classNames[o.shape],
       chatTimeLeft: shape.chatTimeLeft,
       pushTimeLeft: shape.pushTimeLeft,
@@ -370,8 +371,8 @@
         return p === undefined || troubled(p.host, since);
       },
       stalls: o.stalls ?? false,
-      fronts: () => {
-        const up = procs.filter((p) => p.role === 'front' && p.host.alive).map((p) => p.options['http'] as string);
+      gateways: () => {
+        const up = procs.filter((p) => p.role === 'gateway' && p.host.alive).map((p) => p.options['http'] as string);
         return up.slice(0, o.callAt ?? up.length);
       },
     });
@@ -379,8 +380,8 @@
     const config = shape.config;
     if (o.noConfig) return f;
     await f.until(
-      'a view of towers',
-      () => procs.some((p) => p.role === 'tower' && p.node?.counts()['leads'] === 1),
+      'a view of coordinators',
+      () => procs.some((p) => p.role === 'coordinator' && p.node?.counts()['leads'] === 1),
       us.s(10),
     );
     let mark = 0;
@@ -391,7 +392,7 @@
       () => undefined,
     );
     await f.until('the first configuration', () => mark === 1, us.s(8));
-    await f.until('all fronts ready', () => f.ready() === 7, us.s(15));
+    await f.until('all gateways ready', () => f.ready() === 7, us.s(15));
     return f;
   },
 };
--- a/packages/simulation/src/link.ts
+++ b/packages/simulation/src/link.ts
@@ -1,4 +1,5 @@
-// One kept connection (§9.2): a simulated TCP link between two processes, a client as lens's `connect` gives it, and a
+// One kept connection (§9.2): a simulated TCP link between two processes, a client as runtime's `connect` gives it,
+// and a
 // server that may misbehave. What a cut holds up arrives after it; what was on its way from a lost power does not.
 import {
   fault,
@@ -255,7 +256,7 @@
   queue: (() => void)[];
 };
 
-/** The client's end, as lens's `connect` gives it: one exchange at a time, never used after a fault. */
+/** The client's end, as runtime's `connect` gives it: one exchange at a time, never used after a fault. */
 const clientOf = (g: Ground, h: Host, at: Place, o: { connectWithin: Us; onClosed?: () => void }): Connection => {
   let state: 'new' | 'connecting' | 'up' | 'closed' = 'new';
   let turn: Turn | null = null;
--- a/packages/simulation/src/measurement/capacity/acknowledging.ts
+++ b/packages/simulation/src/measurement/capacity/acknowledging.ts
@@ -1,40 +1,41 @@
-// Whether coordinators that are cut off from most fronts acknowledge a change (§7.2).
+// Whether coordinators that are cut off from most gateways acknowledge a change (§7.2).
 import { type CoreAsk, type CoreClient, type PushResult, core, coreClient } from '@thornsail/consensus';
-import { logbook } from '@thornsail/durable-files';
-import { pipe } from '@thornsail/rpc';
+import { durableStore } from '@thornsail/durable-files';
+import { rpc } from '@thornsail/rpc';
 import { place, us } from '@thornsail/runtime';
 import { hollowConfig } from '../hollow.js';
 import { newWorld, nodeOf } from './fixtures.js';
 import { type Found, type Part, pick } from './slope.js';
 
 /**
- * A core that is cut off from three fifths of the fronts, which serve on behind the cut (§7.2): whether it acknowledges
+ * A core that is cut off from three fifths of the gateways, which serve on behind the cut (§7.2): whether it
+ * acknowledges
  * a change that they cannot hear of.
  */
 export const acknowledging: Part = async (sizes) => {
   const out: Found['points'] = [];
-  for (const fronts of pick(sizes, [20, 40, 80, 160, 380], [20, 80])) {
+  for (const gateways of pick(sizes, [20, 40, 80, 160, 380], [20, 80])) {
     const w = newWorld();
     const founders = [0, 1, 2].map((i) => nodeOf(i).place);
     const using = new Map<string, number>();
     for (const i of [0, 1, 2]) {
-      const lens = w.lens(w.host(place.host(founders[i]!), `z${i}`));
-      void pipe.open(lens, founders[i]!).then(async (p) =>
+      const runtime = w.runtime(w.host(place.host(founders[i]!), `z${i}`));
+      void rpc.open(runtime, founders[i]!).then(async (p) =>
         core.open({
-          lens,
-          pipe: p,
-          book: await logbook.open(lens.disk),
+          runtime,
+          rpc: p,
+          durable: await durableStore.open(runtime.disk),
           founders,
           onDone: () => undefined,
           uses: (id) => using.get(id) ?? 0,
         }),
       );
     }
-    const lens = w.lens(w.host('10.1.0.1', 'z0'));
+    const runtime = w.runtime(w.host('10.1.0.1', 'z0'));
     let client: CoreClient | undefined;
-    void pipe
-      .open(lens, '10.1.0.1:1')
-      .then((p) => (client = coreClient.open({ lens, pipe: p, towers: () => founders })));
+    void rpc
+      .open(runtime, '10.1.0.1:1')
+      .then((p) => (client = coreClient.open({ runtime, rpc: p, towers: () => founders })));
     await w.run(us.s(3));
     const ask = async <T>(a: CoreAsk): Promise<T> => {
       let got: { value: T } | undefined;
@@ -43,9 +44,9 @@
       if (!got) throw new Error(`${a.op}: no answer`);
       return got.value;
     };
-    const all = Array.from({ length: 2 * fronts }, (_, i) => nodeOf(19 + i));
+    const all = Array.from({ length: 2 * gateways }, (_, i) => nodeOf(19 + i));
     for (const node of all) await ask({ op: 'join', node });
-    const cut = all.slice(0, 2 * Math.round(fronts * 0.6));
+    const cut = all.slice(0, 2 * Math.round(gateways * 0.6));
     const left = all.slice(cut.length);
     const by = left.slice(0, 2).map((n) => n.id);
     await ask({ op: 'suspect', list: cut.flatMap((n) => by.map((b) => ({ by: b, id: n.id, inc: 1 }))) });
@@ -53,8 +54,8 @@
     for (const n of left) using.set(n.id, 1);
     const body = hollowConfig(1);
     const r = await ask<PushResult>({ op: 'push', push: { id: 'c', base: 0, how: 'whole', body } });
-    out.push([fronts, r.ok ? 'acknowledged' : r.why]);
+    out.push([gateways, r.ok ? 'acknowledged' : r.why]);
   }
-  const what = 'a change, with the core cut off from three fifths of the fronts, which serve on';
-  return { slopes: [], failed: [], found: [{ what, by: 'front', points: out }] };
+  const what = 'a change, with the core cut off from three fifths of the gateways, which serve on';
+  return { slopes: [], failed: [], found: [{ what, by: 'gateway', points: out }] };
 };
--- a/packages/simulation/src/measurement/capacity/dealing.ts
+++ b/packages/simulation/src/measurement/capacity/dealing.ts
@@ -1,6 +1,6 @@
-// How many turns get the worker that holds their context, by the number of fronts that share the workers.
-import { chart } from '@thornsail/config-schema';
-import { type Load, berth, newsLag } from '@thornsail/load-balancer';
+// How many turns get the worker that holds their context, by the number of gateways that share the workers.
+import { configSchema } from '@thornsail/config-schema';
+import { type Load, loadBalancer, newsLag } from '@thornsail/load-balancer';
 import type { Us } from '@thornsail/runtime';
 import type { Point } from '../fit.js';
 import { hollowConfig, workerList } from '../hollow.js';
@@ -13,12 +13,12 @@
   for (const edges of pick(sizes, [16, 40, 80, 160, 380], [12, 16, 24, 48])) {
     const workers = workerList(24, 1);
     let now: Us = 0;
-    const b = berth.open(
+    const b = loadBalancer.open(
       () => now,
       'e000',
       () => Math.floor(now / newsLag),
     );
-    const c = chart.check(hollowConfig(1));
+    const c = configSchema.check(hollowConfig(1));
     if (!c.ok) throw new Error('the configuration of the measurement is wrong');
     b.config(c.value);
     b.workers(workers);
@@ -42,5 +42,5 @@
     out.push([edges, (100 * kept) / tries]);
   }
   const name = 'turns that get the worker with their context';
-  return { failed: [], slopes: [slope(name, 'front', '%', 'simulated', out, 'power')] };
+  return { failed: [], slopes: [slope(name, 'gateway', '%', 'simulated', out, 'power')] };
 };
--- a/packages/simulation/src/measurement/capacity/failures.ts
+++ b/packages/simulation/src/measurement/capacity/failures.ts
@@ -33,7 +33,7 @@
     [`the same in time, ${step} ms each`, `${figure((versions * step) / 1000)} s; pushes are unconfirmed until then`],
     ['a lost zone: sent to and by each node left, 300 routes', amount(zoneBytes, 'B')],
     ['reserved for one cut turn, and stays charged', `up to ${figure(reserved)} for ${figure(size.history)} tokens`],
-    ["a region's hour, one core: fronts that refuse", figure(region)],
+    ["a region's hour, one core: gateways that refuse", figure(region)],
     ["a region's hour, one core: processes ruled dead", `${figure(2 * region)}, of which the roster names 64`],
     ["a region's hour, one core: requests refused", `up to ${figure(hour)}`],
     ["a region's hour, home regions, 1 in 100 programs away", `${figure(hour / 100)} refused on each side`],
--- a/packages/simulation/src/measurement/capacity/fixtures.ts
+++ b/packages/simulation/src/measurement/capacity/fixtures.ts
@@ -1,22 +1,22 @@
 // Nodes, configurations, versions and load messages of a given size, as the measurements encode them.
-import { pilotage } from '@thornsail/admission-scheduler';
+import { admissionScheduler } from '@thornsail/admission-scheduler';
 import { type Marked, type NodeEntry, type Ordered, order } from '@thornsail/consensus';
 import type { EdgeLoad } from '@thornsail/data-plane';
-import { pipe } from '@thornsail/rpc';
-import { type Lens, type Us, us } from '@thornsail/runtime';
+import { rpc } from '@thornsail/rpc';
+import { type Runtime, type Us, us } from '@thornsail/runtime';
 import { type World, world } from '../../world.js';
 import { workerList } from '../hollow.js';
 
 export const newWorld = (zoneDelay: Us = us.ms(1)): World =>
   world.open({ seed: 1, zoneDelay, clientDelay: us.ms(1), clientIp: '127.0.9.9' });
 
-/** The bytes of one frame as `pipe` encodes it, with the four of its length. */
+/** The bytes of one frame as `connection` encodes it, with the four of its length. */
 export const frameBytes = async (kind: string, body: unknown): Promise<number> => {
   const sent: number[] = [];
   const w = newWorld();
-  const lens = w.lens(w.host('10.0.0.1', 'z1'));
-  const net: Lens['net'] = {
-    ...lens.net,
+  const runtime = w.runtime(w.host('10.0.0.1', 'z1'));
+  const net: Runtime['net'] = {
+    ...runtime.net,
     frames: (at) =>
       Promise.resolve({
         at,
@@ -24,13 +24,13 @@
         close: () => Promise.resolve(),
       }),
   };
-  const p = await pipe.open({ ...lens, net }, '10.0.0.1:7101');
+  const p = await rpc.open({ ...runtime, net }, '10.0.0.1:7101');
   p.tell('10.0.0.2:7101', kind, body);
   return sent[0]!;
 };
 
 export const nodeOf = (i: number): Omit<NodeEntry, 'standing' | 'since'> => {
-  const role = i < 19 ? (i < 3 ? 'tower' : 'keeper') : i % 2 ? 'pilot' : 'front';
+  const role = i < 19 ? (i < 3 ? 'coordinator' : 'store') : i % 2 ? 'agent' : 'gateway';
   const at = `10.${20 + (i >> 8)}.${i & 255}.7`;
   const id = `${role}-${(i * 7_919 + 0x10000).toString(16).padStart(18, 'a1b2c3d4e5f6')}`;
   return { id, name: `${role}${i}`, role, place: `${at}:7101`, http: `${at}:7102`, zone: `z${i % 14}`, inc: 1 };
@@ -104,16 +104,20 @@
 
 export const mostWorkers = 12_000;
 
-export const programsOf = (programs: number, workers: number): ReturnType<typeof pilotage.open> => {
-  const s = pilotage.open({ ...pilotage.defaults(), maxPrograms: 1_000_000, maxTurns: 1_000_000 }, 0);
+export const programsOf = (programs: number, workers: number): ReturnType<typeof admissionScheduler.open> => {
+  const s = admissionScheduler.open(
+    { ...admissionScheduler.defaults(), maxPrograms: 1_000_000, maxTurns: 1_000_000 },
+    0,
+  );
   const list = workerList(workers).map((w) => ({ id: w.id, capacity: 2_000_000, eligible: true }));
-  pilotage.step(s, { kind: 'workers', list }, 0);
+  admissionScheduler.step(s, { kind: 'workers', list }, 0);
   const limits = { timeLeft: us.s(600), expected: us.s(10), silence: us.s(2) };
   for (let i = 0; i < programs; i++) {
     const known = { tokens: 240_000, worker: list[i % list.length]!.id };
     const e = { kind: 'arrive' as const, turn: `t${i}`, program: `p${i}`, tokens: 240_000, ...limits, known };
-    pilotage.step(s, e, 0);
-    if (i % 2) pilotage.step(s, { kind: 'end', turn: `t${i}`, tokens: 240_000, final: false, worker: null }, 0);
+    admissionScheduler.step(s, e, 0);
+    if (i % 2)
+      admissionScheduler.step(s, { kind: 'end', turn: `t${i}`, tokens: 240_000, final: false, worker: null }, 0);
   }
   return s;
 };
--- a/packages/simulation/src/measurement/capacity/keeping.ts
+++ b/packages/simulation/src/measurement/capacity/keeping.ts
@@ -4,7 +4,7 @@
 import { mkdtempSync, rmSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { type Group, registers } from '@thornsail/register-store';
-import { pipe } from '@thornsail/rpc';
+import { rpc } from '@thornsail/rpc';
 import { real, us } from '@thornsail/runtime';
 import type { Point } from '../fit.js';
 import { benchAddress, isUp } from '../registers.js';
@@ -18,20 +18,20 @@
 export const keeping: Part = async (sizes) => {
   const folder = mkdtempSync(path.join(tmpdir(), 'thornsail-capacity-'));
   const at = benchAddress(11);
-  const args = [path.join(here, '../registers-cli.js'), '--keeper', '11', path.join(folder, 'k'), at];
+  const args = [path.join(here, '../registers-cli.js'), '--store', '11', path.join(folder, 'k'), at];
   const c = spawn(process.execPath, args, { stdio: ['ignore', 'pipe', 'ignore'] });
   try {
     await isUp(c);
-    const lens = real.lens(folder);
-    const p = await pipe.open(lens, benchAddress(19));
+    const runtime = real.runtime(folder);
+    const p = await rpc.open(runtime, benchAddress(19));
     const group: Group = { mark: 1, members: [{ id: 'k11', at }] };
-    const regs = registers.open({ lens, pipe: p, by: 'capacity', group: () => group });
+    const regs = registers.open({ runtime, rpc: p, by: 'capacity', group: () => group });
     const used = async (): Promise<number> => {
       const u = await p.ask<Usage>(at, 'bench.usage', {}, us.s(5));
       return u.cpu.user + u.cpu.system;
     };
-    const atKeeper: Point[] = [];
-    const atFront: Point[] = [];
+    const atStore: Point[] = [];
+    const atGateway: Point[] = [];
     const changes = sizes === 'small' ? 100 : 1000;
     const load = async (kb: number, n: number): Promise<void> => {
       const value = { text: 'say it "so" '.repeat(Math.round((kb * 1000) / 14)) };
@@ -45,8 +45,8 @@
     for (const kb of [1, 4, 16, 40]) {
       const [a, own] = [await used(), cpu()];
       await load(kb, changes);
-      atFront.push([kb, (cpu() - own) / changes]);
-      atKeeper.push([kb, ((await used()) - a) / changes]);
+      atGateway.push([kb, (cpu() - own) / changes]);
+      atStore.push([kb, ((await used()) - a) / changes]);
     }
     p.tell(at, 'bench.end', {});
     await new Promise((fin) => setTimeout(fin, 100));
@@ -54,8 +54,8 @@
     return {
       failed: [],
       slopes: [
-        slope('a change at a keeper', 'KB of value', 'µs', 'measured', atKeeper),
-        slope('a change at its front, for each keeper', 'KB of value', 'µs', 'measured', atFront),
+        slope('a change at a store', 'KB of value', 'µs', 'measured', atStore),
+        slope('a change at its gateway, for each store', 'KB of value', 'µs', 'measured', atGateway),
       ],
     };
   } finally {
--- a/packages/simulation/src/measurement/capacity/known.ts
+++ b/packages/simulation/src/measurement/capacity/known.ts
@@ -32,7 +32,7 @@
   k.slope('a version, by services') * size.models +
   k.slope('a version, by routes') * routes;
 
-/** How often a version goes in and out of a node, as fronts and pilots of the simulated net had it. */
+/** How often a version goes in and out of a node, as gateways and agents of the simulated net had it. */
 export const versionCopies = (k: Known): number => {
   const { points } = k.of('times that a version goes in and out of a node');
   return points.reduce((a, [, y]) => a + y, 0) / points.length;
--- a/packages/simulation/src/measurement/capacity/losses.ts
+++ b/packages/simulation/src/measurement/capacity/losses.ts
@@ -12,13 +12,13 @@
   for (const lost of pick(sizes, [1, 2, 4, 8], [1, 2, 3, 4])) {
     const h = await hollow.open({ edges });
     if (!h) throw new Error('the hollow nodes did not come up');
-    const gone = [...h.of('pilot').slice(1, 1 + lost), ...h.of('front').slice(1, 1 + lost)];
+    const gone = [...h.of('agent').slice(1, 1 + lost), ...h.of('gateway').slice(1, 1 + lost)];
     const ids = gone.map((n) => n.node!.id);
-    const seq = (): number => Math.max(...h.of('tower').map((n) => n.node?.mooring.mark() ?? 0));
+    const seq = (): number => Math.max(...h.of('coordinator').map((n) => n.node?.membership.mark() ?? 0));
     const before = seq();
     const begun = h.w.now();
     for (const n of gone) h.kill(n);
-    const roster = (): Ordered['roster'] => h.head()?.node?.mooring.state()?.roster ?? {};
+    const roster = (): Ordered['roster'] => h.head()?.node?.membership.state()?.roster ?? {};
     await h.until(() => ids.every((id) => roster()[id]?.standing === 'dead'), us.s(20));
     versions.push([2 * lost, seq() - before]);
     took.push([2 * lost, us.toMs(h.w.now() - begun)]);
--- a/packages/simulation/src/measurement/capacity/memory.ts
+++ b/packages/simulation/src/measurement/capacity/memory.ts
@@ -1,7 +1,7 @@
 // Heap of the roster, the lists, the scheduler and a store, by their size.
-import { logbook } from '@thornsail/durable-files';
+import { durableStore } from '@thornsail/durable-files';
 import { type Group, store } from '@thornsail/register-store';
-import { pipe } from '@thornsail/rpc';
+import { rpc } from '@thornsail/rpc';
 import { type Disk, us } from '@thornsail/runtime';
 import { parse, stringify } from 'devalue';
 import type { Point } from '../fit.js';
@@ -28,12 +28,17 @@
   const few = sizes === 'small' ? 1 : undefined;
   const programs = many.map((x) => x / 2);
   const w = newWorld();
-  const lens = w.lens(w.host('10.2.0.1', 'z0'));
+  const runtime = w.runtime(w.host('10.2.0.1', 'z0'));
   const group: Group = { mark: 1, members: [{ id: 'k0', at: '10.2.0.1:1' }] };
-  void pipe.open(lens, '10.2.0.1:1').then(async (p) => {
-    await store.open({ lens: { ...lens, disk: nowhere }, pipe: p, book: await logbook.open(nowhere), freshId: 'k0' });
+  void rpc.open(runtime, '10.2.0.1:1').then(async (p) => {
+    await store.open({
+      runtime: { ...runtime, disk: nowhere },
+      rpc: p,
+      durable: await durableStore.open(nowhere),
+      freshId: 'k0',
+    });
   });
-  const regs = await proposerOf(w, w.lens(w.host('10.1.0.1', 'z0')), group);
+  const regs = await proposerOf(w, w.runtime(w.host('10.1.0.1', 'z0')), group);
   const held: Point[] = [];
   const empty = heap();
   let have = 0;
@@ -64,7 +69,7 @@
         'program',
         await points(programs, (x) => heapOf(() => programsOf(x, 500), few ?? 4)),
       ),
-      line('memory of a keeper', 'claimed key', held),
+      line('memory of a store', 'claimed key', held),
     ],
   };
 };
--- a/packages/simulation/src/measurement/capacity/messages.ts
+++ b/packages/simulation/src/measurement/capacity/messages.ts
@@ -4,17 +4,17 @@
 import { type Hollow, hollow, total } from '../hollow.js';
 import { type Failed, type Part, type Slope, pick, slope } from './slope.js';
 
-const meanOf = (h: Hollow, role: 'front' | 'pilot' | 'keeper', of: (n: Hollow['nodes'][number]) => number): number => {
+const meanOf = (h: Hollow, role: 'gateway' | 'agent' | 'store', of: (n: Hollow['nodes'][number]) => number): number => {
   const all = h.of(role).map(of);
   return all.reduce((a, b) => a + b, 0) / all.length;
 };
 
-/** What a front and its pilot send and get, in the mean. */
+/** What a gateway and its agent send and get, in the mean. */
 const atNode = (h: Hollow, kinds: (kind: string) => boolean): { messages: number; bytes: number } => {
   const of = (what: 'messages' | 'bytes'): number => {
     const both = (n: Hollow['nodes'][number]): number =>
       total(n.tally.sent, kinds)[what] + total(n.tally.got, kinds)[what];
-    return meanOf(h, 'front', both) + meanOf(h, 'pilot', both);
+    return meanOf(h, 'gateway', both) + meanOf(h, 'agent', both);
   };
   return { messages: of('messages'), bytes: of('bytes') };
 };
@@ -24,13 +24,14 @@
 /** For how long turns are stirred, in seconds. */
 const stirred = 4;
 /**
- * Turns that begin and end at every front, without a request: what runs changes all the time. `every` is the time
- * between two changes in milliseconds: few fronts show the phase of their timers if it divides the pause between news.
+ * Turns that begin and end at every gateway, without a request: what runs changes all the time. `every` is the time
+ * between two changes in milliseconds: few gateways show the phase of their timers if it divides the pause between
+ * news.
  */
 const stir = (h: Hollow, every: number): void => {
   const step = (i: number): void => {
-    for (const n of h.of('front')) {
-      const adm = n.node?.fairway?.admission;
+    for (const n of h.of('gateway')) {
+      const adm = n.node?.dataPlane?.admission;
       const worker = adm?.worker('worker-00000');
       if (!adm || !worker) continue;
       if (i % 2) adm.leave(worker.id, 'chat', null);
@@ -58,35 +59,35 @@
     put(
       'heartbeats of a process',
       processes,
-      meanOf(h, 'pilot', (n) => both(n, (k) => k === 'beat')),
+      meanOf(h, 'agent', (n) => both(n, (k) => k === 'beat')),
     );
     const others = (k: string): boolean => isControl(k) && k !== 'beat' && k !== 'news.workers';
     put(
-      'a pilot, idle, the rest',
+      'an agent, idle, the rest',
       processes,
-      meanOf(h, 'pilot', (n) => both(n, others)),
+      meanOf(h, 'agent', (n) => both(n, others)),
     );
     put(
-      'a front, idle, the rest',
+      'a gateway, idle, the rest',
       processes,
-      meanOf(h, 'front', (n) => both(n, others)),
+      meanOf(h, 'gateway', (n) => both(n, others)),
     );
     put('frames at a node, idle, heartbeats', processes, atNode(h, (k) => k === 'beat').messages / span);
     put('frames at a node, idle, the rest', processes, atNode(h, others).messages / span);
     put(
-      'load, idle, at a front',
+      'load, idle, at a gateway',
       edges,
-      meanOf(h, 'front', (n) => both(n, (k) => !isControl(k))),
+      meanOf(h, 'gateway', (n) => both(n, (k) => !isControl(k))),
     );
     put(
-      'load, idle, at a pilot',
+      'load, idle, at an agent',
       edges,
-      meanOf(h, 'pilot', (n) => both(n, (k) => !isControl(k))),
+      meanOf(h, 'agent', (n) => both(n, (k) => !isControl(k))),
     );
     put(
-      'readiness asks at a keeper',
+      'readiness asks at a store',
       edges,
-      meanOf(h, 'keeper', (n) => total(n.tally.got, (k) => k === 'reg.read').messages / span),
+      meanOf(h, 'store', (n) => total(n.tally.got, (k) => k === 'reg.read').messages / span),
     );
     h.clear();
     stir(h, sizes === 'small' ? 33 : 100);
@@ -94,13 +95,13 @@
     put(
       'load while turns change',
       edges,
-      meanOf(h, 'front', (n) => total(n.tally.sent, (k) => k === 'load' || k === 'loads').messages / stirred),
+      meanOf(h, 'gateway', (n) => total(n.tally.sent, (k) => k === 'load' || k === 'loads').messages / stirred),
     );
     h.clear();
     const took = await h.push();
     await h.run(us.s(1));
     const all = h.nodes.map((n) => total(n.tally.got, (k) => k === 'news.uses').bytes);
-    put('what fronts say of one change, at a process', processes, all.reduce((a, b) => a + b, 0) / all.length);
+    put('what gateways say of one change, at a process', processes, all.reduce((a, b) => a + b, 0) / all.length);
     put('one change in use everywhere', processes, us.toMs(took));
     const times = atNode(h, (k) => k === 'news.order').messages;
     put('times that a version goes in and out of a node', processes, times);
@@ -128,15 +129,15 @@
     failed,
     slopes: [
       flat('heartbeats of a process', 'bytes a second'),
-      flat('a pilot, idle, the rest', 'bytes a second'),
-      flat('a front, idle, the rest', 'bytes a second'),
+      flat('an agent, idle, the rest', 'bytes a second'),
+      flat('a gateway, idle, the rest', 'bytes a second'),
       flat('frames at a node, idle, heartbeats', 'messages a second'),
       flat('frames at a node, idle, the rest', 'messages a second'),
-      line('load, idle, at a front', 'front', 'bytes a second'),
-      line('load, idle, at a pilot', 'front', 'bytes a second'),
-      line('load while turns change', 'front', 'messages a second'),
-      line('readiness asks at a keeper', 'front', 'messages a second'),
-      line('what fronts say of one change, at a process', 'process', 'bytes'),
+      line('load, idle, at a gateway', 'gateway', 'bytes a second'),
+      line('load, idle, at an agent', 'gateway', 'bytes a second'),
+      line('load while turns change', 'gateway', 'messages a second'),
+      line('readiness asks at a store', 'gateway', 'messages a second'),
+      line('what gateways say of one change, at a process', 'process', 'bytes'),
       line('one change in use everywhere', 'process', 'ms'),
       flat('times that a version goes in and out of a node', 'messages'),
       line('the list of workers, at a node', 'worker', 'bytes a second'),
--- a/packages/simulation/src/measurement/capacity/needs.ts
+++ b/packages/simulation/src/measurement/capacity/needs.ts
@@ -1,7 +1,7 @@
 // What each role holds and says at the size to design for, as slope times size.
 import { amount, figure, ofAllowed, ofCore } from './figure.js';
 import { type Known, known as slopesByName, versionBytes, versionCopies, versionsADay } from './known.js';
-import { allowed, day, header, perFront, running, size, taken, turnKb } from './size.js';
+import { allowed, day, header, perGateway, running, size, taken, turnKb } from './size.js';
 import type { Slope } from './slope.js';
 
 /** One row of what a role holds or says; `breaks` says at which size it passes what is allowed. */
@@ -59,13 +59,13 @@
   return { rows, rate, time, held, free };
 };
 
-/** What the load between fronts grows with. */
-const perTurns = 'fronts × turns that run';
+/** What the load between gateways grows with. */
+const perTurns = 'gateways × turns that run';
 
-/** Bytes that a node sends and receives; a node is its front and its pilot. */
+/** Bytes that a node sends and receives; a node is its gateway and its agent. */
 const bytesOfNodes: Topic = ({ at, slope }, { rate }) => {
   rate('node', 'heartbeats', 'constant', 2 * at('heartbeats of a process'));
-  const rest = at('a pilot, idle, the rest') + at('a front, idle, the rest');
+  const rest = at('an agent, idle, the rest') + at('a gateway, idle, the rest');
   rate('node', 'digests, news of the core, readiness', 'constant', rest);
   const heads = header * (at('frames at a node, idle, heartbeats') + at('frames at a node, idle, the rest'));
   rate('node', 'their TCP and IP headers', 'constant', heads);
@@ -74,12 +74,12 @@
   const loadBytes = at('a load message, by turns that run');
   const pairs = 2 * slope('load while turns change') * loadBytes;
   const straight = 2 * at('load while turns change') * loadBytes;
-  rate('front', 'load, straight to every front', perTurns, straight, from(1 + allowed.bytes / pairs, 'fronts'));
-  const idle = at('load, idle, at a front') + at('load, idle, at a pilot');
-  const idleEach = slope('load, idle, at a front') + slope('load, idle, at a pilot');
-  rate('node', 'load, while nothing runs', 'fronts', idle, from(allowed.bytes / idleEach, 'fronts'));
-  const treeEach = (slope('load, idle, at a pilot') * loadBytes) / at('a load message, by turns that run', 0);
-  rate('pilot', 'load, by the tree', perTurns, treeEach * size.nodes, from(allowed.bytes / treeEach, 'fronts'));
+  rate('gateway', 'load, straight to every gateway', perTurns, straight, from(1 + allowed.bytes / pairs, 'gateways'));
+  const idle = at('load, idle, at a gateway') + at('load, idle, at an agent');
+  const idleEach = slope('load, idle, at a gateway') + slope('load, idle, at an agent');
+  rate('node', 'load, while nothing runs', 'gateways', idle, from(allowed.bytes / idleEach, 'gateways'));
+  const treeEach = (slope('load, idle, at an agent') * loadBytes) / at('a load message, by turns that run', 0);
+  rate('agent', 'load, by the tree', perTurns, treeEach * size.nodes, from(allowed.bytes / treeEach, 'gateways'));
   const list = 'the list of workers, at a node';
   rate('node', list, 'workers', at(list), from(allowed.bytes / slope(list), 'workers'));
 };
@@ -92,7 +92,7 @@
     const bytes = versionBytes(known, routes);
     const name = `a version with ${figure(routes)} routes`;
     const most = (allowed.bytes * day) / (copies * bytes);
-    free('tower', name, 'processes, classes, routes', amount(bytes, 'B'), ofAllowed(bytes, 2 ** 24, 'a frame'));
+    free('coordinator', name, 'processes, classes, routes', amount(bytes, 'B'), ofAllowed(bytes, 2 ** 24, 'a frame'));
     rate(
       'node',
       `${name}, sent whole`,
@@ -105,12 +105,12 @@
     const readMost = from((versionsADay * allowed.cpu) / reading, 'a day');
     time('node', `${name}, read and passed on`, 'the same × changes', reading, readMost);
   }
-  const uses = (4 * at('what fronts say of one change, at a process') * size.changes) / day;
+  const uses = (4 * at('what gateways say of one change, at a process') * size.changes) / day;
   const usesMost = (size.nodes * allowed.bytes) / uses;
-  rate('node', 'acknowledgements of fronts', 'fronts × changes', uses, from(usesMost, 'fronts'));
+  rate('node', 'acknowledgements of gateways', 'gateways × changes', uses, from(usesMost, 'gateways'));
 };
 
-/** Processor time of a node and of its front. */
+/** Processor time of a node and of its gateway. */
 const processorTime: Topic = (known, { time, free }) => {
   const { at, slope } = known;
   const round = at('a round of heartbeats');
@@ -118,30 +118,44 @@
   time('node', 'rounds of heartbeats, five a second', 'processes²', 10 * round, from(roundMost, 'processes'));
   const idleTime = 2 * known.of('a process on real sockets, idle').fit.base;
   time('node', 'two idle processes, whatever else', 'constant', idleTime);
-  const takeIn = 100 * at('loads of the other fronts taken in');
-  const takeMost = known.reaches('loads of the other fronts taken in', allowed.cpu / 100);
-  time('front', 'loads taken in, a hundred times a second', perTurns, takeIn, from(takeMost, 'fronts'));
-  const picks = perFront * at('a worker picked');
-  const pickMost = known.reaches('a worker picked', 1e6 / perFront);
-  free('front', 'workers picked', 'fronts²', ofCore(picks), 'data path', `${from(pickMost, 'fronts')}: a whole core`);
+  const takeIn = 100 * at('loads of the other gateways taken in');
+  const takeMost = known.reaches('loads of the other gateways taken in', allowed.cpu / 100);
+  time('gateway', 'loads taken in, a hundred times a second', perTurns, takeIn, from(takeMost, 'gateways'));
+  const picks = perGateway * at('a worker picked');
+  const pickMost = known.reaches('a worker picked', 1e6 / perGateway);
+  free(
+    'gateway',
+    'workers picked',
+    'gateways²',
+    ofCore(picks),
+    'data path',
+    `${from(pickMost, 'gateways')}: a whole core`,
+  );
   const byPrograms = slope('a turn in the scheduler, by programs') * running;
-  const turns = perFront * (at('a turn in the scheduler, by workers') + byPrograms);
-  const turnMost = known.reaches('a turn in the scheduler, by workers', 1e6 / perFront - byPrograms);
+  const turns = perGateway * (at('a turn in the scheduler, by workers') + byPrograms);
+  const turnMost = known.reaches('a turn in the scheduler, by workers', 1e6 / perGateway - byPrograms);
   const turnEnd = `${from(turnMost, 'workers')}: a whole core`;
-  free('front', 'turns in the scheduler', 'workers + programs', ofCore(turns), 'data path', turnEnd);
+  free('gateway', 'turns in the scheduler', 'workers + programs', ofCore(turns), 'data path', turnEnd);
 };
 
-/** What the tables that each front keeps for itself mean to its turns. */
+/** What the tables that each gateway keeps for itself mean to its turns. */
 const schedulerTables: Topic = (known, { free }) => {
   const { at, slope } = known;
   const table = `${figure(running)} programs`;
   // A program whose end nobody saw stays for half an hour.
   const fewest = size.requests / (((10_000 - running) * size.nodes) / 1800);
   const tableEnd = `holds if spread; with ends unseen, not below ${figure(fewest)} turns a program`;
-  free('front', "the scheduler's table", 'programs / fronts', table, `${figure(running / 100)}% of 10000`, tableEnd);
+  free(
+    'gateway',
+    "the scheduler's table",
+    'programs / gateways',
+    table,
+    `${figure(running / 100)}% of 10000`,
+    tableEnd,
+  );
   const warm = 'turns that get the worker with their context';
-  const warmEnd = `half of them: ${from((50 / known.of(warm).fit.base) ** (1 / slope(warm)), 'fronts')}`;
-  free('front', warm, '1 / fronts', `${figure(at(warm))}%`, '10 of 24 slots free', warmEnd);
+  const warmEnd = `half of them: ${from((50 / known.of(warm).fit.base) ** (1 / slope(warm)), 'gateways')}`;
+  free('gateway', warm, '1 / gateways', `${figure(at(warm))}%`, '10 of 24 slots free', warmEnd);
 };
 
 /** Memory of a process and of what it keeps. */
@@ -154,7 +168,13 @@
   held('process', 'the roster', 'processes', at('memory of the roster'));
   held('process', 'the list of workers', 'workers', at('memory of the list'));
   const loadsMost = known.reaches('memory of the loads of others', allowed.memory);
-  held('front', 'loads of the other fronts', 'turns', at('memory of the loads of others'), from(loadsMost, 'turns'));
+  held(
+    'gateway',
+    'loads of the other gateways',
+    'turns',
+    at('memory of the loads of others'),
+    from(loadsMost, 'turns'),
+  );
 };
 
 /** What the coordinators and the seeds send. */
@@ -162,7 +182,7 @@
   const { at } = known;
   const head_ = (5 * versionBytes(known, taken.routes[0]) * versionsADay) / day;
   free(
-    'tower',
+    'coordinator',
     'a head sends, with 300 routes',
     'versions',
     amount(head_, 'B/s'),
@@ -174,7 +194,7 @@
   const inForce = 2 * at('news down the tree, 30 ms a hop') + 2 * taken.regionMs;
   const inForceOf = ofAllowed(inForce, size.inForceMs, '6 s');
   free(
-    'tower',
+    'coordinator',
     'a change in force, 30 ms a hop',
     'log relays',
     `${figure(inForce)} ms`,
@@ -185,7 +205,7 @@
 
 /** Processor time of register changes: charge and settle, a key's claim and its record, the turn that is kept. */
 const registerChanges: Topic = ({ at }, { free }) => {
-  const [small, large] = [at('a change at a keeper', 1), at('a change at a keeper')];
+  const [small, large] = [at('a change at a store', 1), at('a change at a store')];
   for (const [name, n] of [
     ['no keys', 2],
     ['a key for every request', 4],
@@ -193,34 +213,34 @@
     const cores = (size.requests * (n * small + large)) / 1e6;
     const groups = `${figure(Math.ceil(2 * cores))} groups at half a core`;
     const most = from(1e6 / (n * small + large), 'requests a second');
-    free('keeper', `changes, ${name}`, 'requests', `${figure(cores)} cores at each of three`, groups, most);
+    free('store', `changes, ${name}`, 'requests', `${figure(cores)} cores at each of three`, groups, most);
   }
-  const ownChange = 'a change at its front, for each keeper';
-  const proposing = perFront * 3 * (2 * at(ownChange, 1) + at(ownChange));
-  free('front', 'changes, no keys, three keepers each', 'requests', ofCore(proposing), 'data path', 'holds');
+  const ownChange = 'a change at its gateway, for each store';
+  const proposing = perGateway * 3 * (2 * at(ownChange, 1) + at(ownChange));
+  free('gateway', 'changes, no keys, three stores each', 'requests', ofCore(proposing), 'data path', 'holds');
 };
 
 /** What the stores keep and write for keys and turns. */
 const keptState: Topic = ({ at, slope }, { free }) => {
-  const keys = at('memory of a keeper');
-  const keysMost = `64 GB: ${from(64e9 / slope('memory of a keeper') / day, 'keyed requests a second')}`;
-  free('keeper', 'keys of a day, a key for every request', 'requests', amount(keys, 'B'), 'in memory', keysMost);
+  const keys = at('memory of a store');
+  const keysMost = `64 GB: ${from(64e9 / slope('memory of a store') / day, 'keyed requests a second')}`;
+  free('store', 'keys of a day, a key for every request', 'requests', amount(keys, 'B'), 'in memory', keysMost);
   const oneHistory = size.history * taken.bytesPerToken;
   const histories = size.programs * oneHistory;
   const historiesMost = `64 GB: ${from(64e9 / oneHistory, 'programs')}`;
-  free('keeper', 'kept turns under way, at most', 'programs', amount(histories, 'B'), 'in memory', historiesMost);
+  free('store', 'kept turns under way, at most', 'programs', amount(histories, 'B'), 'in memory', historiesMost);
   const writing = amount(size.requests * turnKb * 1000, 'B/s');
-  free('keeper', 'kept turns, written', 'requests', writing, 'to each of three disks');
+  free('store', 'kept turns, written', 'requests', writing, 'to each of three disks');
   const remembered = 2 ** 20 * 24;
   const part = `${figure((100 * remembered) / oneHistory / running)}% of ${figure(running)} programs`;
-  free('front', 'histories that it remembers', '24 MiB', figure(remembered / oneHistory), part, from(13, 'programs'));
+  free('gateway', 'histories that it remembers', '24 MiB', figure(remembered / oneHistory), part, from(13, 'programs'));
   const reading = amount(size.requests * oneHistory, 'B/s');
-  free('keeper', 'histories read, none remembered, at most', 'requests', reading, 'all keepers together');
+  free('store', 'histories read, none remembered, at most', 'requests', reading, 'all stores together');
   const [claim, charge] = ['a first change of a register', 'a further change by the same edge'];
   const before = at(claim!) + at(charge!) + 2 * taken.regionMs;
   const allOf = from(size.firstTokenMs / (slope(claim!) + slope(charge!) + 2), 'ms one way: all of it');
   const beforeOf = ofAllowed(before, size.firstTokenMs, '820 ms');
-  free('front', 'claim, charge, chain across regions', 'ms one way', `${figure(before)} ms`, beforeOf, allOf);
+  free('gateway', 'claim, charge, chain across regions', 'ms one way', `${figure(before)} ms`, beforeOf, allOf);
 };
 
 const topics = [
--- a/packages/simulation/src/measurement/capacity/page.ts
+++ b/packages/simulation/src/measurement/capacity/page.ts
@@ -42,7 +42,7 @@
     head(row, ...slopeHead);
     for (const r of slopeRows(m.slopes)) row(...r);
     out('\n### Checks at several sizes (simulated)\n');
-    head(row, 'what', 'by fronts');
+    head(row, 'what', 'by gateways');
     for (const r of foundRows(m.found)) row(...r);
     out('\n### Tries that failed\n');
     head(row, 'what', 'what came of it');
--- a/packages/simulation/src/measurement/capacity/processor.ts
+++ b/packages/simulation/src/measurement/capacity/processor.ts
@@ -1,12 +1,12 @@
 // Processor time of the parts that grow with the roster, the workers and the programs.
-import { pilotage } from '@thornsail/admission-scheduler';
-import { chart } from '@thornsail/config-schema';
+import { admissionScheduler } from '@thornsail/admission-scheduler';
+import { configSchema } from '@thornsail/config-schema';
 import { order } from '@thornsail/consensus';
-import type { Fairway } from '@thornsail/data-plane';
-import { lookout } from '@thornsail/failure-detector';
-import { berth } from '@thornsail/load-balancer';
-import { pipe } from '@thornsail/rpc';
-import { type Lens, us } from '@thornsail/runtime';
+import type { DataPlane } from '@thornsail/data-plane';
+import { failureDetector } from '@thornsail/failure-detector';
+import { loadBalancer } from '@thornsail/load-balancer';
+import { rpc } from '@thornsail/rpc';
+import { type Runtime, us } from '@thornsail/runtime';
 import { parse, stringify } from 'devalue';
 import { hollow, hollowConfig, workerList } from '../hollow.js';
 import { cpu, cpuOf } from './cost.js';
@@ -15,13 +15,13 @@
 
 const service = 'model-0';
 
-const berthAt = (edges: number, running: number, workers: number): ReturnType<typeof berth.open> => {
-  const b = berth.open(
+const balancerAt = (edges: number, running: number, workers: number): ReturnType<typeof loadBalancer.open> => {
+  const b = loadBalancer.open(
     () => 0,
     'e000',
     () => 0,
   );
-  const c = chart.check({ ...hollowConfig(), classes: { chat: { kind: 'model', service, weight: 1 } } });
+  const c = configSchema.check({ ...hollowConfig(), classes: { chat: { kind: 'model', service, weight: 1 } } });
   if (!c.ok) throw new Error('the configuration of the measurement is wrong');
   b.config(c.value);
   b.workers(workerList(workers));
@@ -47,9 +47,9 @@
     const turn = `x${n}`;
     const limits = { timeLeft: us.s(600), expected: us.s(10), silence: us.s(2) };
     const program = `p${((n++ * 2 + 3) % programs) | 1}`;
-    pilotage.step(s, { kind: 'arrive', turn, program, tokens: 240_000, ...limits }, us.s(1));
-    pilotage.step(s, { kind: 'end', turn, tokens: 240_000, final: false, worker: null }, us.s(1));
-    pilotage.step(s, { kind: 'gone', turn }, us.s(1));
+    admissionScheduler.step(s, { kind: 'arrive', turn, program, tokens: 240_000, ...limits }, us.s(1));
+    admissionScheduler.step(s, { kind: 'end', turn, tokens: 240_000, final: false, worker: null }, us.s(1));
+    admissionScheduler.step(s, { kind: 'gone', turn }, us.s(1));
   }, 100);
 };
 
@@ -58,19 +58,19 @@
   const round = async (n: number): Promise<number> => {
     const w = newWorld();
     const all = Array.from({ length: n }, (_, i) => ({ ...nodeOf(i), inc: 1 }));
-    const lens = w.lens(w.host('10.0.0.1', 'z1'));
+    const runtime = w.runtime(w.host('10.0.0.1', 'z1'));
     const ticks: (() => void)[] = [];
-    const clock: Lens['clock'] = {
-      ...lens.clock,
+    const clock: Runtime['clock'] = {
+      ...runtime.clock,
       tick: (_after, fn) => {
         ticks.push(fn);
         return () => undefined;
       },
     };
-    const p = await pipe.open(lens, all[0]!.place);
-    lookout.open({
-      lens: { ...lens, clock },
-      pipe: p,
+    const p = await rpc.open(runtime, all[0]!.place);
+    failureDetector.open({
+      runtime: { ...runtime, clock },
+      rpc: p,
       self: () => all[0]!,
       roster: () => all,
       report: () => undefined,
@@ -95,16 +95,16 @@
       stringify([v]);
     }, 20);
   };
-  /** Everything in the proportions of the size: 31.6 workers and 763 running turns for each front. */
+  /** Everything in the proportions of the size: 31.6 workers and 763 running turns for each gateway. */
   const scales = pick(sizes, [12, 24, 48, 95, 190], [2, 3, 4, 5]);
   const picks = (edges: number): number => {
-    const b = berthAt(edges, 763, Math.round(edges * 31.6));
+    const b = balancerAt(edges, 763, Math.round(edges * 31.6));
     const hint = b.list()[0]!.id;
     return cpuOf(() => void b.pick('chat', { hint }), 10);
   };
   const siblingsIn = async (edges: number): Promise<number> => {
     const h = await hollow.open({ edges: 1, workers: Math.round(edges * 31.6) });
-    const adm = (h!.of('front')[0]!.node!.fairway as Fairway).admission;
+    const adm = (h!.of('gateway')[0]!.node!.dataPlane as DataPlane).admission;
     const l = Array.from({ length: edges - 1 }, (_, i) => ({
       ...loadOf(i + 1, 763, Math.round(edges * 31.6)),
       id: `e${i}`,
@@ -119,8 +119,8 @@
     slopes: [
       slope('a round of heartbeats', 'process', us_, 'measured', await points(roster, round), 'power'),
       slope('a version read and passed on', 'process', us_, 'measured', await points(roster, taken)),
-      slope('a worker picked', 'front', us_, 'measured', await points(scales, picks), 'power'),
-      slope('loads of the other fronts taken in', 'front', us_, 'measured', await points(scales, siblingsIn)),
+      slope('a worker picked', 'gateway', us_, 'measured', await points(scales, picks), 'power'),
+      slope('loads of the other gateways taken in', 'gateway', us_, 'measured', await points(scales, siblingsIn)),
       slope(
         'a turn in the scheduler, by programs',
         'program',
--- a/packages/simulation/src/measurement/capacity/regions.ts
+++ b/packages/simulation/src/measurement/capacity/regions.ts
@@ -3,7 +3,7 @@
 import type { Point } from '../fit.js';
 import { hollow } from '../hollow.js';
 import { newWorld } from './fixtures.js';
-import { keeperGroup, proposerOf, written } from './registers.js';
+import { storeGroup, proposerOf, written } from './registers.js';
 import { type Failed, type Part, pick, slope } from './slope.js';
 
 export const regions: Part = async (sizes) => {
@@ -13,7 +13,7 @@
   const head: Point[] = [];
   for (const ms of pick(sizes, [1, 10, 30, 60], [1, 2, 3, 4])) {
     const w = newWorld(us.ms(ms));
-    const regs = await proposerOf(w, w.lens(w.host('10.1.0.1', 'z0')), keeperGroup(w, 3));
+    const regs = await proposerOf(w, w.runtime(w.host('10.1.0.1', 'z0')), storeGroup(w, 3));
     const took: number[][] = [[], []];
     for (let i = 0; i < 40; i++) {
       const begun = w.now();
@@ -31,20 +31,21 @@
     const h = await hollow.open({ edges: 1, zoneDelay: us.ms(ms), within: us.s(30) });
     const lost = h?.head();
     if (!h || !lost) {
-      failed.push({ what: `towers with ${ms} ms one way between them`, why: 'no head, or no configuration' });
+      failed.push({ what: `coordinators with ${ms} ms one way between them`, why: 'no head, or no configuration' });
       continue;
     }
     const begun = h.w.now();
     h.kill(lost);
     if (await h.until(() => h.head() !== undefined, us.s(20))) head.push([ms, us.toMs(h.w.now() - begun)]);
-    else failed.push({ what: `a head lost with ${ms} ms one way between towers`, why: 'no new head within 20 s' });
+    else
+      failed.push({ what: `a head lost with ${ms} ms one way between coordinators`, why: 'no new head within 20 s' });
   }
   return {
     failed,
     slopes: [
       slope('a first change of a register', 'ms one way', 'ms', 'simulated', first),
       slope('a further change by the same edge', 'ms one way', 'ms', 'simulated', next),
-      slope('until another tower leads', 'ms one way', 'ms', 'simulated', head),
+      slope('until another coordinator leads', 'ms one way', 'ms', 'simulated', head),
     ],
   };
 };
--- a/packages/simulation/src/measurement/capacity/size.ts
+++ b/packages/simulation/src/measurement/capacity/size.ts
@@ -30,7 +30,7 @@
 
 /** What the users did not say, and the page has to take for something. */
 export const taken = {
-  /** A front and a pilot on each node; three towers, the other control machines are keepers. */
+  /** A gateway and an agent on each node; three coordinators, the other control machines are stores. */
   processes: 2 * size.nodes + size.control,
   relays: size.nodes + size.control,
   bytesPerToken: 4,
@@ -45,7 +45,7 @@
 /** What TCP and IP put before a frame that goes by itself. */
 export const header = 52;
 
-export const perFront = size.requests / size.nodes;
+export const perGateway = size.requests / size.nodes;
 
 /** One turn of a program at a time: the most that run at once. */
 export const running = size.programs / size.nodes;
@@ -55,7 +55,7 @@
 /** The x of each measure at the size to design for. */
 export const sizeOf: Record<string, number> = {
   'process': taken.processes,
-  'front': size.nodes,
+  'gateway': size.nodes,
   'relay': taken.relays,
   'worker': size.workers,
   'class': size.tenants,
--- a/packages/simulation/src/measurement/capacity/spreading.ts
+++ b/packages/simulation/src/measurement/capacity/spreading.ts
@@ -1,5 +1,5 @@
 // How long news takes down the tree of relays.
-import type { Beam } from '@thornsail/dissemination';
+import type { Dissemination } from '@thornsail/dissemination';
 import { us } from '@thornsail/runtime';
 import type { Point } from '../fit.js';
 import { openRelay } from '../relay-node.js';
@@ -11,10 +11,10 @@
   for (const n of pick(sizes, [13, 40, 121, 364], [4, 7, 10, 13])) {
     const w = newWorld(us.ms(30));
     const list = Array.from({ length: n }, (_, i) => ({ id: `r${i}`, place: `10.9.${i >> 8}.${i & 255}:1` }));
-    const all: Beam[] = [];
+    const all: Dissemination[] = [];
     for (const [i, x] of list.entries()) {
-      const lens = w.lens(w.host(x.place.split(':')[0]!, `z${i % 14}`));
-      void openRelay(lens, x, list).then((relay) => all.push(relay));
+      const runtime = w.runtime(w.host(x.place.split(':')[0]!, `z${i % 14}`));
+      void openRelay(runtime, x, list).then((relay) => all.push(relay));
     }
     await w.run(us.ms(100));
     const times: number[] = [];
--- a/packages/simulation/src/measurement/capacity/ways.ts
+++ b/packages/simulation/src/measurement/capacity/ways.ts
@@ -19,14 +19,14 @@
   const slots = size.workers * 24;
   bytes(
     load,
-    'each front to each, whole, ten a second',
+    'each gateway to each, whole, ten a second',
     2 * at('load while turns change') * at('a load message, by turns that run'),
   );
-  bytes(load, 'each front to each, only deltas', 2 * 2 * size.requests * perTurn);
+  bytes(load, 'each gateway to each, only deltas', 2 * 2 * size.requests * perTurn);
   bytes(load, 'one sum for all workers a second, from an aggregator in each region', size.workers * perTurn);
   const leased = (seconds: number): number => (2 * perTurn * slots) / size.nodes / seconds;
-  bytes(load, 'slots leased to fronts for 10 s, renewed', leased(10));
-  bytes(load, 'slots leased to fronts for 30 s, renewed', leased(30));
+  bytes(load, 'slots leased to gateways for 10 s, renewed', leased(10));
+  bytes(load, 'slots leased to gateways for 30 s, renewed', leased(30));
 
   const list = 'the list of workers';
   const changed = (2 * (size.failed + size.restarted) * slope('the list of workers')) / day;
@@ -47,15 +47,15 @@
   );
   bytes(state, 'deltas, and the whole on a gap', sent(route));
 
-  const say = 'acknowledgements of fronts';
-  const uses = (4 * at('what fronts say of one change, at a process') * size.changes) / day;
+  const say = 'acknowledgements of gateways';
+  const uses = (4 * at('what gateways say of one change, at a process') * size.changes) / day;
   bytes(say, 'each tells everybody', uses);
   bytes(say, 'aggregated: relays tell the lowest mark below them upwards', (copies * 250 * size.changes) / day);
 
   // Together: what is idle today, and the ways that hold.
   const together = 'all control of a node';
   const beats = at('heartbeats of a process') + (header * at('frames at a node, idle, heartbeats')) / 2;
-  const rest = at('a pilot, idle, the rest') + at('a front, idle, the rest');
+  const rest = at('an agent, idle, the rest') + at('a gateway, idle, the rest');
   const restAll = rest + header * at('frames at a node, idle, the rest');
   const others = 4 * changed + sent(route) + (copies * 250 * size.changes) / day;
   bytes(together, 'two processes that beat five times a second, and nothing runs', 2 * beats + restAll);
@@ -70,7 +70,7 @@
   plain(ring, 'found once a version', ofCore(once), once <= allowed.cpu);
 
   const keys = 'registers';
-  const [small, large] = [at('a change at a keeper', 1), at('a change at a keeper')];
+  const [small, large] = [at('a change at a store', 1), at('a change at a store')];
   const cores = (size.requests * (4 * small + large)) / 1e6;
   const processes = 3 * Math.ceil(2 * cores);
   const perMachine = processes / size.control;
--- a/packages/simulation/src/measurement/day.ts
+++ b/packages/simulation/src/measurement/day.ts
@@ -24,7 +24,7 @@
 const tokensAtWorkers = (f: Fleet): Map<string, number> => {
   const last = new Map<string, { worker: string; tokens: number; touched: number }>();
   for (const p of f.procs)
-    for (const x of p.node?.fairway?.admission.state().programs.values() ?? []) {
+    for (const x of p.node?.dataPlane?.admission.state().programs.values() ?? []) {
       if (x.standing !== 'active' || x.worker === null || (last.get(x.id)?.touched ?? -1) >= x.touched) continue;
       last.set(x.id, { worker: x.worker, tokens: x.tokens, touched: x.touched });
     }
@@ -74,7 +74,7 @@
     await f.w.run(f.w.now() + us.ms(250));
     over.sample(f, o.capacity);
   }
-  const e = f.ledger.entries.filter((x) => x.program !== null);
+  const e = f.requestLog.entries.filter((x) => x.program !== null);
   return {
     turns: f.callers.summary.turns,
     prompt: e.reduce((a, x) => a + x.prompt, 0),
--- a/packages/simulation/src/measurement/detection.ts
+++ b/packages/simulation/src/measurement/detection.ts
@@ -1,6 +1,6 @@
 // Failure detection: how fast, against how often it is wrong (§3.2).
-import { lookout } from '@thornsail/failure-detector';
-import { pipe } from '@thornsail/rpc';
+import { failureDetector } from '@thornsail/failure-detector';
+import { rpc } from '@thornsail/rpc';
 import { type Us, us } from '@thornsail/runtime';
 import { world } from '../world.js';
 import { head, mean, out, row } from './table.js';
@@ -29,10 +29,10 @@
         const accused = new Map<string, Map<string, Us>>();
         const two = new Set<string>();
         for (const x of all)
-          void pipe.open(w.lens(x.host), x.place).then((p) =>
-            lookout.open({
-              lens: w.lens(x.host),
-              pipe: p,
+          void rpc.open(w.runtime(x.host), x.place).then((p) =>
+            failureDetector.open({
+              runtime: w.runtime(x.host),
+              rpc: p,
               self: () => x,
               roster: () => all,
               times: { silent: us.ms(silent), watchers },
--- a/packages/simulation/src/measurement/duties.ts
+++ b/packages/simulation/src/measurement/duties.ts
@@ -1,6 +1,6 @@
 // How long a duty is vacant when its holder goes (§3.6).
 import { type Duty, watch } from '@thornsail/leases';
-import { pipe } from '@thornsail/rpc';
+import { rpc } from '@thornsail/rpc';
 import { us } from '@thornsail/runtime';
 import { world } from '../world.js';
 import { head, mean, out, row } from './table.js';
@@ -14,18 +14,18 @@
       const w = world.open({ seed, zoneDelay: us.ms(1.5), clientDelay: us.ms(1), clientIp: '127.0.9.9' });
       const voters = [1, 2, 3].map((i) => `127.0.3.${i}:1`);
       for (const [i, at] of voters.entries()) {
-        const lens = w.lens(w.host(`127.0.3.${i + 1}`, `z${i}`));
-        void pipe.open(lens, at).then((p) => watch.voter({ lens, pipe: p }));
+        const runtime = w.runtime(w.host(`127.0.3.${i + 1}`, `z${i}`));
+        void rpc.open(runtime, at).then((p) => watch.voter({ runtime, rpc: p }));
       }
       const hosts = [1, 2, 3, 4].map((i) => w.host(`127.0.1.${i}`, 'z1'));
       const duties = new Map<number, Duty>();
       let gen = 0;
       const boot = (i: number): void => {
-        const lens = w.lens(hosts[i]!);
-        void pipe
-          .open(lens, `127.0.1.${i + 1}:1`)
+        const runtime = w.runtime(hosts[i]!);
+        void rpc
+          .open(runtime, `127.0.1.${i + 1}:1`)
           .then((p) =>
-            duties.set(i, watch.duty({ lens, pipe: p, name: 'sweep', by: `n${i}.${gen++}`, voters: () => voters })),
+            duties.set(i, watch.duty({ runtime, rpc: p, name: 'sweep', by: `n${i}.${gen++}`, voters: () => voters })),
           );
       };
       for (let i = 0; i < 4; i++) boot(i);
--- a/packages/simulation/src/measurement/hollow.ts
+++ b/packages/simulation/src/measurement/hollow.ts
@@ -4,14 +4,14 @@
 import { tmpdir } from 'node:os';
 import path from 'node:path';
 import type { WorkerEntry } from '@thornsail/load-balancer';
-import { chart } from '@thornsail/config-schema';
-import { invariant, real, us, type Lens, type Place, type Us } from '@thornsail/runtime';
+import { configSchema } from '@thornsail/config-schema';
+import { invariant, real, us, type Runtime, type Place, type Us } from '@thornsail/runtime';
 import { roles, type Node } from '@thornsail/thornsail';
 import { world, type Host, type World } from '../world.js';
 
 type Sum = { messages: number; bytes: number };
 export type Tally = { sent: Map<string, Sum>; got: Map<string, Sum> };
-type Role = 'tower' | 'keeper' | 'pilot' | 'front';
+type Role = 'coordinator' | 'store' | 'agent' | 'gateway';
 export type HollowNode = { name: string; role: Role; tally: Tally; node: Node | null; host: Host | null };
 
 /** The kind of a frame, and for news the first word of its name, as they stand in the encoded text. */
@@ -28,16 +28,16 @@
   s.bytes += Buffer.byteLength(text) + 4;
   m.set(k, s);
 };
-export const counted = (lens: Lens, t: Tally): Lens => ({
-  ...lens,
+export const counted = (runtime: Runtime, t: Tally): Runtime => ({
+  ...runtime,
   net: {
-    ...lens.net,
+    ...runtime.net,
     frames: async (at, onFrame, onDown, onBad) => {
       const got = (from: Place, text: string): boolean => {
         add(t.got, text);
         return onFrame(from, text);
       };
-      const f = await lens.net.frames(at, got, onDown, onBad);
+      const f = await runtime.net.frames(at, got, onDown, onBad);
       return {
         ...f,
         send: (to, text) => {
@@ -77,31 +77,36 @@
       ip: `${net}.${third + Math.floor(i / 200)}.${(i % 200) + 1}`,
       zone: zone(i),
     }));
-  return [...some('tower', 3, 3), ...some('keeper', 3, 2), ...some('pilot', edges, 10), ...some('front', edges, 60)];
+  return [
+    ...some('coordinator', 3, 3),
+    ...some('store', 3, 2),
+    ...some('agent', edges, 10),
+    ...some('gateway', edges, 60),
+  ];
 };
 const port = 7101;
 /** Settings as a deployment's files would have them: three seeds, three founders. */
 const optionsOf = (s: Spec, all: Spec[]): Record<string, unknown> => {
   const at = (x: Spec): Place => `${x.ip}:${port}`;
-  const towers = all.filter((x) => x.role === 'tower').map(at);
-  const disk = s.role === 'tower' || s.role === 'keeper' ? { data: 'data' } : {};
+  const towers = all.filter((x) => x.role === 'coordinator').map(at);
+  const disk = s.role === 'coordinator' || s.role === 'store' ? { data: 'data' } : {};
   return {
     name: s.name,
     zone: s.zone,
     place: at(s),
     http: `${s.ip}:7102`,
-    seeds: [towers[0], at(all.find((x) => x.role === 'keeper')!), at(all.find((x) => x.role === 'pilot')!)],
+    seeds: [towers[0], at(all.find((x) => x.role === 'store')!), at(all.find((x) => x.role === 'agent')!)],
     ...disk,
-    ...(s.role === 'tower' ? { founders: towers } : {}),
-    ...(s.role === 'pilot' ? { platform: '127.0.0.9:7400' } : {}),
-    ...(s.role === 'front' ? { pilot: at(all.find((x) => x.name === s.name.replace('front', 'pilot'))!) } : {}),
+    ...(s.role === 'coordinator' ? { founders: towers } : {}),
+    ...(s.role === 'agent' ? { platform: '127.0.0.9:7400' } : {}),
+    ...(s.role === 'gateway' ? { agent: at(all.find((x) => x.name === s.name.replace('gateway', 'agent'))!) } : {}),
   };
 };
-const boot = async (lens: Lens, s: Spec, all: Spec[], list: WorkerEntry[]): Promise<Node> => {
-  const c = chart.options(s.role, optionsOf(s, all));
+const boot = async (runtime: Runtime, s: Spec, all: Spec[], list: WorkerEntry[]): Promise<Node> => {
+  const c = configSchema.options(s.role, optionsOf(s, all));
   if (!c.ok) throw new Error(JSON.stringify(c.problems));
-  const extra = s.role === 'pilot' ? { read: () => Promise.resolve(list) } : {};
-  return (roles[s.role] as (l: Lens, o: never, extra: object) => Promise<Node>)(lens, c.value as never, extra);
+  const extra = s.role === 'agent' ? { read: () => Promise.resolve(list) } : {};
+  return (roles[s.role] as (l: Runtime, o: never, extra: object) => Promise<Node>)(runtime, c.value as never, extra);
 };
 export const total = (m: Map<string, Sum>, kinds: (kind: string) => boolean = () => true): Sum =>
   [...m]
@@ -111,13 +116,13 @@
   for (const n of nodes) for (const m of [n.tally.sent, n.tally.got]) m.clear();
 };
 const inRoster = (nodes: HollowNode[]): boolean =>
-  nodes.every((n) => n.host?.alive === false || (n.node !== null && n.node.mooring.inRoster()));
+  nodes.every((n) => n.host?.alive === false || (n.node !== null && n.node.membership.inRoster()));
 const push = (n: HollowNode, base: number): Promise<unknown> => {
   const body = { ...hollowConfig(), limits: { onceKeepSeconds: 1000 + base } };
-  return n.node!.mooring.core.ask({ op: 'push', push: { id: `c${base}`, base, how: 'whole', body } }, us.s(8));
+  return n.node!.membership.core.ask({ op: 'push', push: { id: `c${base}`, base, how: 'whole', body } }, us.s(8));
 };
 const configured = (nodes: HollowNode[], mark: number): boolean =>
-  nodes.filter((n) => n.role === 'front').every((n) => (n.node?.counts()['config_mark'] ?? 0) >= mark);
+  nodes.filter((n) => n.role === 'gateway').every((n) => (n.node?.counts()['config_mark'] ?? 0) >= mark);
 
 export type Hollow = {
   w: World;
@@ -127,7 +132,7 @@
   /** False if it did not come true within the time. */
   until: (ok: () => boolean, limit: Us) => Promise<boolean>;
   clear: () => void;
-  /** Pushes a configuration and waits until all fronts use it; gives how long that took. */
+  /** Pushes a configuration and waits until all gateways use it; gives how long that took. */
   push: () => Promise<Us>;
   kill: (n: HollowNode) => void;
   head: () => HollowNode | undefined;
@@ -158,7 +163,7 @@
     const nodes: HollowNode[] = all.map((s) => {
       const host = w.host(s.ip, s.zone);
       const n: HollowNode = { name: s.name, role: s.role, tally: newTally(), node: null, host };
-      void boot(counted(w.lens(host), n.tally), s, all, list).then((x) => (n.node = x));
+      void boot(counted(w.runtime(host), n.tally), s, all, list).then((x) => (n.node = x));
       return n;
     });
     const h: Hollow = {
@@ -173,9 +178,9 @@
       },
       clear: () => clear(nodes),
       push: async () => {
-        const mark = nodes.find((n) => n.node)!.node!.mooring.state()!.config.mark;
+        const mark = nodes.find((n) => n.node)!.node!.membership.state()!.config.mark;
         const begun = w.now();
-        void push(h.of('pilot').at(-1)!, mark).catch(() => undefined);
+        void push(h.of('agent').at(-1)!, mark).catch(() => undefined);
         await h.until(() => configured(nodes, mark + 1), us.s(10));
         return w.now() - begun;
       },
@@ -183,7 +188,7 @@
         w.kill(n.host!, 'power');
         n.node = null;
       },
-      head: () => h.of('tower').find((n) => n.node?.counts()['leads'] === 1),
+      head: () => h.of('coordinator').find((n) => n.node?.counts()['leads'] === 1),
       started: { at: 0, bytes: 0 },
     };
     if (!(await h.until(() => inRoster(nodes), us.s(60)))) return undefined;
@@ -203,7 +208,7 @@
     const list = workerList(24);
     const nodes: HollowNode[] = await Promise.all(
       all.map(async (s) => {
-        const node = await boot(real.lens(path.join(folder, s.name)), s, all, list);
+        const node = await boot(real.runtime(path.join(folder, s.name)), s, all, list);
         return { name: s.name, role: s.role, tally: newTally(), node, host: null };
       }),
     );
--- a/packages/simulation/src/measurement/recovery.ts
+++ b/packages/simulation/src/measurement/recovery.ts
@@ -3,7 +3,7 @@
 import { head, out, row } from './table.js';
 
 export const recovery = async (): Promise<void> => {
-  out('\n### Serving again at every front after a closing fault (simulated, 10 seeds; in steps of 250 ms)\n');
+  out('\n### Serving again at every gateway after a closing fault (simulated, 10 seeds; in steps of 250 ms)\n');
   head('fault', 'lautoka, worst ms', 'granite, worst ms');
   const worst = new Map<string, Record<string, number>>();
   for (const shape of ['lautoka', 'granite'] as const)
--- a/packages/simulation/src/measurement/registers-cli.ts
+++ b/packages/simulation/src/measurement/registers-cli.ts
@@ -1,7 +1,7 @@
 // node packages/simulation/src/measurement/registers-cli.js [simulated|bench ...]: what a register change costs.
 import { fileURLToPath } from 'node:url';
 import { us } from '@thornsail/runtime';
-import { bench, benchHead, benchKeeper, simulated, simulatedHead } from './registers.js';
+import { bench, benchHead, benchStore, simulated, simulatedHead } from './registers.js';
 import { head, row } from './table.js';
 
 const parts: Record<string, () => Promise<void>> = {
@@ -16,5 +16,5 @@
   },
 };
 const args = process.argv.slice(2);
-if (args[0] === '--keeper') await benchKeeper(Number(args[1]), args[2]!, args[3]!);
+if (args[0] === '--store') await benchStore(Number(args[1]), args[2]!, args[3]!);
 else for (const [name, run] of Object.entries(parts)) if (args.length === 0 || args.includes(name)) await run();
--- a/packages/simulation/src/measurement/registers.ts
+++ b/packages/simulation/src/measurement/registers.ts
@@ -1,14 +1,14 @@
 // What a register change costs (docs/MEASUREMENTS.md): syncs, frames, bytes and added time in simulated time, and the
-// CPU of real keepers on loopback.
+// CPU of real stores on loopback.
 import { spawn, type ChildProcessByStdio } from 'node:child_process';
 import { mkdtempSync, rmSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import path from 'node:path';
 import type { Readable } from 'node:stream';
 import { registers, store, type Group, type Registers } from '@thornsail/register-store';
-import { real, seeded, time, us, type Lens, type Place, type Rand, type Us } from '@thornsail/runtime';
-import { logbook } from '@thornsail/durable-files';
-import { pipe, shape, type Pipe } from '@thornsail/rpc';
+import { real, seeded, time, us, type Runtime, type Place, type Rand, type Us } from '@thornsail/runtime';
+import { durableStore } from '@thornsail/durable-files';
+import { rpc, shape, type Rpc } from '@thornsail/rpc';
 import { world } from '../world.js';
 
 type Row = (...c: (string | number)[]) => void;
@@ -26,7 +26,9 @@
   result: undefined,
 });
 type Work = { change: (key: string, value: unknown) => Promise<void> };
-/** One turn: a key claimed and recorded for some, a program's purse changed twice, one exchange kept for some. */
+/**
+ * One turn: a key claimed and recorded for some, a program's budget record changed twice, one exchange kept for some.
+ */
 const turn = async (x: Work, r: Rand, n: number): Promise<number> => {
   const size = sizeOf(r);
   const once = n % 2 === 0;
@@ -59,17 +61,19 @@
   const group: Group = { mark: 1, members: ids.map((i) => ({ id: `k${i}`, at: at(i) })) };
   for (const i of ids) {
     const host = w.host(`127.0.2.${i}`, `z${i}`);
-    const lens = w.lens(host);
-    void pipe
-      .open(lens, at(i))
-      .then(async (p) => store.open({ lens, pipe: p, book: await logbook.open(lens.disk), freshId: `k${i}` }));
+    const runtime = w.runtime(host);
+    void rpc
+      .open(runtime, at(i))
+      .then(async (p) =>
+        store.open({ runtime, rpc: p, durable: await durableStore.open(runtime.disk), freshId: `k${i}` }),
+      );
   }
   const edges: Registers[] = [];
   for (const e of ids) {
-    const lens = w.lens(w.host(`127.0.1.${e}`, `z${e}`));
-    void pipe
-      .open(lens, `127.0.1.${e}:7101`)
-      .then((p) => (edges[e - 1] = registers.open({ lens, pipe: p, by: `edge${e}`, group: () => group })));
+    const runtime = w.runtime(w.host(`127.0.1.${e}`, `z${e}`));
+    void rpc
+      .open(runtime, `127.0.1.${e}:7101`)
+      .then((p) => (edges[e - 1] = registers.open({ runtime, rpc: p, by: `edge${e}`, group: () => group })));
   }
   await w.run(us.ms(200));
   const took: number[] = [];
@@ -109,33 +113,33 @@
   'changes a second',
   'changes',
   'failed',
-  'syncs per change and keeper',
+  'syncs per change and store',
   'frames per change',
   'bytes between zones per change',
   'a change, p50 ms',
   'p99 ms',
 ];
 
-// Real keepers, each a process of its own on loopback.
+// Real stores, each a process of its own on loopback.
 /** Addresses of this process's own, by its id, so that two runs on one machine don't take each other's. */
 const host = (i: number): string => `127.${160 + ((process.pid >> 8) & 63)}.${process.pid & 255}.${i}`;
 export const benchAddress = (i: number): Place => `${host(i)}:7101`;
 /** A store that listens at `at`, writes to `folder`, and ends when it is told so; it prints a line once it is up. */
-export const benchKeeper = async (i: number, folder: string, at: Place): Promise<void> => {
-  const lens = real.lens(folder);
-  const p = await pipe.open(lens, at);
-  const book = await logbook.open(lens.disk);
-  await store.open({ lens, pipe: p, book, freshId: `k${i}` });
+export const benchStore = async (i: number, folder: string, at: Place): Promise<void> => {
+  const runtime = real.runtime(folder);
+  const p = await rpc.open(runtime, at);
+  const durable = await durableStore.open(runtime.disk);
+  await store.open({ runtime, rpc: p, durable, freshId: `k${i}` });
   p.on('bench.usage', shape.any, () => ({
     cpu: process.cpuUsage(),
     rss: process.memoryUsage().rss,
-    syncs: book.counts().syncs,
+    syncs: durable.counts().syncs,
   }));
   p.on('bench.end', shape.any, () => void setTimeout(() => process.exit(0), 20));
   process.stdout.write('up\n');
 };
 type Usage = { cpu: { user: number; system: number }; rss: number; syncs: number };
-const usage = (p: Pipe): Promise<Usage[]> =>
+const usage = (p: Rpc): Promise<Usage[]> =>
   Promise.all(ids.map((i) => p.ask<Usage>(benchAddress(i), 'bench.usage', {}, us.s(5))));
 
 /** Resolves when the child says that it is up; a child that ends before is an error. */
@@ -149,48 +153,48 @@
   'changes a second',
   'changes',
   'failed',
-  'keeper CPU per change, µs',
+  'store CPU per change, µs',
   'CPU of one core',
   'proposer CPU per change, µs',
-  'syncs per change and keeper',
+  'syncs per change and store',
   'p50 ms',
   'p99 ms',
-  'keeper RSS, MB',
+  'store RSS, MB',
 ];
 export const bench = async (row: Row, o: { rate: number; span: Us; cli: string }): Promise<void> => {
   const folder = mkdtempSync(path.join(tmpdir(), 'thornsail-bench-'));
   const children = ids.map((i) =>
-    spawn(process.execPath, [o.cli, '--keeper', String(i), path.join(folder, `k${i}`), benchAddress(i)], {
+    spawn(process.execPath, [o.cli, '--store', String(i), path.join(folder, `k${i}`), benchAddress(i)], {
       stdio: ['ignore', 'pipe', 'inherit'],
     }),
   );
   try {
     await Promise.all(children.map(isUp));
-    const lens: Lens = real.lens(folder);
-    const p = await pipe.open(lens, benchAddress(9));
+    const runtime: Runtime = real.runtime(folder);
+    const p = await rpc.open(runtime, benchAddress(9));
     const group: Group = { mark: 1, members: ids.map((i) => ({ id: `k${i}`, at: benchAddress(i) })) };
-    const regs = registers.open({ lens, pipe: p, by: 'bench', group: () => group });
+    const regs = registers.open({ runtime, rpc: p, by: 'bench', group: () => group });
     const took: number[] = [];
     let failed = 0;
     let started = 0;
     const work: Work = {
       change: async (key, value) => {
-        const from = lens.clock.now();
+        const from = runtime.clock.now();
         started += 1;
         await regs.change(key, keep(value), us.s(2)).then(
-          () => took.push(lens.clock.now() - from),
+          () => took.push(runtime.clock.now() - from),
           () => (failed += 1),
         );
       },
     };
     const r = seeded(5);
     const run = async (span: Us): Promise<void> => {
-      const begun = lens.clock.now();
+      const begun = runtime.clock.now();
       const turns = Math.round((o.rate / 3) * (span / 1e6));
       const open: Promise<unknown>[] = [];
       for (let n = 0; n < turns; n++) {
         const due = begun + Math.round((n * span) / turns);
-        if (due > lens.clock.now()) await time.sleep(lens.clock, due - lens.clock.now());
+        if (due > runtime.clock.now()) await time.sleep(runtime.clock, due - runtime.clock.now());
         open.push(turn(work, r, n + started * 1000));
       }
       await Promise.all(open);
@@ -200,7 +204,7 @@
     failed = 0;
     took.length = 0;
     started = 0;
-    const begun = lens.clock.now();
+    const begun = runtime.clock.now();
     await run(o.span);
     const ownUsed = process.cpuUsage(own);
     const b = await usage(p);
@@ -211,7 +215,7 @@
       started,
       failed,
       Math.round(cpu / started),
-      (cpu / (lens.clock.now() - begun)).toFixed(2),
+      (cpu / (runtime.clock.now() - begun)).toFixed(2),
       Math.round((ownUsed.user + ownUsed.system) / started),
       (syncs / started).toFixed(2),
       pct(took, 0.5).toFixed(1),
@@ -219,7 +223,7 @@
       Math.round(Math.max(...b.map((x) => x.rss)) / 1e6),
     );
     for (const i of ids) p.tell(benchAddress(i), 'bench.end', {});
-    await time.sleep(lens.clock, us.ms(100));
+    await time.sleep(runtime.clock, us.ms(100));
     await p.close();
   } finally {
     for (const c of children) c.kill();
--- a/packages/simulation/src/measurement/relays.ts
+++ b/packages/simulation/src/measurement/relays.ts
@@ -1,5 +1,5 @@
 // The tree of relays by its number of children (§3.5).
-import type { Beam } from '@thornsail/dissemination';
+import type { Dissemination } from '@thornsail/dissemination';
 import { us } from '@thornsail/runtime';
 import { world } from '../world.js';
 import { openRelay } from './relay-node.js';
@@ -20,10 +20,10 @@
           place: `127.0.0.${i + 1}:1`,
           host: w.host(`127.0.0.${i + 1}`, `z${i % 3}`),
         }));
-        const bs: { b: Beam; host: (typeof list)[number]['host'] }[] = [];
+        const bs: { b: Dissemination; host: (typeof list)[number]['host'] }[] = [];
         for (const x of list) {
-          const lens = w.lens(x.host);
-          void openRelay(lens, x, list, arity).then((b) => bs.push({ host: x.host, b }));
+          const runtime = w.runtime(x.host);
+          void openRelay(runtime, x, list, arity).then((b) => bs.push({ host: x.host, b }));
         }
         await w.run(us.s(1));
         if (kill) w.kill(list[1 + w.rand.int(6)]!.host, 'power');
--- a/packages/simulation/src/measurement/spread.ts
+++ b/packages/simulation/src/measurement/spread.ts
@@ -5,12 +5,12 @@
 
 export const spread = async (): Promise<void> => {
   out(
-    '\n### Configuration: from the acknowledgement to its use at every front (simulated, 20 pushes for each shape)\n',
+    '\n### Configuration: from the acknowledgement to its use at every gateway (simulated, 20 pushes for each shape)\n',
   );
   head(
     'shape',
     'push acknowledged after, p50 ms',
-    'in use at all fronts after, p50 ms',
+    'in use at all gateways after, p50 ms',
     'worst ms',
     'worst with a relay dead, ms',
   );
@@ -25,7 +25,7 @@
         const begun = f.w.now();
         let got = -1;
         if (kill && i % 5 === 0) {
-          const p = `pilot-edge${1 + i / 5}`;
+          const p = `agent-edge${1 + i / 5}`;
           f.kill(p);
         }
         void f
@@ -33,7 +33,7 @@
             { ...f.shape.config, limits: { onceKeepSeconds: 1000 + i } },
             mark,
             `m${i}`,
-            f.proc('front-edge7').options['http'] as string,
+            f.proc('gateway-edge7').options['http'] as string,
           )
           .then(
             (r) => {
@@ -47,7 +47,7 @@
         const at = f.w.now();
         acks.push(us.toMs(at - begun));
         mark = got;
-        while (f.procs.some((p) => p.role === 'front' && (p.node?.counts()['config_mark'] ?? 0) < mark))
+        while (f.procs.some((p) => p.role === 'gateway' && (p.node?.counts()['config_mark'] ?? 0) < mark))
           await f.w.run(f.w.now() + us.ms(1));
         (kill ? dead : used).push(us.toMs(f.w.now() - at));
         await f.w.run(f.w.now() + us.ms(400));
@@ -58,14 +58,14 @@
 };
 
 export const headloss = async (): Promise<void> => {
-  out('\n### A push just after the head of the towers was killed (simulated, 20 seeds)\n');
+  out('\n### A push just after the head of the coordinators was killed (simulated, 20 seeds)\n');
   head('shape', 'acknowledged after, mean ms', 'worst ms');
   for (const shape of ['lautoka', 'granite'] as const) {
     const took: number[] = [];
     for (let seed = 1; seed <= 20; seed++) {
       const f = await fleet.open({ seed, shape });
       await f.w.run(f.w.now() + us.ms(w100(f)));
-      f.kill(f.procs.find((p) => p.role === 'tower' && p.node?.counts()['leads'] === 1)!.name, 'power');
+      f.kill(f.procs.find((p) => p.role === 'coordinator' && p.node?.counts()['leads'] === 1)!.name, 'power');
       const begun = f.w.now();
       let got = -1;
       void f.push({ ...f.shape.config, limits: { onceKeepSeconds: 1001 } }, 1, 'x').then(
--- a/packages/simulation/src/operator-calls.ts
+++ b/packages/simulation/src/operator-calls.ts
@@ -3,14 +3,14 @@
 import { root } from '@thornsail/admin-api';
 import { type Place, type Us, us } from '@thornsail/runtime';
 import type { Fleet } from './fleet.js';
-import { frontAt } from './scene.js';
+import { gatewayAt } from './scene.js';
 
 /** Runs `fn` once `after` microseconds of simulated time have passed. */
 export const later = (f: Fleet, after: Us, fn: () => void): void => f.w.at(f.w.now() + after, fn);
 
-/** The tower that leads now; `tower1` while none does. */
+/** The coordinator that leads now; `coordinator1` while none does. */
 export const headOf = (f: Fleet): string =>
-  f.procs.find((p) => p.role === 'tower' && p.node?.counts()['leads'] === 1)?.name ?? 'tower1';
+  f.procs.find((p) => p.role === 'coordinator' && p.node?.counts()['leads'] === 1)?.name ?? 'coordinator1';
 
 /** Configurations that can be told apart: the n-th has a class `only-n`, by which callers see it in use. */
 const nth = (f: Fleet, n: number): Record<string, unknown> => ({
@@ -37,25 +37,25 @@
   };
 };
 
-/** The newest acknowledged configuration is in use, or a newer one, two seconds later, wherever a front serves. */
-export const inUse = async (f: Fleet, acked: Pushed[], front: string): Promise<void> => {
+/** The newest acknowledged configuration is in use, or a newer one, two seconds later, wherever a gateway serves. */
+export const inUse = async (f: Fleet, acked: Pushed[], gateway: string): Promise<void> => {
   const sent = f.w.now();
   const due = acked.filter((a) => sent - a.ackedAt > us.s(2)).sort((a, b) => b.mark - a.mark)[0];
   const older = acked.filter((a) => due && a.mark < due.mark);
   if (!due || older.length === 0) return;
   const old = older[older.length - 1]!;
-  const at = f.proc(front).options['http'] as Place;
+  const at = f.proc(gateway).options['http'] as Place;
   const r = await f.http(at, 'POST', '/v1/jobs', {}, { 'x-thornsail-class': `only-${old.n}` }).catch(() => undefined);
   if (r?.status === 200)
     f.expectBreach.push(
-      `${front} served by configuration ${old.mark}, ${us.toMs(sent - due.ackedAt)} ms after ${due.mark}`,
+      `${gateway} served by configuration ${old.mark}, ${us.toMs(sent - due.ackedAt)} ms after ${due.mark}`,
     );
 };
 
-/** The mark of the configuration that a front reads back; -1 when the read fails. */
+/** The mark of the configuration that a gateway reads back; -1 when the read fails. */
 export const read = async (f: Fleet): Promise<{ mark: number }> => {
   const got: { mark?: number } = {};
-  void f.http(frontAt(f, 0), 'GET', `${root}/config`).then(
+  void f.http(gatewayAt(f, 0), 'GET', `${root}/config`).then(
     (x) => (got.mark = Number(x.body['mark'])),
     () => (got.mark = -1),
   );
--- a/packages/simulation/src/repair-load.ts
+++ b/packages/simulation/src/repair-load.ts
@@ -21,11 +21,11 @@
 /** Changes of configuration; `newest` is the highest mark that was acknowledged, 0 if none. */
 export type ConfigurationLoad = { every: (end: Us) => void; newest: () => number };
 
-/** Writes registers one after another through any live keeper, and notes those that were acknowledged. */
+/** Writes registers one after another through any live store, and notes those that were acknowledged. */
 export const openLoad = (stage: RepairStage): RegisterLoad => {
   const acknowledged = new Map<string, string>();
   const write = async (key: string): Promise<boolean> => {
-    const nodes = stage.live('keeper').flatMap((process) => (process.node ? [process.node] : []));
+    const nodes = stage.live('store').flatMap((process) => (process.node ? [process.node] : []));
     const node = nodes[stage.world.rand.int(Math.max(1, nodes.length))];
     if (!node) return false;
     try {
@@ -50,7 +50,7 @@
   let newest = 0;
   let n = 0;
   const push = async (): Promise<void> => {
-    const nodes = [...stage.live('tower'), ...stage.live('keeper')].flatMap((process) =>
+    const nodes = [...stage.live('coordinator'), ...stage.live('store')].flatMap((process) =>
       process.node ? [process.node] : [],
     );
     const node = nodes[stage.world.rand.int(Math.max(1, nodes.length))];
@@ -73,8 +73,8 @@
 /** What was acknowledged and is not there: five lines at most. */
 export const readBack = async (stage: RepairStage, keys: string[], newest: number): Promise<string[]> => {
   const out: string[] = [];
-  const node = stage.live('keeper').find((process) => process.node)?.node;
-  if (!node) return ['no keeper is up'];
+  const node = stage.live('store').find((process) => process.node)?.node;
+  if (!node) return ['no store is up'];
   let done = false;
   const work = async (): Promise<void> => {
     for (let i = 0; i < keys.length; i += 64) {
--- a/packages/simulation/src/repair-losses.ts
+++ b/packages/simulation/src/repair-losses.ts
@@ -4,9 +4,9 @@
 const chosen = (stage: RepairStage, loss: Loss): Process[] => {
   const all = stage.live(loss.role);
   const members = new Set(
-    (loss.role === 'tower'
-      ? stage.leader()?.node?.mooring.marked()?.members
-      : stage.leader()?.node?.mooring.state()?.keepers.members
+    (loss.role === 'coordinator'
+      ? stage.leader()?.node?.membership.marked()?.members
+      : stage.leader()?.node?.membership.state()?.keepers.members
     )?.map((member) => member.at) ?? all.map((process) => process.at),
   );
   const own = all.filter((process) => members.has(process.at));
@@ -24,10 +24,10 @@
 /** What starts after a loss: the process at its address, with or without its disk, or an empty one elsewhere. */
 const restart = (stage: RepairStage, loss: Loss, process: Process): void => {
   if (loss.elsewhere) {
-    const known = stage.live('tower').slice(0, 3);
+    const known = stage.live('coordinator').slice(0, 3);
     stage.add(
       loss.role,
-      known.map((tower) => tower.at),
+      known.map((coordinator) => coordinator.at),
     );
     return;
   }
@@ -39,11 +39,11 @@
 /** Others start in their stead first, then these are told to end, and their disks go with them. */
 const replaceInOrder = (stage: RepairStage, loss: Loss, returned: () => void): void => {
   const leaving = chosen(stage, loss);
-  const known = stage.live('tower').slice(0, 3);
+  const known = stage.live('coordinator').slice(0, 3);
   for (let i = 0; i < leaving.length; i++)
     stage.add(
       loss.role,
-      known.map((tower) => tower.at),
+      known.map((coordinator) => coordinator.at),
     );
   stage.world.at(stage.world.now() + loss.backAfter, () => {
     returned();
--- a/packages/simulation/src/repair-plans.ts
+++ b/packages/simulation/src/repair-plans.ts
@@ -13,11 +13,11 @@
 export type NamedPlan = { name: string; plan: Omit<RepairPlan, 'seed'>; within?: Us };
 const wiped = { count: 1, which: 'any', how: 'disk', backAfter: us.ms(600) } as const;
 /** A group is full while the one that leaves is in it, and again without it. */
-const handover = { role: 'keeper', count: 1, which: 'any', how: 'planned', backAfter: us.s(4.8) } as const;
+const handover = { role: 'store', count: 1, which: 'any', how: 'planned', backAfter: us.s(4.8) } as const;
 /** The plans that the test plays, each with several seeds. */
 export const repairPlans: NamedPlan[] = [
   {
-    name: 'three keepers: one is replaced as planned, and 1.5 s after its end is asked for the oldest loses its disk',
+    name: 'three stores: one is replaced as planned, and 1.5 s after its end is asked for the oldest loses its disk',
     plan: { ...small, losses: twice(handover, us.s(1.5), { how: 'disk', backAfter: us.ms(600) }) },
   },
   {
@@ -25,47 +25,47 @@
     plan: {
       ...small,
       towers: 3,
-      losses: twice({ ...handover, role: 'tower' }, us.s(1.5), { how: 'disk', backAfter: us.ms(600) }),
+      losses: twice({ ...handover, role: 'coordinator' }, us.s(1.5), { how: 'disk', backAfter: us.ms(600) }),
     },
   },
   {
     name: 'three coordinators: one loses its disk, right after its catch-up the oldest does',
-    plan: { ...small, towers: 3, losses: twice({ ...wiped, role: 'tower' }, us.s(4)) },
+    plan: { ...small, towers: 3, losses: twice({ ...wiped, role: 'coordinator' }, us.s(4)) },
   },
   {
     name: 'three coordinators: the leader loses its disk, then the oldest',
-    plan: { ...small, towers: 3, losses: twice({ ...wiped, role: 'tower', which: 'leader' }, us.s(4)) },
+    plan: { ...small, towers: 3, losses: twice({ ...wiped, role: 'coordinator', which: 'leader' }, us.s(4)) },
   },
   {
     name: 'five coordinators: one loses its disk, then the oldest',
-    plan: { ...small, losses: twice({ ...wiped, role: 'tower' }, us.s(4)) },
+    plan: { ...small, losses: twice({ ...wiped, role: 'coordinator' }, us.s(4)) },
   },
   {
-    name: 'three keepers: one loses its disk, then the oldest',
-    plan: { ...small, losses: twice({ ...wiped, role: 'keeper' }, us.s(4)) },
+    name: 'three stores: one loses its disk, then the oldest',
+    plan: { ...small, losses: twice({ ...wiped, role: 'store' }, us.s(4)) },
   },
   {
-    name: 'three keepers at slow disks: one loses its disk, then the oldest',
-    plan: { ...small, slow: 25, losses: twice({ ...wiped, role: 'keeper' }, us.s(4)) },
+    name: 'three stores at slow disks: one loses its disk, then the oldest',
+    plan: { ...small, slow: 25, losses: twice({ ...wiped, role: 'store' }, us.s(4)) },
     within: us.s(2),
   },
   {
-    name: 'three keepers: one loses its disk, then one loses its power',
-    plan: { ...small, losses: twice({ ...wiped, role: 'keeper' }, us.s(4), { how: 'power', backAfter: us.s(2) }) },
+    name: 'three stores: one loses its disk, then one loses its power',
+    plan: { ...small, losses: twice({ ...wiped, role: 'store' }, us.s(4), { how: 'power', backAfter: us.s(2) }) },
   },
   {
-    name: 'three keepers: one is replaced at another address, then the oldest loses its disk',
+    name: 'three stores: one is replaced at another address, then the oldest loses its disk',
     plan: {
       ...small,
-      losses: twice({ ...wiped, role: 'keeper', elsewhere: true, backAfter: us.s(2) }, us.s(4.8), { elsewhere: false }),
+      losses: twice({ ...wiped, role: 'store', elsewhere: true, backAfter: us.s(2) }, us.s(4.8), { elsewhere: false }),
     },
   },
   {
-    name: 'five of eight keepers: two lose their disks together, then the two oldest',
-    plan: { ...grown, losses: twice({ ...wiped, role: 'keeper', count: 2, backAfter: us.s(2) }, us.s(6)) },
+    name: 'five of eight stores: two lose their disks together, then the two oldest',
+    plan: { ...grown, losses: twice({ ...wiped, role: 'store', count: 2, backAfter: us.s(2) }, us.s(6)) },
   },
   {
     name: 'five of eight coordinators: two lose their disks together, then the two oldest',
-    plan: { ...grown, losses: twice({ ...wiped, role: 'tower', count: 2, backAfter: us.s(2) }, us.s(6)) },
+    plan: { ...grown, losses: twice({ ...wiped, role: 'coordinator', count: 2, backAfter: us.s(2) }, us.s(6)) },
   },
 ];
--- a/packages/simulation/src/repair-run.ts
+++ b/packages/simulation/src/repair-run.ts
@@ -1,4 +1,4 @@
-// Timed runs of repair (§3.3, §6.5): coordinators and keepers in the simulated world, under load, with losses one after
+// Timed runs of repair (§3.3, §6.5): coordinators and stores in the simulated world, under load, with losses one after
 // another. Shows how long a group bears less than it should, and whether anything acknowledged is lost.
 import { invariant, us, type Us } from '@thornsail/runtime';
 import { openLoad, openPushes, readBack, type RegisterLoad } from './repair-load.js';
@@ -47,7 +47,7 @@
 export const repairRun = async (plan: RepairPlan): Promise<RepairReport> => {
   invariant.clear();
   const stage = openStage(plan);
-  const formed = await runUntil(stage, () => stage.full('tower') && stage.full('keeper'), formWithin);
+  const formed = await runUntil(stage, () => stage.full('coordinator') && stage.full('store'), formWithin);
   if (formed === Infinity) return { breaches: ['not formed within 12 s'], fullAfter: [], acknowledged: 0 };
   const load = openLoad(stage);
   const pushes = openPushes(stage);
@@ -58,7 +58,7 @@
   pushes.every(begun + last + us.s(1));
   const fullAfter = await playLosses(stage, plan.losses, begun, begun + last + plan.settleFor);
   const breaches: string[] = [];
-  for (const role of ['tower', 'keeper'] as const)
+  for (const role of ['coordinator', 'store'] as const)
     if (!stage.full(role)) breaches.push(`the group of ${role}s is not full`);
   breaches.push(...invariant.breaches(), ...(await readBack(stage, [...load.acknowledged.keys()], pushes.newest())));
   return { breaches, fullAfter, acknowledged: load.acknowledged.size + pushes.newest() };
--- a/packages/simulation/src/repair-stage.ts
+++ b/packages/simulation/src/repair-stage.ts
@@ -1,11 +1,11 @@
-// The processes of a repair run (§3.3, §6.5): coordinators and keepers in the simulated world, without edges.
-import { chart } from '@thornsail/config-schema';
-import { place, us, type Lens, type Place, type Us } from '@thornsail/runtime';
+// The processes of a repair run (§3.3, §6.5): coordinators and stores in the simulated world, without edges.
+import { configSchema } from '@thornsail/config-schema';
+import { place, us, type Runtime, type Place, type Us } from '@thornsail/runtime';
 import { roles, type Node } from '@thornsail/thornsail';
 import { world, type Host, type World } from './world.js';
 
-/** A coordinator or a keeper. */
-export type GroupRole = 'tower' | 'keeper';
+/** A coordinator or a store. */
+export type GroupRole = 'coordinator' | 'store';
 /** A loss of some processes of a role, and their return. */
 export type Loss = {
   /** Microseconds after the load began. */
@@ -69,8 +69,8 @@
 
 const step = us.ms(10);
 /** Addresses of a role, but for their last byte. */
-const networks: Record<GroupRole, string> = { tower: '127.0.3', keeper: '127.0.2' };
-const founders: readonly Place[] = [1, 2, 3].map((i) => `${networks.tower}.${i}:7101`);
+const networks: Record<GroupRole, string> = { coordinator: '127.0.3', store: '127.0.2' };
+const founders: readonly Place[] = [1, 2, 3].map((i) => `${networks.coordinator}.${i}:7101`);
 
 const openWorld = (plan: RepairPlan): World => {
   const simulated = world.open({
@@ -94,26 +94,26 @@
     seeds,
     beatMs: 400,
     data: 'data',
-    ...(role === 'tower' ? { founders: founding ? founders : [], tolerates: plan.tolerates } : {}),
+    ...(role === 'coordinator' ? { founders: founding ? founders : [], tolerates: plan.tolerates } : {}),
   };
 };
-type StartRole = (lens: Lens, options: never) => Promise<Node>;
+type StartRole = (runtime: Runtime, options: never) => Promise<Node>;
 const boot = (plan: RepairPlan, simulated: World, process: Process): void => {
   const { role, host } = process;
-  const checked = chart.options(role, optionsOf(plan, process));
+  const checked = configSchema.options(role, optionsOf(plan, process));
   if (!checked.ok) throw new Error(JSON.stringify(checked.problems));
   const { inc } = host;
-  const started = (roles[role] as StartRole)(simulated.lens(host), checked.value as never);
+  const started = (roles[role] as StartRole)(simulated.runtime(host), checked.value as never);
   void started.then((node) => {
     if (host.inc === inc) process.node = node;
   });
 };
 
-/** Coordinators and keepers alone, started together for the first time. */
+/** Coordinators and stores alone, started together for the first time. */
 export const openStage = (plan: RepairPlan): RepairStage => {
   const simulated = openWorld(plan);
   const processes: Process[] = [];
-  const counters = { tower: 0, keeper: 0 };
+  const counters = { coordinator: 0, store: 0 };
   const start = (process: Process): void => boot(plan, simulated, process);
   const add: RepairStage['add'] = (role, seeds = [...founders]) => {
     const i = ++counters[role];
@@ -135,22 +135,26 @@
   };
   const live: RepairStage['live'] = (role) =>
     processes.filter((process) => process.role === role && process.host.alive);
-  const leader = (): Process | undefined => live('tower').find((process) => process.node?.counts()['leads'] === 1);
-  const size = { tower: Math.min(plan.towers, Math.max(5, 2 * plan.tolerates + 1)), keeper: 2 * plan.tolerates + 1 };
+  const leader = (): Process | undefined =>
+    live('coordinator').find((process) => process.node?.counts()['leads'] === 1);
+  const size = {
+    coordinator: Math.min(plan.towers, Math.max(5, 2 * plan.tolerates + 1)),
+    store: 2 * plan.tolerates + 1,
+  };
   const full: RepairStage['full'] = (role) => {
-    const version = leader()?.node?.mooring.marked();
+    const version = leader()?.node?.membership.marked();
     if (!version) return false;
     const group = version.state.keepers;
-    const members = role === 'tower' ? version.members : group.members;
-    const settled = role === 'tower' || (group.mark > 0 && group.swept === group.mark);
+    const members = role === 'coordinator' ? version.members : group.members;
+    const settled = role === 'coordinator' || (group.mark > 0 && group.swept === group.mark);
     return (
       settled &&
       members.length === size[role] &&
       members.every((member) => live(role).some((process) => process.node?.id === member.id))
     );
   };
-  for (let i = 0; i < plan.towers; i++) add('tower');
-  for (let i = 0; i < plan.keepers; i++) add('keeper');
+  for (let i = 0; i < plan.towers; i++) add('coordinator');
+  for (let i = 0; i < plan.keepers; i++) add('store');
   return { world: simulated, processes, live, leader, start, add, full };
 };
 
--- a/packages/simulation/src/scenarios/budget.ts
+++ b/packages/simulation/src/scenarios/budget.ts
@@ -1,9 +1,9 @@
 // Scenario `budget` (§9.4).
 import { us } from '@thornsail/runtime';
 import { fleet } from '../fleet.js';
-import { type Scenario, finish, frontAt, fronts, keepers, ofLive, patch, pause, run, sum } from '../scene.js';
+import { type Scenario, finish, gatewayAt, gateways, keepers, ofLive, patch, pause, run, sum } from '../scene.js';
 
-/** A few programs driven from several edges at once, while fronts and keepers fail. */
+/** A few programs driven from several edges at once, while gateways and stores fail. */
 export const budget: Scenario = {
   rule: 'never more tokens than the budget plus one turn',
   run: async (seed, shape, log) => {
@@ -19,7 +19,7 @@
       for (let i = 0; i < 14; i++) {
         await f
           .http(
-            frontAt(f, r.int(7)),
+            gatewayAt(f, r.int(7)),
             'POST',
             '/v1/chat/completions',
             { messages: [{ role: 'user', content: `${program} ${i} ${'y'.repeat(60)}` }], max_tokens: 40 },
@@ -34,7 +34,7 @@
     const bring = async (): Promise<void> => {
       for (let i = 0; i < 6; i++) {
         await pause(f, us.ms(400 + r.int(500)));
-        const e = fronts[r.int(7)]!;
+        const e = gateways[r.int(7)]!;
         const k = r.int(4);
         if (k === 0 && f.proc(e).host.alive) {
           f.kill(e);
@@ -42,7 +42,7 @@
         } else if (k === 1 && f.proc(e).host.alive && !f.proc(e).host.frozen) f.freeze(e, us.ms(800 + r.int(3000)));
         else if (k === 2) {
           const n = keepers[r.int(3)]!;
-          if (f.proc(n).host.alive && ofLive(f, 'keeper').length === 3) {
+          if (f.proc(n).host.alive && ofLive(f, 'store').length === 3) {
             f.kill(n, 'power');
             f.w.at(f.w.now() + us.ms(500 + r.int(1500)), () => f.start(n));
           }
--- a/packages/simulation/src/scenarios/burst.ts
+++ b/packages/simulation/src/scenarios/burst.ts
@@ -3,11 +3,11 @@
 import { classNames } from '@thornsail/test-harness';
 import { fleet } from '../fleet.js';
 import { later } from '../operator-calls.js';
-import { type Scenario, finish, frontAt, keepers, run, settleLoad } from '../scene.js';
+import { type Scenario, finish, gatewayAt, keepers, run, settleLoad } from '../scene.js';
 
 /** Urgent jobs at all edges in one instant, among crowds of ordinary ones. */
 export const burst: Scenario = {
-  rule: 'urgent jobs at all edges in one instant, among crowds, with claims behind model turns at slow keepers',
+  rule: 'urgent jobs at all edges in one instant, among crowds, with claims behind model turns at slow stores',
   run: async (seed, shape, log) => {
     const f = await fleet.open({ seed, shape, log });
     const r = f.w.rand;
@@ -20,7 +20,7 @@
     let crowd = 0;
     for (let i = 0; i < 1800; i++)
       later(f, r.int(us.s(6)), () => {
-        const at = frontAt(f, r.int(7));
+        const at = gatewayAt(f, r.int(7));
         const head = { 'x-thornsail-class': names.ping, 'x-thornsail-time-left-ms': '2500' };
         void f.http(at, 'POST', '/v1/jobs', { i }, head).then(
           (x) => void (x.status === 200 && (crowd += 1)),
@@ -39,7 +39,7 @@
         'idempotency-key': id,
         'x-thornsail-once': 'true',
       };
-      const x = await f.http(frontAt(f, edge), 'POST', '/v1/jobs', { id }, head).catch(() => undefined);
+      const x = await f.http(gatewayAt(f, edge), 'POST', '/v1/jobs', { id }, head).catch(() => undefined);
       if (x?.status === 200) waits.push(f.w.now() - begun);
       else bad += 1;
       open -= 1;
--- a/packages/simulation/src/scenarios/clocks.ts
+++ b/packages/simulation/src/scenarios/clocks.ts
@@ -2,7 +2,7 @@
 import { us } from '@thornsail/runtime';
 import { fleet } from '../fleet.js';
 import { type Pushed, later, operator } from '../operator-calls.js';
-import { type Scenario, finish, frontAt, fronts, keepers, run, serving, settleLoad, towers } from '../scene.js';
+import { type Scenario, finish, gatewayAt, gateways, keepers, run, serving, settleLoad, towers } from '../scene.js';
 
 /** Wall clocks that jump by up to 400 days in either direction. */
 export const clocks: Scenario = {
@@ -15,19 +15,19 @@
     const l = f.load({ chats: 60, kept: 14, jobs: 250, over: us.s(14) });
     const day = us.s(86_400);
     const jump = (name: string): void => {
-      // Of the keepers one clock at a time is wrong, by up to 400 days either way.
+      // Of the stores one clock at a time is wrong, by up to 400 days either way.
       const role = f.proc(name).role;
-      for (const p of f.procs) if (p.role === role && role !== 'front') p.host.skew = 0;
+      for (const p of f.procs) if (p.role === role && role !== 'gateway') p.host.skew = 0;
       f.proc(name).host.skew = (r.int(2) ? 1 : -1) * r.int(400) * day;
     };
-    const all = [...keepers, ...keepers, ...towers, ...fronts];
+    const all = [...keepers, ...keepers, ...towers, ...gateways];
     for (let i = 0; i < 24; i++) later(f, r.int(us.s(16)), () => jump(all[r.int(all.length)]!));
     later(f, us.s(3), () => f.kill(keepers[r.int(3)]!, 'power'));
     later(f, us.s(5), () => keepers.forEach((k) => f.proc(k).host.alive || f.start(k)));
-    later(f, us.s(6), () => f.kill(fronts[r.int(7)]!));
+    later(f, us.s(6), () => f.kill(gateways[r.int(7)]!));
     const acked: Pushed[] = [];
     const push = operator(f, acked);
-    for (let i = 0; i < 8; i++) later(f, r.int(us.s(14)), () => void push(frontAt(f, r.int(7))));
+    for (let i = 0; i < 8; i++) later(f, r.int(us.s(14)), () => void push(gatewayAt(f, r.int(7))));
     await run(f, us.s(17));
     const back = await serving(f, us.s(12));
     await settleLoad(f, l);
--- a/packages/simulation/src/scenarios/closing.ts
+++ b/packages/simulation/src/scenarios/closing.ts
@@ -3,7 +3,7 @@
 import { fleet } from '../fleet.js';
 import { type Scenario, finish, keepers, run, serving, settleLoad, towers } from '../scene.js';
 
-/** The faults that end a day, one after another; each is timed until all fronts serve again. */
+/** The faults that end a day, one after another; each is timed until all gateways serve again. */
 export const closing: Scenario = {
   rule: 'after a closing fault, serving is back within twelve seconds',
   run: async (seed, shape, log) => {
@@ -26,20 +26,20 @@
       us.s(1),
     );
     await time(
-      'keepers_power_cycled',
+      'stores_power_cycled',
       () => {
         for (const k of keepers) f.kill(k, 'power');
         return () => keepers.forEach((k) => f.start(k));
       },
       us.s(1),
     );
-    await time('core_cut_in_two', () => f.cut(['tower1'], ['tower2', 'tower3']), us.s(4));
+    await time('core_cut_in_two', () => f.cut(['coordinator1'], ['coordinator2', 'coordinator3']), us.s(4));
     await time(
       'core_cut_off',
       () =>
         f.cut(
           towers,
-          f.procs.filter((p) => p.role !== 'tower').map((p) => p.name),
+          f.procs.filter((p) => p.role !== 'coordinator').map((p) => p.name),
         ),
       us.s(5),
     );
--- a/packages/simulation/src/scenarios/config.ts
+++ b/packages/simulation/src/scenarios/config.ts
@@ -2,7 +2,7 @@
 import { root } from '@thornsail/admin-api';
 import { type Place, type Us, us } from '@thornsail/runtime';
 import { fleet } from '../fleet.js';
-import { type Scenario, finish, fronts, ofLive, run, towers } from '../scene.js';
+import { type Scenario, finish, gateways, ofLive, run, towers } from '../scene.js';
 
 /** Two operators that change the configuration at once, some of it invalid, while nodes fail. */
 export const config: Scenario = {
@@ -21,8 +21,8 @@
     const push = async (): Promise<void> => {
       open += 1;
       const mine = ++n;
-      const pilots = ofLive(f, 'pilot');
-      const at = f.proc(pilots[r.int(pilots.length)]!).options['http'] as Place;
+      const agents = ofLive(f, 'agent');
+      const at = f.proc(agents[r.int(agents.length)]!).options['http'] as Place;
       try {
         const now = await f.http(at, 'GET', `${root}/config`);
         if (now.status === 200) {
@@ -53,7 +53,7 @@
       });
     const later = (at: Us, fn: () => void): void => f.w.at(f.w.now() + at, fn);
     const head = (): string =>
-      f.procs.find((p) => p.role === 'tower' && p.node?.counts()['leads'] === 1)?.name ?? 'tower1';
+      f.procs.find((p) => p.role === 'coordinator' && p.node?.counts()['leads'] === 1)?.name ?? 'coordinator1';
     later(us.s(1) + r.int(us.s(2)), () => {
       const t = head();
       f.kill(t, 'power');
@@ -65,12 +65,12 @@
       later(us.s(2), heal);
     });
     later(us.s(4), () => {
-      const p = `pilot-edge${1 + r.int(7)}`;
+      const p = `agent-edge${1 + r.int(7)}`;
       f.kill(p);
       later(us.s(3), () => f.start(p));
     });
     later(us.s(8), () => {
-      const e = fronts[r.int(7)]!;
+      const e = gateways[r.int(7)]!;
       f.freeze(e, us.s(2));
       frozenUntil.set(e, f.w.now() + us.s(2));
     });
@@ -83,13 +83,13 @@
         f.expectBreach.push('an operator was never answered');
         break;
       }
-      for (const name of fronts) {
+      for (const name of gateways) {
         const node = f.proc(name).node;
         if (!node || f.proc(name).host.frozen) continue;
         const mark = node.counts()['config_mark'] ?? 0;
         if (mark < (seen.get(name) ?? 0)) f.expectBreach.push(`${name} slipped back from ${seen.get(name)} to ${mark}`);
         seen.set(name, mark);
-        const value = node.mooring.state()?.config.value;
+        const value = node.membership.state()?.config.value;
         const v = (value?.limits.onceKeepSeconds ?? 1000) - 1000;
         if (losers.has(v)) f.expectBreach.push(`the losing configuration ${v} took effect at ${name}`);
         for (const [m, a] of acked)
--- a/packages/simulation/src/scenarios/disk.ts
+++ b/packages/simulation/src/scenarios/disk.ts
@@ -2,7 +2,7 @@
 import { us } from '@thornsail/runtime';
 import { type Fleet, fleet } from '../fleet.js';
 import { type Pushed, headOf, later, operator, read } from '../operator-calls.js';
-import { type Scenario, finish, frontAt, keepers, run, serving, settleLoad } from '../scene.js';
+import { type Scenario, finish, gatewayAt, keepers, run, serving, settleLoad } from '../scene.js';
 
 /** Disks that are full, slow or fail at a write, a sync, a rename or a read. */
 export const disk: Scenario = {
@@ -13,7 +13,7 @@
     const l = f.load({ chats: 50, kept: 10, jobs: 60, over: us.s(18) });
     const acked: Pushed[] = [];
     const push = operator(f, acked);
-    for (let i = 0; i < 14; i++) later(f, us.ms(300) + r.int(us.s(18)), () => void push(frontAt(f, r.int(7))));
+    for (let i = 0; i < 14; i++) later(f, us.ms(300) + r.int(us.s(18)), () => void push(gatewayAt(f, r.int(7))));
     const disk = (name: string): Fleet['procs'][number]['host']['disk'] => f.proc(name).host.disk;
     const [a, b, c] = r.int(2) ? keepers : [...keepers].reverse();
     disk(c!).slow = 30;
@@ -41,12 +41,12 @@
         });
       });
     };
-    // A keeper's registers are written in place; a rename that fails there is durable-files/test/batches.test's.
+    // A store's registers are written in place; a rename that fails there is durable-files/test/batches.test's.
     later(f, us.s(9), () => breaks(b!, (['sync', 'sync', 'write'] as const)[r.int(3)]!));
-    // Until the keeper is back no second machine with a disk may be lost.
+    // Until the store is back no second machine with a disk may be lost.
     later(f, us.s(14), () => {
       const t = headOf(f);
-      void push(frontAt(f, 1));
+      void push(gatewayAt(f, 1));
       breaks(t, (['sync', 'rename', 'write'] as const)[r.int(3)]!);
     });
     await run(f, us.s(19));
--- a/packages/simulation/src/scenarios/durable.ts
+++ b/packages/simulation/src/scenarios/durable.ts
@@ -2,9 +2,9 @@
 import { root } from '@thornsail/admin-api';
 import { us } from '@thornsail/runtime';
 import { fleet } from '../fleet.js';
-import { type Scenario, finish, frontAt, ofLive, run } from '../scene.js';
+import { type Scenario, finish, gatewayAt, ofLive, run } from '../scene.js';
 
-/** Acknowledged configurations, while towers lose power or disks at every moment. */
+/** Acknowledged configurations, while coordinators lose power or disks at every moment. */
 export const durable: Scenario = {
   rule: 'an acknowledged configuration survives the loss of any one machine with a disk',
   run: async (seed, shape, log) => {
@@ -14,7 +14,7 @@
     for (let i = 0; i < 3; i++) {
       let res: { status: number; mark: number } | undefined;
       const next = { ...f.shape.config, limits: { onceKeepSeconds: 2000 + i } };
-      void f.push(next, mark, `d${i}`, frontAt(f, r.int(7))).then(
+      void f.push(next, mark, `d${i}`, gatewayAt(f, r.int(7))).then(
         (x) => {
           res = x;
         },
@@ -25,29 +25,29 @@
       await f.until('the acknowledgement', () => res !== undefined, us.s(10));
       if (res!.status === 200) mark = res!.mark;
       // Right after the acknowledgement: power or disk of one machine, the head more often than not.
-      const head = f.procs.find((p) => p.role === 'tower' && p.node?.counts()['leads'] === 1)?.name;
-      const live = ofLive(f, 'tower');
+      const head = f.procs.find((p) => p.role === 'coordinator' && p.node?.counts()['leads'] === 1)?.name;
+      const live = ofLive(f, 'coordinator');
       const t = head && r.int(3) > 0 ? head : live[r.int(live.length)]!;
       if (r.int(2) === 0) {
         f.kill(t, 'power');
         await run(f, us.ms(200 + r.int(1500)));
         f.start(t);
-      } else f.replace(t, `tower${9 - i}`, `127.77.3.${9 - i}`);
+      } else f.replace(t, `coordinator${9 - i}`, `127.77.3.${9 - i}`);
       await f.until(
-        'three towers in the view again',
+        'three coordinators in the view again',
         () => {
-          const p = f.procs.find((x) => x.role === 'tower' && x.node?.counts()['leads'] === 1);
-          const v = p?.node?.mooring.marked();
+          const p = f.procs.find((x) => x.role === 'coordinator' && x.node?.counts()['leads'] === 1);
+          const v = p?.node?.membership.marked();
           return (
             v !== undefined &&
             v.members.length === 3 &&
-            v.members.every((m) => f.procs.some((x) => x.role === 'tower' && x.host.alive && x.node?.id === m.id))
+            v.members.every((m) => f.procs.some((x) => x.role === 'coordinator' && x.host.alive && x.node?.id === m.id))
           );
         },
         us.s(25),
       );
       let got: { status: number; body: Record<string, unknown> } | undefined;
-      void f.http(frontAt(f, r.int(7)), 'GET', `${root}/config`).then(
+      void f.http(gatewayAt(f, r.int(7)), 'GET', `${root}/config`).then(
         (x) => {
           got = x;
         },
--- a/packages/simulation/src/scenarios/hold.ts
+++ b/packages/simulation/src/scenarios/hold.ts
@@ -1,7 +1,7 @@
 // Scenario `hold` (§9.4).
 import { us } from '@thornsail/runtime';
 import { fleet } from '../fleet.js';
-import { type Scenario, finish, fronts, keepers, settleLoad, sum } from '../scene.js';
+import { type Scenario, finish, gateways, keepers, settleLoad, sum } from '../scene.js';
 
 /** Workers with too little cache: turns are held at tool boundaries while news between edges goes missing. */
 export const hold: Scenario = {
@@ -18,14 +18,14 @@
       config: (c) => ({ ...c, scheduler: { intervalSeconds: 2 }, slots: { model: 64, app: 16 } }),
     });
     const l = f.load({ chats: 150, kept: 20, jobs: 20, over: us.s(12) });
-    // On every third seed the keepers' disks are slow, and one keeper is lost on top of that.
+    // On every third seed the stores' disks are slow, and one store is lost on top of that.
     if (seed % 3 === 0) {
       for (const k of keepers) f.proc(k).host.disk.slow = 25;
       f.w.at(f.w.now() + us.s(5), () => f.kill(keepers[f.w.rand.int(3)]!, 'power'));
     }
     // The news between edges goes missing for a while.
     f.w.at(f.w.now() + us.s(3), () => {
-      const heal = f.cut(fronts, ['pilot-edge1', 'pilot-edge2', 'pilot-edge3']);
+      const heal = f.cut(gateways, ['agent-edge1', 'agent-edge2', 'agent-edge3']);
       f.w.at(f.w.now() + us.s(4), heal);
     });
     await settleLoad(f, l);
--- a/packages/simulation/src/scenarios/kept.ts
+++ b/packages/simulation/src/scenarios/kept.ts
@@ -1,9 +1,9 @@
 // Scenario `kept` (§9.4).
 import { type Place, type Us, us } from '@thornsail/runtime';
 import { fleet } from '../fleet.js';
-import { type Scenario, finish, fronts, keepers, ofLive, settleLoad } from '../scene.js';
+import { type Scenario, finish, gateways, keepers, ofLive, settleLoad } from '../scene.js';
 
-/** Kept conversations, while keepers are replaced and their clocks are wrong. */
+/** Kept conversations, while stores are replaced and their clocks are wrong. */
 export const kept: Scenario = {
   rule: 'a kept conversation is never reported missing within its keeping time',
   run: async (seed, shape, log) => {
@@ -16,13 +16,13 @@
     later(us.s(2), () => {
       f.proc(other).host.skew = (r.int(2) === 0 ? 1 : -1) * us.s(400 * 86_400);
     });
-    later(us.s(2) + r.int(us.s(2)), () => f.kill(fronts[r.int(7)]!));
-    later(us.s(3), () => f.replace(k, 'keeper9', '127.77.2.9'));
+    later(us.s(2) + r.int(us.s(2)), () => f.kill(gateways[r.int(7)]!));
+    later(us.s(3), () => f.replace(k, 'store9', '127.77.2.9'));
     await settleLoad(f, l);
     await f.until(
       'the group to be whole again',
       () => {
-        const s = f.proc('pilot-edge1').node?.mooring.state()?.keepers;
+        const s = f.proc('agent-edge1').node?.membership.state()?.keepers;
         return (
           s !== undefined &&
           s.members.length === 3 &&
@@ -32,20 +32,20 @@
       },
       us.s(30),
     );
-    // Now the oldest of the remaining keepers goes too: what was kept must be on the newcomer.
-    const last = ofLive(f, 'keeper').find((x) => x !== 'keeper9' && x !== other) ?? other;
+    // Now the oldest of the remaining stores goes too: what was kept must be on the newcomer.
+    const last = ofLive(f, 'store').find((x) => x !== 'store9' && x !== other) ?? other;
     f.kill(last, 'disk');
     let open = 0;
     for (const p of new Set(
-      f.ledger.entries.map((e) => e.program).filter((x): x is string => x !== null && x.startsWith('k')),
+      f.requestLog.entries.map((e) => e.program).filter((x): x is string => x !== null && x.startsWith('k')),
     )) {
       open += 1;
-      const alive = f.procs.filter((x) => x.role === 'front' && x.host.alive);
+      const alive = f.procs.filter((x) => x.role === 'gateway' && x.host.alive);
       void f
         .http(alive[r.int(alive.length)]!.options['http'] as Place, 'GET', `/v1/conversations/c-${p}`)
         .then((x) => {
           if (x.status === 404)
-            f.expectBreach.push(`conversation c-${p} reported missing after its keepers were replaced`);
+            f.expectBreach.push(`conversation c-${p} reported missing after its stores were replaced`);
         })
         .catch(() => undefined)
         .then(() => {
--- a/packages/simulation/src/scenarios/leaving.ts
+++ b/packages/simulation/src/scenarios/leaving.ts
@@ -1,9 +1,9 @@
 // Scenario `leaving` (§9.4).
 import { type Us, us } from '@thornsail/runtime';
 import { fleet } from '../fleet.js';
-import { type Scenario, edges, finish, fronts, keepers, settleLoad, towers } from '../scene.js';
+import { type Scenario, edges, finish, gateways, keepers, settleLoad, towers } from '../scene.js';
 
-/** Workers that leave while the towers are cut off and a front is frozen. */
+/** Workers that leave while the coordinators are cut off and a gateway is frozen. */
 export const leaving: Scenario = {
   rule: 'no new request to a leaving worker after three seconds',
   run: async (seed, shape, log) => {
@@ -12,10 +12,10 @@
     const l = f.load({ chats: 120, kept: 6, jobs: 60, over: us.s(12) });
     const later = (at: Us, fn: () => void): void => f.w.at(f.w.now() + at, fn);
     const heal: (() => void)[] = [];
-    later(us.s(1), () => heal.push(f.cut(towers, [...fronts, ...edges.map((e) => `pilot-${e}`), ...keepers])));
-    later(us.s(1.5), () => f.kill(`pilot-edge${1 + r.int(7)}`));
+    later(us.s(1), () => heal.push(f.cut(towers, [...gateways, ...edges.map((e) => `agent-${e}`), ...keepers])));
+    later(us.s(1.5), () => f.kill(`agent-edge${1 + r.int(7)}`));
     for (let i = 0; i < 4; i++) later(us.s(2 + i), () => f.platform.leave(f.layout.workers[i * 2]!.id));
-    const e = fronts[r.int(7)]!;
+    const e = gateways[r.int(7)]!;
     later(us.s(3) - us.ms(r.int(300)), () => f.freeze(e, us.s(4.5)));
     later(us.s(9), () => heal.forEach((h) => h()));
     await settleLoad(f, l);
