--- a/packages/simulation/src/scenarios/notrun.ts
+++ b/packages/simulation/src/scenarios/notrun.ts
@@ -1,7 +1,7 @@
 // Scenario `notrun` (§9.4).
 import { us } from '@thornsail/runtime';
 import { fleet } from '../fleet.js';
-import { type Scenario, finish, frontAt, fronts, patch, run } from '../scene.js';
+import { type Scenario, finish, gatewayAt, gateways, patch, run } from '../scene.js';
 
 /** Too many jobs for the slots: refusals that promise "not run", next to copies with the same key. */
 export const notrun: Scenario = {
@@ -18,8 +18,8 @@
     });
     const r = f.w.rand;
     let open = 0;
-    const ledgerKeys = (): Set<string> =>
-      new Set(f.ledger.entries.map((e) => e.key ?? (JSON.parse(e.body || '{}') as { key?: string }).key ?? ''));
+    const requestLogKeys = (): Set<string> =>
+      new Set(f.requestLog.entries.map((e) => e.key ?? (JSON.parse(e.body || '{}') as { key?: string }).key ?? ''));
     const said: string[] = [];
     const cls = shape === 'lautoka' ? 'lobby' : 'status';
     const copies = new Set<string>();
@@ -41,7 +41,7 @@
       }
       const res = await f
         .http(
-          frontAt(f, r.int(7)),
+          gatewayAt(f, r.int(7)),
           'POST',
           '/v1/jobs',
           { key },
@@ -64,14 +64,14 @@
     for (let i = 0; i < 900; i++) f.w.at(f.w.now() + r.int(us.s(3)), () => void one(`n-${i}`, i % 2 === 0));
     for (let i = 0; i < 3; i++)
       f.w.at(f.w.now() + r.int(us.s(4)), () => {
-        const e = fronts[r.int(7)]!;
+        const e = gateways[r.int(7)]!;
         if (!f.proc(e).host.frozen) f.freeze(e, us.ms(700 + r.int(2500)));
       });
     await run(f, us.s(5));
     await f.until('the callers to end', () => open === 0, us.s(30));
     await run(f, us.s(5));
     const out = finish(f, { promised: said.length });
-    const ran = ledgerKeys();
+    const ran = requestLogKeys();
     for (const k of said) if (ran.has(k) && !mixed.has(k)) out.breaches.push(`${k} ran after "not run"`);
     if (said.length === 0) out.breaches.push('nothing was refused: the scenario shows nothing');
     return out;
--- a/packages/simulation/src/scenarios/once.ts
+++ b/packages/simulation/src/scenarios/once.ts
@@ -1,7 +1,7 @@
 // Scenario `once` (§9.4).
 import { us } from '@thornsail/runtime';
 import { fleet } from '../fleet.js';
-import { type Scenario, finish, fronts, run } from '../scene.js';
+import { type Scenario, finish, gateways, run } from '../scene.js';
 
 /** Jobs with the same key at several edges at once, whose results are lost. */
 export const once: Scenario = {
@@ -24,7 +24,7 @@
     for (let i = 0; i < 60; i++) f.w.at(f.w.now() + r.int(us.s(6)), () => void one(`once-${i}`));
     for (let i = 0; i < 4; i++)
       f.w.at(f.w.now() + us.s(0.5) + r.int(us.s(5)), () => {
-        const e = fronts[r.int(7)]!;
+        const e = gateways[r.int(7)]!;
         if (!f.proc(e).host.alive || f.proc(e).host.frozen) return;
         if (r.int(2) === 0) {
           f.kill(e);
--- a/packages/simulation/src/scenarios/random.ts
+++ b/packages/simulation/src/scenarios/random.ts
@@ -1,7 +1,7 @@
 // Scenario `random` (§9.4).
 import { us } from '@thornsail/runtime';
 import { fleet } from '../fleet.js';
-import { type Scenario, finish, frontAt, keepers, oneToLeave, run, serving, settleLoad, towers } from '../scene.js';
+import { type Scenario, finish, gatewayAt, keepers, oneToLeave, run, serving, settleLoad, towers } from '../scene.js';
 
 /** Two or three faults of any kind in one run. */
 export const random: Scenario = {
@@ -53,7 +53,7 @@
       },
       () =>
         void f
-          .push({ ...f.shape.config, slots: { model: 8 + r.int(8), app: 16 } }, 1, 'r', frontAt(f, r.int(7)))
+          .push({ ...f.shape.config, slots: { model: 8 + r.int(8), app: 16 } }, 1, 'r', gatewayAt(f, r.int(7)))
           .catch(() => undefined),
     ];
     const n = 2 + r.int(2);
--- a/packages/simulation/src/scenarios/rolling.ts
+++ b/packages/simulation/src/scenarios/rolling.ts
@@ -2,23 +2,23 @@
 import { root } from '@thornsail/admin-api';
 import { type Place, us } from '@thornsail/runtime';
 import { fleet } from '../fleet.js';
-import { type Scenario, finish, frontAt, oneToLeave, replaceWorker, run, serving, settleLoad } from '../scene.js';
+import { type Scenario, finish, gatewayAt, oneToLeave, replaceWorker, run, serving, settleLoad } from '../scene.js';
 
-/** A rolling replacement of workers, seeds, store machines and towers, and an added edge machine. */
+/** A rolling replacement of workers, seeds, store machines and coordinators, and an added edge machine. */
 export const rolling: Scenario = {
   rule: 'workers replaced one after another, machines added, seeds swapped, a store machine emptied',
   run: async (seed, shape, log) => {
     const f = await fleet.open({ seed, shape, log });
     const l = f.load({ chats: 60, kept: 8, jobs: 40, over: us.s(16) });
     // The three seed machines go, one by one, and an empty one takes each place at a new address.
-    f.kill('pilot-edge1');
-    f.kill('front-edge1');
+    f.kill('agent-edge1');
+    f.kill('gateway-edge1');
     await run(f, us.s(2));
-    f.replace('keeper1', 'keeper8', '127.77.2.8');
+    f.replace('store1', 'store8', '127.77.2.8');
     await f.until(
-      'the new keeper in the group',
+      'the new store in the group',
       () => {
-        const k = f.proc('pilot-edge2').node?.mooring.state()?.keepers;
+        const k = f.proc('agent-edge2').node?.membership.state()?.keepers;
         return (
           k !== undefined &&
           k.swept === k.mark &&
@@ -29,42 +29,46 @@
       us.s(30),
     );
     for (const p of f.procs)
-      p.seeds = [f.proc('pilot-edge2'), f.proc('keeper8'), f.proc('tower1')].map((x) => x.options['place'] as Place);
-    f.replace('tower1', 'tower8', '127.77.3.8');
+      p.seeds = [f.proc('agent-edge2'), f.proc('store8'), f.proc('coordinator1')].map(
+        (x) => x.options['place'] as Place,
+      );
+    f.replace('coordinator1', 'coordinator8', '127.77.3.8');
     await f.until(
-      'the new tower in the view',
+      'the new coordinator in the view',
       () => {
-        const v = f.proc('pilot-edge2').node?.mooring.marked();
+        const v = f.proc('agent-edge2').node?.membership.marked();
         return v !== undefined && v.members.length === 3 && v.members.some((m) => m.at.startsWith('127.77.3.8'));
       },
       us.s(30),
     );
     // None of the first seeds is left; a node that restarts finds the fleet by the new ones.
-    const seeds = [f.proc('pilot-edge2'), f.proc('keeper8'), f.proc('tower8')].map((p) => p.options['place'] as Place);
+    const seeds = [f.proc('agent-edge2'), f.proc('store8'), f.proc('coordinator8')].map(
+      (p) => p.options['place'] as Place,
+    );
     for (const p of f.procs) p.seeds = seeds;
-    f.kill('pilot-edge5');
-    f.start('pilot-edge5');
-    f.kill('front-edge5');
-    f.start('front-edge5');
+    f.kill('agent-edge5');
+    f.start('agent-edge5');
+    f.kill('gateway-edge5');
+    f.start('gateway-edge5');
     // An edge machine is added, and serves.
     f.addEdge(8);
-    await f.until('the added front to serve', () => f.proc('front-edge8').node?.ready().ok === true, us.s(10));
+    await f.until('the added gateway to serve', () => f.proc('gateway-edge8').node?.ready().ok === true, us.s(10));
     // A store machine is emptied: with a spare its records move, without one the group shrinks to two.
     let safe = false;
     const ask = async (method: string): Promise<void> => {
-      const x = await f.http(frontAt(f, 2), method, `${root}/drain/keeper2`).catch(() => undefined);
+      const x = await f.http(gatewayAt(f, 2), method, `${root}/drain/store2`).catch(() => undefined);
       if (x?.body['safe'] === true) safe = true;
     };
     void ask('POST');
     await f.until(
-      'keeper2 safe to remove',
+      'store2 safe to remove',
       () => {
         void ask('GET');
         return safe;
       },
       us.s(30),
     );
-    f.kill('keeper2', 'disk');
+    f.kill('store2', 'disk');
     await run(f, us.s(1));
     const unserved = (): number => f.callers.summary.rejected['no_worker'] ?? 0;
     const before = unserved();
--- a/packages/simulation/src/scenarios/split.ts
+++ b/packages/simulation/src/scenarios/split.ts
@@ -2,29 +2,40 @@
 import { type Place, us } from '@thornsail/runtime';
 import { fleet } from '../fleet.js';
 import { type Pushed, inUse, later, operator } from '../operator-calls.js';
-import { type Scenario, edges, finish, frontAt, fronts, keepers, run, serving, settleLoad, towers } from '../scene.js';
+import {
+  type Scenario,
+  edges,
+  finish,
+  gatewayAt,
+  gateways,
+  keepers,
+  run,
+  serving,
+  settleLoad,
+  towers,
+} from '../scene.js';
 
 /** The fleet cut in two at random, while operators change the configuration on both sides. */
 export const split: Scenario = {
-  rule: 'whatever way the fleet is cut in two, nothing acknowledged is not in use where a front serves',
+  rule: 'whatever way the fleet is cut in two, nothing acknowledged is not in use where a gateway serves',
   run: async (seed, shape, log) => {
     const f = await fleet.open({ seed, shape, log });
     const r = f.w.rand;
     const l = f.load({ chats: 50, kept: 8, jobs: 50, over: us.s(26) });
     const acked: Pushed[] = [];
     const push = operator(f, acked);
-    void push(frontAt(f, 1));
+    void push(gatewayAt(f, 1));
     await run(f, us.s(1));
     let rounds = 0;
     let probing = true;
     const probe = (): void => {
-      for (const name of fronts) void inUse(f, acked, name);
+      for (const name of gateways) void inUse(f, acked, name);
       if (probing) later(f, us.ms(200), probe);
     };
     probe();
     for (; rounds < 4; rounds++) {
       // A machine is on one side or the other; an edge's two processes share it.
-      const machine = (name: string): string => name.replace(/^(front|pilot)-/, '');
+      const machine = (name: string): string => name.replace(/^(gateway|agent)-/, '');
       const side = new Map([...edges, ...keepers, ...towers].map((m) => [m, r.int(2)]));
       if (rounds === 0) for (const t of towers) side.set(t, 1);
       const names = f.procs.map((p) => p.name);
@@ -34,7 +45,7 @@
         later(f, r.int(us.s(3)), () => void push(f.proc(names[r.int(names.length)]!).options['http'] as Place));
       await run(f, us.s(4));
       heal();
-      later(f, us.ms(r.int(500)), () => void push(frontAt(f, r.int(7))));
+      later(f, us.ms(r.int(500)), () => void push(gatewayAt(f, r.int(7))));
       await run(f, us.s(2));
     }
     probing = false;
--- a/packages/simulation/src/scenarios/storm.ts
+++ b/packages/simulation/src/scenarios/storm.ts
@@ -1,7 +1,7 @@
 // Scenario `storm` (§9.4).
 import { us } from '@thornsail/runtime';
 import { fleet } from '../fleet.js';
-import { type Scenario, finish, frontAt, patch, run, serving, settleLoad } from '../scene.js';
+import { type Scenario, finish, gatewayAt, patch, run, serving, settleLoad } from '../scene.js';
 
 /** Many faults of any kind in one run, under a heavier load and a rough network. */
 export const storm: Scenario = {
@@ -30,9 +30,9 @@
       const p = f.proc(all[r.int(all.length)]!);
       const k = r.int(6);
       // One machine with a disk at a time, as promised; edges as they come.
-      const core = f.procs.filter((x) => x.role === 'tower' || x.role === 'keeper');
+      const core = f.procs.filter((x) => x.role === 'coordinator' || x.role === 'store');
       const calm = core.every((x) => x.host.alive && !x.host.frozen);
-      const isCore = p.role === 'tower' || p.role === 'keeper';
+      const isCore = p.role === 'coordinator' || p.role === 'store';
       if (isCore && !calm) continue;
       if (k <= 1 && p.host.alive) {
         f.kill(p.name, 'power');
@@ -55,7 +55,7 @@
             { ...f.shape.config, limits: { onceKeepSeconds: 1000 + r.int(9000) } },
             1 + r.int(3),
             `s${f.w.now()}`,
-            frontAt(f, r.int(7)),
+            gatewayAt(f, r.int(7)),
           )
           .catch(() => undefined);
     }
--- a/packages/simulation/src/scenarios/streams.ts
+++ b/packages/simulation/src/scenarios/streams.ts
@@ -1,9 +1,9 @@
 // Scenario `streams` (§9.4).
 import { us } from '@thornsail/runtime';
 import { fleet } from '../fleet.js';
-import { type Scenario, finish, fronts, settleLoad } from '../scene.js';
+import { type Scenario, finish, gateways, settleLoad } from '../scene.js';
 
-/** Workers that die within a stream, and fronts that are killed. */
+/** Workers that die within a stream, and gateways that are killed. */
 export const streams: Scenario = {
   rule: 'a stream never skips, repeats or splices, and a cut one never looks complete',
   run: async (seed, shape, log) => {
@@ -16,7 +16,7 @@
     const l = f.load({ chats: 80, kept: 10, jobs: 10, over: us.s(6) });
     for (let i = 0; i < 3; i++)
       f.w.at(f.w.now() + us.s(1) + r.int(us.s(5)), () => {
-        const e = fronts[r.int(7)]!;
+        const e = gateways[r.int(7)]!;
         if (f.proc(e).host.alive) {
           f.kill(e);
           f.w.at(f.w.now() + us.s(1), () => f.start(e));
--- a/packages/simulation/src/scenarios/uncut.ts
+++ b/packages/simulation/src/scenarios/uncut.ts
@@ -1,9 +1,9 @@
 // Scenario `uncut` (§9.4).
 import { type Us, us } from '@thornsail/runtime';
 import { fleet } from '../fleet.js';
-import { type Scenario, finish, fronts, settleLoad } from '../scene.js';
+import { type Scenario, finish, gateways, settleLoad } from '../scene.js';
 
-/** Changes that are part of normal operation: workers leave, a configuration changes, fronts drain. */
+/** Changes that are part of normal operation: workers leave, a configuration changes, gateways drain. */
 export const uncut: Scenario = {
   rule: 'a turn at a worker is never paused or cut off',
   run: async (seed, shape, log) => {
@@ -19,13 +19,13 @@
           .push({ ...f.shape.config, scheduler: { pauseThreshold: 0.5, pauseTarget: 0.3 } }, 1, 'two')
           .catch(() => undefined),
     );
-    // Two fronts leave as on SIGTERM: they drain, then close.
+    // Two gateways leave as on SIGTERM: they drain, then close.
     for (const [i, at] of [
       [r.int(3), us.s(4)],
       [3 + r.int(4), us.s(5)],
     ] as const)
       later(at, () => {
-        const p = f.proc(fronts[i]!);
+        const p = f.proc(gateways[i]!);
         const node = p.node;
         if (node)
           void node
--- a/packages/simulation/src/scenarios/urgent.ts
+++ b/packages/simulation/src/scenarios/urgent.ts
@@ -1,7 +1,7 @@
 // Scenario `urgent` (§9.4).
 import { type Us, us } from '@thornsail/runtime';
 import { fleet } from '../fleet.js';
-import { type Scenario, finish, frontAt, run, settleLoad } from '../scene.js';
+import { type Scenario, finish, gatewayAt, run, settleLoad } from '../scene.js';
 
 /** Urgent turns in a crowd that has borrowed their share of the slots. */
 export const urgent: Scenario = {
@@ -40,7 +40,7 @@
       const begun = f.w.now();
       const res = await f
         .http(
-          frontAt(f, i),
+          gatewayAt(f, i),
           'POST',
           '/v1/chat/completions',
           { messages: [{ role: 'user', content: `alarm ${i} [last]` }], max_tokens: 8, stream: false },
--- a/packages/simulation/src/scene.ts
+++ b/packages/simulation/src/scene.ts
@@ -11,12 +11,12 @@
 };
 
 export const edges = ['edge1', 'edge2', 'edge3', 'edge4', 'edge5', 'edge6', 'edge7'];
-export const fronts = edges.map((e) => `front-${e}`);
-export const keepers = ['keeper1', 'keeper2', 'keeper3'];
-export const towers = ['tower1', 'tower2', 'tower3'];
-export const frontAt = (f: Fleet, i: number): Place => f.proc(fronts[i % 7]!).options['http'] as Place;
+export const gateways = edges.map((e) => `gateway-${e}`);
+export const keepers = ['store1', 'store2', 'store3'];
+export const towers = ['coordinator1', 'coordinator2', 'coordinator3'];
+export const gatewayAt = (f: Fleet, i: number): Place => f.proc(gateways[i % 7]!).options['http'] as Place;
 export const sum = (f: Fleet, k: string): number =>
-  f.procs.filter((p) => p.role === 'front').reduce((a, p) => a + (p.node?.counts()[k] ?? 0), 0);
+  f.procs.filter((p) => p.role === 'gateway').reduce((a, p) => a + (p.node?.counts()[k] ?? 0), 0);
 export const ofLive = (f: Fleet, role: string): string[] =>
   f.procs.filter((p) => p.role === role && p.host.alive).map((p) => p.name);
 export const finish = (f: Fleet, figures: Record<string, number> = {}): Outcome => {
@@ -36,7 +36,7 @@
       forced: sum(f, 'forced'),
       lost: sum(f, 'lost'),
       slowest_ms: us.toMs(s.slowest),
-      late_at_workers: silent(f.ledger, s.silences, f.shape.firstToken).atWorkers,
+      late_at_workers: silent(f.requestLog, s.silences, f.shape.firstToken).atWorkers,
       worst_line: Math.max(0, ...f.models.map((m) => m.peak().line)),
       ...figures,
     },
@@ -80,7 +80,7 @@
   };
 const classOf = (f: Fleet, kind: 'model' | 'app'): string =>
   Object.entries(f.shape.config['classes'] as Record<string, { kind: string }>).find(([, c]) => c.kind === kind)![0];
-/** One front serves again when a turn, its recall and a job all do. */
+/** One gateway serves again when a turn, its recall and a job all do. */
 const servesAll = async (f: Fleet, name: string, n: number): Promise<boolean> => {
   const at = f.proc(name).options['http'] as Place;
   const id = `probe-${name}-${n}`;
@@ -107,10 +107,10 @@
     return false;
   }
 };
-/** How long until every front that should serve does, and a configuration can be pushed at any node. */
+/** How long until every gateway that should serve does, and a configuration can be pushed at any node. */
 export const serving = async (f: Fleet, limit: Us): Promise<Us> => {
   const begun = f.w.now();
-  const up = f.procs.filter((p) => p.role === 'front' && p.host.alive && !p.host.frozen);
+  const up = f.procs.filter((p) => p.role === 'gateway' && p.host.alive && !p.host.frozen);
   const ok = new Set<string>();
   let pushed = false;
   for (let n = 0; (ok.size < up.length || !pushed) && f.w.now() - begun < limit; n++) {
--- a/packages/simulation/src/world.ts
+++ b/packages/simulation/src/world.ts
@@ -1,4 +1,4 @@
-// fog: one process, injected clock, network, disk and random source; the real role code runs on top (§9.2).
+// the simulator: one process, injected clock, network, disk and random source; the real role code runs on top (§9.2).
 // The same seed gives the same events in the same order, folded into a trace hash.
 import {
   fault,
@@ -11,7 +11,7 @@
   type HttpHandler,
   type HttpResult,
   type HttpSay,
-  type Lens,
+  type Runtime,
   type Net,
   type Place,
   type Rand,
@@ -35,7 +35,7 @@
   skew: Us;
   frames: Map<Place, { got: (from: Place, text: string) => boolean; down: (to: Place) => void; to: Set<Place> }>;
   http: Map<Place, Served>;
-  /** Pipes that this host has a part in; told when its process ends, or that it fell silent. */
+  /** Connections that this host has a part in; told when its process ends, or that it fell silent. */
   open: Set<(silent: boolean) => void>;
 };
 export type World = {
@@ -50,7 +50,7 @@
   httpCalls: () => number;
   /** A process of its own; several may share a machine's address. */
   host: (ip: string, zone: string) => Host;
-  lens: (h: Host) => Lens;
+  runtime: (h: Host) => Runtime;
   /** Servers on this host that may misbehave. */
   wire: (h: Host) => Wire;
   run: (until: Us) => Promise<void>;
@@ -194,7 +194,7 @@
       return d + rand.int(Math.max(1, Math.round(d * 0.3))) + extra;
     };
     const order = new Map<string, Us>();
-    /** Delivery in order between two hosts, as over one TCP pipe. */
+    /** Delivery in order between two hosts, as over one TCP connection. */
     const deliver = (a: Host, b: Host, fn: () => void): void => {
       const key = `${a.ip}>${b.ip}`;
       const at = Math.max(now + delay(a, b), (order.get(key) ?? 0) + 1);
@@ -259,7 +259,7 @@
             c.frames += 1;
             if (t.zone !== h.zone) c.bytes += Buffer.byteLength(text);
             mine.to.add(to);
-            // Nobody listens there: the pipe does not come up. (A cut is silent.)
+            // Nobody listens there: the connection does not come up. (A cut is silent.)
             if (!t.frames.has(to) && !t.dark && !severed(h, t)) {
               later(delay(h, t) * 2, h, () => mine.down(to));
               return;
@@ -449,7 +449,7 @@
               else goneFns.push(fn);
             },
           };
-          // A pipe belongs to two processes: what either host runs after a restart is not its end any more.
+          // A connection belongs to two processes: what either host runs after a restart is not its end any more.
           const [hInc, tInc] = [h.inc, t.inc];
           const same = (): boolean => h.inc === hInc && t.inc === tInc;
           const toCaller = (fn: () => void): void => {
@@ -509,7 +509,7 @@
               toCaller(rejectCall);
               return;
             }
-            // The pipe is open; the request itself follows.
+            // The connection is open; the request itself follows.
             if (phase !== 'connect') return;
             phase = 'sent';
             t.open.add(theirs);
@@ -559,7 +559,7 @@
         processes.add(h);
         return h;
       },
-      lens: (h) => {
+      runtime: (h) => {
         const r = seeded(rand.int(2 ** 31));
         return {
           clock: {
@@ -605,7 +605,7 @@
         later(at - now, null, fn);
       },
       kill: (h, how) => {
-        // Pipes to a process that ended break; after a loss of power nobody is there to say so.
+        // Connections to a process that ended break; after a loss of power nobody is there to say so.
         if (how === 'process')
           for (const place_ of h.frames.keys())
             for (const o2 of processes)
@@ -618,7 +618,8 @@
         h.late = [];
         h.frames.clear();
         h.http.clear();
-        // A process that ends breaks its pipes; without power they fall silent, until somebody asks the machine again.
+        // A process that ends breaks its connections; without power they fall silent, until somebody asks the machine
+        // again.
         const open = [...h.open];
         h.open.clear();
         for (const f of open) f(how !== 'process');
--- a/packages/simulation/test/api.test.ts
+++ b/packages/simulation/test/api.test.ts
@@ -22,7 +22,7 @@
   return r!;
 };
 const chat = (f: Fleet, headers: Record<string, string>, body: unknown): Promise<Reply> =>
-  get(f, f.http(f.proc('front-edge1').options['http'] as Place, 'POST', '/v1/chat/completions', body, headers));
+  get(f, f.http(f.proc('gateway-edge1').options['http'] as Place, 'POST', '/v1/chat/completions', body, headers));
 const good = { 'x-thornsail-program': 'p1', 'x-thornsail-class': 'chat' };
 const say = { messages: [{ role: 'user', content: 'hello [last]' }], max_tokens: 8 };
 
@@ -48,9 +48,9 @@
     const r = await chat(f, h, b);
     assert.equal([r.status, r.body['error'], r.body['field'], r.body['ran']], [status, error, field, 'no']);
   }
-  const raw = await get(f, f.http(f.proc('front-edge1').options['http'] as Place, 'POST', '/nosuch', {}));
+  const raw = await get(f, f.http(f.proc('gateway-edge1').options['http'] as Place, 'POST', '/nosuch', {}));
   assert.is(raw.status, 404);
-  assert.is(f.ledger.entries.length, 0);
+  assert.is(f.requestLog.entries.length, 0);
 });
 
 test('a whole result, a repeated key, a spent budget, a recalled conversation', async () => {
@@ -68,7 +68,7 @@
   const b = await get(
     f,
     f.http(
-      f.proc('front-edge5').options['http'] as Place,
+      f.proc('gateway-edge5').options['http'] as Place,
       'POST',
       '/v1/chat/completions',
       { ...say, stream: false },
@@ -76,19 +76,19 @@
     ),
   );
   assert.equal([b.status, b.headers['x-thornsail-replayed'], b.body['choices']], [200, 'true', a.body['choices']]);
-  assert.is(f.ledger.entries.length, 1);
+  assert.is(f.requestLog.entries.length, 1);
   await f.w.run(f.w.now() + us.s(1));
-  for (const n of ['front-edge1', 'front-edge5'])
+  for (const n of ['gateway-edge1', 'gateway-edge5'])
     assert.is(f.proc(n).node!.counts()['in_flight'], 0, `${n} still counts a turn as open`);
   let spent = a;
   for (let i = 0; i < 6 && spent.status === 200; i++) spent = await chat(f, good, { ...say, stream: false });
   assert.equal([spent.status, spent.body['error'], spent.body['ran']], [403, 'budget_spent', 'no']);
   const tutor = { 'x-thornsail-program': 't1', 'x-thornsail-class': 'tutor', 'x-thornsail-conversation': 'c1' };
   assert.is((await chat(f, tutor, { ...say, stream: false })).status, 200);
-  const c = await get(f, f.http(f.proc('front-edge6').options['http'] as Place, 'GET', '/v1/conversations/c1'));
+  const c = await get(f, f.http(f.proc('gateway-edge6').options['http'] as Place, 'GET', '/v1/conversations/c1'));
   assert.equal([c.status, (c.body['messages'] as unknown[]).length], [200, 2]);
   assert.is(
-    (await get(f, f.http(f.proc('front-edge6').options['http'] as Place, 'GET', '/v1/conversations/none'))).status,
+    (await get(f, f.http(f.proc('gateway-edge6').options['http'] as Place, 'GET', '/v1/conversations/none'))).status,
     404,
   );
 });
@@ -99,14 +99,14 @@
     get(f, f.http(f.proc(name).options['http'] as Place, 'GET', `${root}/${what}`));
   for (const what of ['config', 'classes', 'nodes', 'workers', 'status', 'marks', 'keepers']) {
     const all: Reply[] = [];
-    for (const n of ['front-edge1', 'pilot-edge4', 'tower2', 'keeper3']) all.push(await ask(n, what));
+    for (const n of ['gateway-edge1', 'agent-edge4', 'coordinator2', 'store3']) all.push(await ask(n, what));
     for (const r of all) assert.equal(r.body, all[0]!.body, what);
     assert.ok(typeof all[0]!.body['mark'] === 'number');
   }
   const bad = await get(
     f,
     f.http(
-      f.proc('pilot-edge2').options['http'] as Place,
+      f.proc('agent-edge2').options['http'] as Place,
       'PATCH',
       `${root}/config`,
       { classes: { repair: { weight: -1 } } },
@@ -117,7 +117,7 @@
   const old = await get(
     f,
     f.http(
-      f.proc('keeper1').options['http'] as Place,
+      f.proc('store1').options['http'] as Place,
       'PATCH',
       `${root}/config`,
       { slots: { model: 9 } },
@@ -129,7 +129,7 @@
     get(
       f,
       f.http(
-        f.proc('front-edge7').options['http'] as Place,
+        f.proc('gateway-edge7').options['http'] as Place,
         'PATCH',
         `${root}/config`,
         { slots: { model: 9 } },
@@ -139,22 +139,25 @@
   assert.equal([(await push()).body['mark'], (await push()).body['repeated']], [2, true]);
   const json = { 'content-type': 'application/json-patch+json', 'if-match': '2' };
   const patch = [{ op: 'replace', path: '/slots/model', value: 11 }];
-  const at = f.proc('keeper2').options['http'] as Place;
+  const at = f.proc('store2').options['http'] as Place;
   const plan = await get(f, f.http(at, 'PATCH', `${root}/config?plan=true`, patch, json));
   assert.equal(
     [plan.status, plan.body['plan']],
     [200, [{ op: 'replace', path: '/slots/model', before: 9, after: 11 }]],
   );
-  assert.is((await ask('front-edge3', 'config')).body['mark'], 2);
+  assert.is((await ask('gateway-edge3', 'config')).body['mark'], 2);
   assert.equal((await get(f, f.http(at, 'PATCH', `${root}/config`, patch, json))).body['mark'], 3);
   assert.is((await get(f, f.http(at, 'PATCH', `${root}/config?plan=true`, patch, json))).status, 409);
-  assert.is((await ask('pilot-edge1', 'registers')).status, 200);
+  assert.is((await ask('agent-edge1', 'registers')).status, 200);
   assert.equal(
-    ((await ask('keeper1', 'history')).body['history'] as { mark: number }[]).map((x) => x.mark),
+    ((await ask('store1', 'history')).body['history'] as { mark: number }[]).map((x) => x.mark),
     [1, 2, 3],
   );
-  assert.equal((await ask('keeper1', 'config?mark=2')).body['raw'], (await ask('tower1', 'config?mark=2')).body['raw']);
-  assert.is((await ask('keeper1', 'config?mark=77')).status, 404);
+  assert.equal(
+    (await ask('store1', 'config?mark=2')).body['raw'],
+    (await ask('coordinator1', 'config?mark=2')).body['raw'],
+  );
+  assert.is((await ask('store1', 'config?mark=77')).status, 404);
   const look = (at_: Place): Promise<Awaited<ReturnType<typeof survey.run>>> => {
     let r: Awaited<ReturnType<typeof survey.run>> | undefined;
     void survey
@@ -166,33 +169,33 @@
   };
   const well = await look(at);
   assert.equal(well.ok ? well.findings.filter((x) => x.severity === 'bad') : null, []);
-  f.kill('keeper3', 'power');
-  f.kill('pilot-edge5');
+  f.kill('store3', 'power');
+  f.kill('agent-edge5');
   const ill = await look(at);
   assert.ok(
     ill.ok &&
-      ['keeper3', 'pilot-edge5'].every((n) =>
+      ['store3', 'agent-edge5'].every((n) =>
         ill.findings.some((x) => x.severity === 'bad' && x.about === n && /does not answer/.test(x.text)),
       ),
   );
   f.cut(
-    ['tower1', 'tower2', 'tower3'],
-    f.procs.filter((p) => p.role !== 'tower').map((p) => p.name),
+    ['coordinator1', 'coordinator2', 'coordinator3'],
+    f.procs.filter((p) => p.role !== 'coordinator').map((p) => p.name),
   );
-  const r = await ask('front-edge1', 'config');
+  const r = await ask('gateway-edge1', 'config');
   assert.equal([r.status, r.body['error']], [503, 'not_agreed']);
 });
 
 test('a drain can be taken back, asked again and repeated; with a spare the group stays at three', async () => {
   const f = await fleet.open({ seed: 8, shape: 'granite' });
   const ask = (method: string): Promise<Reply> =>
-    get(f, f.http(f.proc('pilot-edge2').options['http'] as Place, method, `${root}/drain/keeper3`));
+    get(f, f.http(f.proc('agent-edge2').options['http'] as Place, method, `${root}/drain/store3`));
   const group = (): { mark: number; members: { at: string }[]; swept: number; draining: string[] } =>
-    f.proc('pilot-edge2').node!.mooring.state()!.keepers;
-  f.addKeeper('keeper7', '127.77.2.7');
+    f.proc('agent-edge2').node!.membership.state()!.keepers;
+  f.addStore('store7', '127.77.2.7');
   await f.until(
     'the spare in the roster',
-    () => Object.values(f.proc('pilot-edge2').node!.mooring.state()!.roster).some((n) => n.name === 'keeper7'),
+    () => Object.values(f.proc('agent-edge2').node!.membership.state()!.roster).some((n) => n.name === 'store7'),
     us.s(10),
   );
   assert.is((await ask('GET')).body['state'], 'not draining');
@@ -216,11 +219,11 @@
     [3, true, false],
   );
   assert.equal(
-    (await get(f, f.http(f.proc('pilot-edge2').options['http'] as Place, 'POST', `${root}/drain/nosuch`))).status,
+    (await get(f, f.http(f.proc('agent-edge2').options['http'] as Place, 'POST', `${root}/drain/nosuch`))).status,
     404,
   );
   assert.equal(
-    (await get(f, f.http(f.proc('pilot-edge2').options['http'] as Place, 'POST', `${root}/drain/tower1`))).status,
+    (await get(f, f.http(f.proc('agent-edge2').options['http'] as Place, 'POST', `${root}/drain/coordinator1`))).status,
     400,
   );
 });
@@ -232,7 +235,7 @@
     perToken: us.ms(60),
     config: (c) => ({ ...c, slots: { model: 1, app: 1 } }),
   });
-  const at = f.proc('front-edge1').options['http'] as Place;
+  const at = f.proc('gateway-edge1').options['http'] as Place;
   const head = { 'x-thornsail-class': 'diagnose', 'x-thornsail-time-left-ms': '9000' };
   // Six workers with a slot each are taken; the seventh turn waits, and its client goes.
   for (let i = 0; i < 6; i++)
@@ -247,7 +250,7 @@
       .catch(() => undefined);
   await f.w.run(f.w.now() + us.ms(100));
   let left = false;
-  void f.callerLens.net
+  void f.callerRuntime.net
     .call({
       at,
       method: 'POST',
@@ -261,16 +264,16 @@
     });
   await f.w.run(f.w.now() + us.s(12));
   assert.ok(left);
-  assert.equal(f.ledger.entries.map((e) => e.program).sort(), ['p0', 'p1', 'p2', 'p3', 'p4', 'p5']);
-  const c = f.proc('front-edge1').node!.counts();
+  assert.equal(f.requestLog.entries.map((e) => e.program).sort(), ['p0', 'p1', 'p2', 'p3', 'p4', 'p5']);
+  const c = f.proc('gateway-edge1').node!.counts();
   assert.equal([c['holding'], c['in_flight']], [0, 0]);
   assert.equal(f.breaches(), []);
 });
 
-test('fronts are not ready before there is a configuration, nor when leaving', async () => {
+test('gateways are not ready before there is a configuration, nor when leaving', async () => {
   const f = await fleet.open({ seed: 5, shape: 'lautoka', noConfig: true });
   await f.w.run(us.s(4));
-  const at = f.proc('front-edge1').options['http'] as Place;
+  const at = f.proc('gateway-edge1').options['http'] as Place;
   const r = await get(f, f.http(at, 'GET', '/ready'));
   assert.equal([r.status, (r.body['why'] as string[]).includes('no configuration')], [503, true]);
   const no = await chat(f, good, say);
@@ -280,7 +283,7 @@
     f.push(f.shape.config, 0).then((x) => ({ status: x.status, body: {}, headers: {} })),
   );
   await f.until('readiness', () => f.ready() === 7, us.s(5));
-  await get(f, f.http(f.proc('pilot-edge3').options['http'] as Place, 'POST', `${root}/drain/front-edge1`));
+  await get(f, f.http(f.proc('agent-edge3').options['http'] as Place, 'POST', `${root}/drain/gateway-edge1`));
   await f.w.run(f.w.now() + us.s(1));
   const gone = await get(f, f.http(at, 'GET', '/ready'));
   assert.equal([gone.status, (gone.body['why'] as string[]).includes('leaving')], [503, true]);
--- a/packages/simulation/test/config.test.ts
+++ b/packages/simulation/test/config.test.ts
@@ -1,11 +1,11 @@
-// A configuration is in use two seconds after its acknowledgement (§7.2), by what callers get at each front.
+// A configuration is in use two seconds after its acknowledgement (§7.2), by what callers get at each gateway.
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { us, type Place, type Us } from '@thornsail/runtime';
 import { fleet, type Fleet } from '@thornsail/simulation';
 
 const edges = [1, 2, 3, 4, 5, 6, 7];
-const towers = ['tower1', 'tower2', 'tower3'];
+const towers = ['coordinator1', 'coordinator2', 'coordinator3'];
 const at = (f: Fleet, name: string): Place => f.proc(name).options['http'] as Place;
 /** The configuration in which a class of this name stands, and no other test class. */
 const only = (f: Fleet, name: string): unknown => ({
@@ -22,11 +22,11 @@
   if ('e' in got) throw got.e;
   return got.v!;
 };
-/** What a caller of class `cls` gets at every front: its status, 0 for none. */
+/** What a caller of class `cls` gets at every gateway: its status, 0 for none. */
 const served = async (f: Fleet, cls: string): Promise<number[]> => {
   const ask = (i: number): Promise<number> =>
     f
-      .http(at(f, `front-edge${i}`), 'POST', '/v1/jobs', { i }, { 'x-thornsail-class': cls })
+      .http(at(f, `gateway-edge${i}`), 'POST', '/v1/jobs', { i }, { 'x-thornsail-class': cls })
       .then((r) => r.status)
       .catch(() => 0);
   return settled(f, Promise.all(edges.map(ask)));
@@ -39,7 +39,7 @@
 };
 
 for (const shape of ['lautoka', 'granite'] as const) {
-  test(`${shape}: acknowledged means that every front uses it`, async () => {
+  test(`${shape}: acknowledged means that every gateway uses it`, async () => {
     const f = await start(shape);
     assert.equal(
       await served(f, 'old'),
@@ -51,14 +51,17 @@
     const f = await start(shape);
     const heal = f.cut(
       towers,
-      f.procs.filter((p) => p.role !== 'tower').map((p) => p.name),
+      f.procs.filter((p) => p.role !== 'coordinator').map((p) => p.name),
     );
     const r = await settled(
       f,
-      f.http(at(f, 'tower2'), 'PUT', '/thornsail/v1/config', only(f, 'new'), { 'if-match': '2', 'push-id': 'new' }),
+      f.http(at(f, 'coordinator2'), 'PUT', '/thornsail/v1/config', only(f, 'new'), {
+        'if-match': '2',
+        'push-id': 'new',
+      }),
     );
     assert.equal([r.status, r.body['error'], r.body['mark']], [503, 'unconfirmed', 3]);
-    assert.is((r.body['fronts'] as string[]).length, 7);
+    assert.is((r.body['gateways'] as string[]).length, 7);
     await f.w.run(f.w.now() + us.s(4));
     assert.equal(
       await served(f, 'old'),
@@ -78,7 +81,7 @@
 
   test(`${shape}: a core with the smaller part of the edges acknowledges nothing; the others serve on`, async () => {
     const f = await start(shape);
-    const far = [4, 5, 6, 7].flatMap((i) => [`front-edge${i}`, `pilot-edge${i}`]).concat(['keeper2', 'keeper3']);
+    const far = [4, 5, 6, 7].flatMap((i) => [`gateway-edge${i}`, `agent-edge${i}`]).concat(['store2', 'store3']);
     f.cut(
       far,
       f.procs.filter((p) => !far.includes(p.name)).map((p) => p.name),
@@ -86,11 +89,14 @@
     await f.w.run(f.w.now() + us.s(4));
     const r = await settled(
       f,
-      f.http(at(f, 'tower2'), 'PUT', '/thornsail/v1/config', only(f, 'new'), { 'if-match': '2', 'push-id': 'new' }),
+      f.http(at(f, 'coordinator2'), 'PUT', '/thornsail/v1/config', only(f, 'new'), {
+        'if-match': '2',
+        'push-id': 'new',
+      }),
     );
     assert.equal(
-      [r.status, r.body['error'], r.body['fronts']],
-      [503, 'unconfirmed', far.slice(0, 8).filter((n) => n.startsWith('front'))],
+      [r.status, r.body['error'], r.body['gateways']],
+      [503, 'unconfirmed', far.slice(0, 8).filter((n) => n.startsWith('gateway'))],
     );
     await f.w.run(f.w.now() + us.s(3));
     assert.equal(await served(f, 'old'), [400, 400, 400, 200, 200, 200, 200]);
@@ -99,7 +105,7 @@
 
   test(`${shape}: an edge cut off from all siblings, yet reached by callers, takes nothing new`, async () => {
     const f = await start(shape);
-    const mine = ['front-edge3', 'pilot-edge3'];
+    const mine = ['gateway-edge3', 'agent-edge3'];
     const heal = f.cut(
       mine,
       f.procs.filter((p) => !mine.includes(p.name)).map((p) => p.name),
@@ -118,9 +124,9 @@
     assert.equal(f.breaches(), []);
   });
 
-  test(`${shape}: a front whose pilot hangs gets its news from others`, async () => {
+  test(`${shape}: a gateway whose agent hangs gets its news from others`, async () => {
     const f = await start(shape);
-    f.freeze('pilot-edge4', us.s(20));
+    f.freeze('agent-edge4', us.s(20));
     const r = await settled(f, f.push(only(f, 'new'), 2, 'new'));
     assert.is(r.status, 200);
     await f.w.run(f.w.now() + us.s(1));
--- a/packages/simulation/test/disk-trouble.test.ts
+++ b/packages/simulation/test/disk-trouble.test.ts
@@ -2,8 +2,8 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { fault, invariant, us, type Us } from '@thornsail/runtime';
-import { logbook } from '@thornsail/durable-files';
-import { pipe } from '@thornsail/rpc';
+import { durableStore } from '@thornsail/durable-files';
+import { rpc } from '@thornsail/rpc';
 import { views, type Views } from '@thornsail/consensus';
 import { simulatedDisk, world, type Host, type World } from '@thornsail/simulation';
 
@@ -16,11 +16,11 @@
   const founders = [1, 2, 3].map((i) => `127.0.3.${i}:7101`);
   const members: Member[] = founders.map((at, i) => ({ at, host: w.host(`127.0.3.${i + 1}`, `z${i + 1}`) }));
   const boot = async (member: Member): Promise<void> => {
-    const lens = w.lens(member.host);
+    const runtime = w.runtime(member.host);
     member.views = await views.open<List>({
-      lens,
-      pipe: await pipe.open(lens, member.at),
-      book: await logbook.open(lens.disk),
+      runtime,
+      rpc: await rpc.open(runtime, member.at),
+      durable: await durableStore.open(runtime.disk),
       founders,
       initial: { list: [] },
       onDone: () => undefined,
@@ -122,8 +122,8 @@
   const host = w.host('127.0.0.1', 'z1');
   for (const [name, text] of files) host.files.set(name, text);
   const got: { list?: string[] } = {};
-  void logbook.open(w.lens(host).disk).then(async (book) => {
-    const kept = await book.read<{ state: List }>('state');
+  void durableStore.open(w.runtime(host).disk).then(async (durable) => {
+    const kept = await durable.read<{ state: List }>('state');
     got.list = kept?.value.state.list ?? [];
   });
   await w.run(us.s(1));
--- a/packages/simulation/test/docs.test.ts
+++ b/packages/simulation/test/docs.test.ts
@@ -3,7 +3,7 @@
 import { fileURLToPath } from 'node:url';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { chart } from '@thornsail/config-schema';
+import { configSchema } from '@thornsail/config-schema';
 import { scenarios } from '../src/scenarios/index.js';
 import { guards } from '../src/guards.js';
 
@@ -31,12 +31,12 @@
 });
 test('every option is in CONFIG.md, every package has a README that gives its term', () => {
   const doc = read('docs/CONFIG.md');
-  const c = chart.check({ classes: { a: { kind: 'model', weight: 1 } } });
+  const c = configSchema.check({ classes: { a: { kind: 'model', weight: 1 } } });
   assert.ok(c.ok);
   for (const group of [c.value.classes['a']!, c.value.scheduler, c.value.slots, c.value.limits])
     for (const k of Object.keys(group)) assert.ok(doc.includes(`\`${k}\``), `${k} is not in CONFIG.md`);
-  for (const role of ['tower', 'keeper', 'pilot', 'front'] as const)
-    for (const k of chart.keys(role)) assert.ok(doc.includes(`\`${k}\``), `${k} is not in CONFIG.md`);
+  for (const role of ['coordinator', 'store', 'agent', 'gateway'] as const)
+    for (const k of configSchema.keys(role)) assert.ok(doc.includes(`\`${k}\``), `${k} is not in CONFIG.md`);
   for (const p of readdirSync(path.join(root, 'packages')))
     assert.match(read(`packages/${p}/README.md`), /Standard term: /, p);
 });
--- a/packages/simulation/test/freeze.test.ts
+++ b/packages/simulation/test/freeze.test.ts
@@ -6,28 +6,28 @@
 /** An edge sleeps while two workers leave, cut off from some of the fleet; it is asked for jobs as it wakes. */
 const sleptWhileWorkersLeft = async (seed: number, cutOff: (p: Proc) => boolean): Promise<Fleet> => {
   const f = await fleet.open({ seed, shape: 'granite' });
-  const at = f.proc('front-edge2').options['http'] as Place;
+  const at = f.proc('gateway-edge2').options['http'] as Place;
   const job = (i: number): void =>
     void f
       .http(at, 'POST', '/v1/jobs', { i }, { 'x-thornsail-class': 'status', 'x-thornsail-time-left-ms': '9000' })
       .catch(() => undefined);
-  f.freeze('front-edge2', us.s(6));
-  const others = f.procs.filter((p) => p.name !== 'front-edge2' && cutOff(p));
+  f.freeze('gateway-edge2', us.s(6));
+  const others = f.procs.filter((p) => p.name !== 'gateway-edge2' && cutOff(p));
   const heal = f.cut(
-    ['front-edge2'],
+    ['gateway-edge2'],
     others.map((p) => p.name),
   );
   await f.w.run(f.w.now() + us.ms(200));
   for (const x of f.layout.workers.filter((y) => y.kind === 'app').slice(0, 2)) f.platform.leave(x.id);
   await f.w.run(f.w.now() + us.ms(5700));
   heal();
-  const before = f.ledger.entries.length;
+  const before = f.requestLog.entries.length;
   // These are read in the moment of waking, before any news can have come.
   for (let i = 0; i < 12; i++) job(i);
   await f.w.run(f.w.now() + us.s(3));
   assert.equal(f.breaches(), [], `seed ${seed}`);
-  assert.is(f.proc('front-edge2').node!.counts()['freezes'], 1);
-  assert.ok(f.ledger.entries.length > before, 'no job was served at all');
+  assert.is(f.proc('gateway-edge2').node!.counts()['freezes'], 1);
+  assert.ok(f.requestLog.entries.length > before, 'no job was served at all');
   return f;
 };
 test('an edge that slept while workers left, and heard nothing of it, asks for news before it sends', async () => {
@@ -35,8 +35,11 @@
 });
 test('an edge that slept and heard of other edges only is in touch, and asks for news all the same', async () => {
   for (let seed = 1; seed <= 4; seed++) {
-    const f = await sleptWhileWorkersLeft(seed, (p) => p.role !== 'front');
-    assert.ok(f.proc('front-edge2').node!.counts()['refreshed']! > 0, `seed ${seed}: nothing was asked before sending`);
+    const f = await sleptWhileWorkersLeft(seed, (p) => p.role !== 'gateway');
+    assert.ok(
+      f.proc('gateway-edge2').node!.counts()['refreshed']! > 0,
+      `seed ${seed}: nothing was asked before sending`,
+    );
   }
 });
 test("an edge that freezes between a turn's arrival and its sending does not send it on waking", async () => {
@@ -55,15 +58,15 @@
   for (let k = 0; k < 32; k++) {
     const program = `p${k}`;
     // Steps of 0.5 ms go through arrival, reading, admission, charge and sending.
-    chat('front-edge2', program, 'a'.repeat(400));
+    chat('gateway-edge2', program, 'a'.repeat(400));
     await f.w.run(f.w.now() + 1000 + k * 500);
-    f.freeze('front-edge2', us.s(5));
+    f.freeze('gateway-edge2', us.s(5));
     const woke = f.w.now() + us.s(5);
     await f.w.run(f.w.now() + us.ms(4600));
     // Another edge takes the program over: its open turn counts as lost with its edge.
-    chat('front-edge5', program, 'b');
+    chat('gateway-edge5', program, 'b');
     await f.w.run(woke + us.s(2));
-    const mine = f.ledger.entries.filter((e) => e.program === program && e.prompt > 90);
+    const mine = f.requestLog.entries.filter((e) => e.program === program && e.prompt > 90);
     assert.ok(
       mine.every((e) => e.at < woke),
       `step ${k}: sent after waking`,
--- a/packages/simulation/test/input.test.ts
+++ b/packages/simulation/test/input.test.ts
@@ -3,7 +3,7 @@
 import * as assert from 'uvu/assert';
 import { stringify } from 'devalue';
 import { formats } from '@thornsail/load-balancer';
-import { chart } from '@thornsail/config-schema';
+import { configSchema } from '@thornsail/config-schema';
 import { plan } from '@thornsail/data-plane';
 import { seeded, us, type HttpAsk, type Place, type Rand } from '@thornsail/runtime';
 import { fleet, type Fleet } from '@thornsail/simulation';
@@ -34,7 +34,7 @@
 };
 
 test('callers: every plan is a request or a refusal that names its field', () => {
-  const c = chart.check({ classes: { chat: { kind: 'model', weight: 1 }, job: { kind: 'app', weight: 1 } } });
+  const c = configSchema.check({ classes: { chat: { kind: 'model', weight: 1 }, job: { kind: 'app', weight: 1 } } });
   assert.ok(c.ok);
   for (let seed = 1; seed <= 3000; seed++) {
     const r = seeded(seed);
@@ -98,7 +98,7 @@
         value: body,
       },
     ];
-    const p = chart.plan(good, how, how === 'patch' && r.int(3) ? ops : body);
+    const p = configSchema.plan(good, how, how === 'patch' && r.int(3) ? ops : body);
     if (!p.ok)
       assert.ok(p.problems.length > 0 && p.problems.every((x) => x.path !== '' && x.text !== ''), `seed ${seed}`);
   }
@@ -146,7 +146,7 @@
   const ask = (i: number): Promise<number> =>
     f
       .http(
-        f.proc(`front-edge${i}`).options['http'] as Place,
+        f.proc(`gateway-edge${i}`).options['http'] as Place,
         'POST',
         '/v1/chat/completions',
         { messages: [{ role: 'user', content: 'hi [last]' }], max_tokens: 4, stream: false },
@@ -165,8 +165,8 @@
   for (let seed = 1; seed <= 3; seed++) {
     const f = await fleet.open({ seed, shape: 'lautoka' });
     const r = f.w.rand;
-    const lens = f.w.lens(f.hostOf('127.77.8.8'));
-    const frames = await lens.net.frames('127.77.8.8:7101', () => true);
+    const runtime = f.w.runtime(f.hostOf('127.77.8.8'));
+    const frames = await runtime.net.frames('127.77.8.8:7101', () => true);
     for (let i = 0; i < 1500; i++) {
       const t = pick(r, everyMessage);
       // A drain is a sibling's right; the rest has to be survived.
--- a/packages/simulation/test/keep.test.ts
+++ b/packages/simulation/test/keep.test.ts
@@ -16,7 +16,7 @@
   if ('e' in got) throw got.e;
   return got.v!;
 };
-const at = (f: Fleet, i: number): Place => f.proc(`front-edge${i}`).options['http'] as Place;
+const at = (f: Fleet, i: number): Place => f.proc(`gateway-edge${i}`).options['http'] as Place;
 const chat = (f: Fleet, i: number, say: string, headers: Record<string, string>): Promise<Reply> =>
   settled(
     f,
@@ -38,13 +38,13 @@
   const f = await fleet.open({ seed: 1, shape: 'lautoka' });
   const key = { 'idempotency-key': 'k' };
   assert.is((await chat(f, 1, 'one', key)).status, 200);
-  const ran = f.ledger.entries.length;
+  const ran = f.requestLog.entries.length;
   const r = await chat(f, 2, 'two', key);
   assert.equal([r.status, r.body['error'], r.body['field']], [422, 'key_reused', 'idempotency-key']);
   const job = { 'x-thornsail-class': 'push', 'idempotency-key': 'j', 'x-thornsail-once': 'true' };
   assert.is((await settled(f, f.http(at(f, 3), 'POST', '/v1/jobs', { a: 1 }, job))).status, 200);
   assert.is((await settled(f, f.http(at(f, 4), 'POST', '/v1/jobs', { a: 2 }, job))).status, 422);
-  assert.is(f.ledger.entries.length, ran + 1);
+  assert.is(f.requestLog.entries.length, ran + 1);
   assert.equal(f.breaches(), []);
 });
 
@@ -63,10 +63,10 @@
       )
       .then((r) => r.status)
       .catch(() => 0);
-    // Killed at some moment between its sending and its end: most often while its books are being closed.
-    while (!f.ledger.entries.some((e) => e.ended)) await f.w.run(f.w.now() + us.ms(0.2));
+    // Killed at some moment between its sending and its end: most often while its records are being closed.
+    while (!f.requestLog.entries.some((e) => e.ended)) await f.w.run(f.w.now() + us.ms(0.2));
     await f.w.run(f.w.now() + us.ms(seed - 1));
-    f.kill('front-edge1', 'power');
+    f.kill('gateway-edge1', 'power');
     let again: Reply | undefined;
     const end = f.w.now() + us.s(8);
     while (again?.status !== 200 && f.w.now() < end) {
@@ -93,7 +93,7 @@
   let late = 0;
   for (let seed = 1; seed <= 6; seed++) {
     const f = await fleet.open({ seed, shape: 'lautoka' });
-    const others = f.procs.filter((p) => p.role !== 'keeper' && p.name !== 'front-edge1').map((p) => p.name);
+    const others = f.procs.filter((p) => p.role !== 'store' && p.name !== 'gateway-edge1').map((p) => p.name);
     const first = f
       .http(
         at(f, 1),
@@ -110,11 +110,11 @@
       .then((r) => r.status)
       .catch(() => 0);
     // Its edge sleeps from some moment between its sending and its end, and is taken for dead meanwhile.
-    while (!f.ledger.entries.some((e) => (seed > 4 ? e.ended : true))) await f.w.run(f.w.now() + us.ms(0.2));
+    while (!f.requestLog.entries.some((e) => (seed > 4 ? e.ended : true))) await f.w.run(f.w.now() + us.ms(0.2));
     await f.w.run(f.w.now() + us.ms(seed % 3));
     const woke = f.w.now() + us.s(6);
-    f.freeze('front-edge1', us.s(6));
-    const heal = f.cut(['front-edge1'], others);
+    f.freeze('gateway-edge1', us.s(6));
+    const heal = f.cut(['gateway-edge1'], others);
     let told: unknown;
     while (told !== 'outcome_unknown' && f.w.now() < woke - us.s(1)) {
       const r = await chat(f, 2, 'look at the pump', { 'idempotency-key': 'k1' });
@@ -144,7 +144,7 @@
 
 test('a caller sends a message under another key only once it is known that it is not kept', async () => {
   const w = world.open({ seed: 1, zoneDelay: us.ms(2), clientDelay: us.ms(1), clientIp: '10.9.0.1' });
-  const [client, server] = [w.lens(w.host('10.0.0.1', 'a')), w.lens(w.host('10.0.0.2', 'b'))];
+  const [client, server] = [w.runtime(w.host('10.0.0.1', 'a')), w.runtime(w.host('10.0.0.2', 'b'))];
   const keys: string[] = [];
   let recalls = 0;
   const place = '10.0.0.2:80';
@@ -161,9 +161,9 @@
     65_536,
   );
   const c = callers.open({
-    lens: client,
+    runtime: client,
     rand: { ...client.rand, next: () => 0.5 },
-    fronts: () => [place],
+    gateways: () => [place],
     classes: classNames.lautoka,
     chatTimeLeft: 8000,
     pushTimeLeft: 2000,
--- a/packages/simulation/test/late.test.ts
+++ b/packages/simulation/test/late.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { invariant, us } from '@thornsail/runtime';
-import { pipe, shape, type Pipe } from '@thornsail/rpc';
+import { rpc, shape, type Rpc } from '@thornsail/rpc';
 import { watch, type Duty } from '@thornsail/leases';
 import { world, type Host, type World } from '@thornsail/simulation';
 
@@ -18,8 +18,8 @@
   const [client, server] = [w.host('127.0.1.1', 'a'), w.host('127.0.1.2', 'b')];
   const at = '127.0.1.2:1';
   const served: number[] = [];
-  const here = await pipe.open(w.lens(client), '127.0.1.1:1');
-  const there = await pipe.open(w.lens(server), at);
+  const here = await rpc.open(w.runtime(client), '127.0.1.1:1');
+  const there = await rpc.open(w.runtime(server), at);
   there.on<number>('note', shape.whole, (n) => (served.push(n), n));
   const got: string[] = [];
   const ask = (n: number): Promise<void> =>
@@ -65,13 +65,13 @@
     const voterHosts = Array.from({ length: voters }, (_, i) => w.host(`127.0.3.${i + 1}`, `z${i}`));
     const places = voterHosts.map((_, i) => `127.0.3.${i + 1}:1`);
     for (const [i, host] of voterHosts.entries())
-      watch.voter({ lens: w.lens(host), pipe: await pipe.open(w.lens(host), places[i]!) });
+      watch.voter({ runtime: w.runtime(host), rpc: await rpc.open(w.runtime(host), places[i]!) });
     const duties: Duty[] = [];
     const nodes = Array.from({ length: holders }, (_, i) => w.host(`127.0.1.${i + 1}`, 'z1'));
     for (const [i, host] of nodes.entries()) {
-      const lens = w.lens(host);
-      const own: Pipe = await pipe.open(lens, `127.0.1.${i + 1}:1`);
-      duties.push(watch.duty({ lens, pipe: own, name: 'sweep', by: `n${i}`, voters: () => places }));
+      const runtime = w.runtime(host);
+      const own: Rpc = await rpc.open(runtime, `127.0.1.${i + 1}:1`);
+      duties.push(watch.duty({ runtime, rpc: own, name: 'sweep', by: `n${i}`, voters: () => places }));
     }
     troubles(w, nodes, voterHosts);
     let held = 0;
--- a/packages/simulation/test/link.test.ts
+++ b/packages/simulation/test/link.test.ts
@@ -3,11 +3,11 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { world, type Host, type World } from '@thornsail/simulation';
-import { real, time, us, type Connection, type Lens, type Place, type Us } from '@thornsail/runtime';
+import { real, time, us, type Connection, type Runtime, type Place, type Us } from '@thornsail/runtime';
 import { wire, type Wire, type WireHandler } from '@thornsail/test-harness';
 
 type Got = { status: number; id: string; body: string; how: 'end' | 'fail'; sent: boolean };
-const ask = (c: Connection, path: string, timeLeft?: { lens: Lens; left: Us }): Promise<Got> =>
+const ask = (c: Connection, path: string, timeLeft?: { runtime: Runtime; left: Us }): Promise<Got> =>
   new Promise((done) => {
     const got: Got = { status: 0, id: '', body: '', how: 'end', sent: false };
     const control = c.exchange(
@@ -20,12 +20,12 @@
         fail: () => done({ ...got, how: 'fail' }),
       },
     );
-    if (timeLeft) timeLeft.lens.clock.tick(timeLeft.left, control.cut);
+    if (timeLeft) timeLeft.runtime.clock.tick(timeLeft.left, control.cut);
   });
 
 /** Does what the path says. */
 const misbehaving =
-  (lens: Lens): WireHandler =>
+  (runtime: Runtime): WireHandler =>
   async (request, say) => {
     const { path } = request;
     const head = ['x-path', path, ...(path === '/close' ? ['connection', 'close'] : [])];
@@ -36,23 +36,23 @@
     if (path === '/surplus') say.surplus(us.ms(30), 200, ['x-path', 'surplus'], Buffer.from('more'));
     if (path.startsWith('/unframed')) say.unframed();
     if (path === '/forget') say.forget();
-    if (path === '/slow') await time.sleep(lens.clock, us.ms(150));
+    if (path === '/slow') await time.sleep(runtime.clock, us.ms(150));
     const noLength = path === '/within' || path.startsWith('/unframed');
     say.head(200, [...head, ...(noLength ? [] : ['content-length', '2'])]);
     say.write(path === '/within' ? 'o' : 'ok');
     if (path === '/within') {
-      await time.sleep(lens.clock, us.ms(20));
+      await time.sleep(runtime.clock, us.ms(20));
       return say.cut();
     }
     if (path === '/unframed-reset') {
-      await time.sleep(lens.clock, us.ms(30));
+      await time.sleep(runtime.clock, us.ms(30));
       return say.reset();
     }
     say.end();
   };
 
 type Place_ = {
-  lens: Lens;
+  runtime: Runtime;
   at: Place;
   idleFor: Us;
   connect: (onClosed?: () => void) => Connection;
@@ -63,16 +63,16 @@
 type Bench = (run: (p: Place_) => Promise<void>) => Promise<void>;
 
 const onSockets: Bench = async (run) => {
-  const lens = real.lens('/nonexistent');
-  const server = await wire.real().serve('127.0.0.1:0', misbehaving(lens), limits);
+  const runtime = real.runtime('/nonexistent');
+  const server = await wire.real().serve('127.0.0.1:0', misbehaving(runtime), limits);
   const open: Connection[] = [];
   const connect = (onClosed?: () => void): Connection => {
-    const c = lens.net.connect(server.at, { connectWithin, ...(onClosed ? { onClosed } : {}) });
+    const c = runtime.net.connect(server.at, { connectWithin, ...(onClosed ? { onClosed } : {}) });
     open.push(c);
     return c;
   };
   try {
-    await run({ lens, at: server.at, idleFor: limits.idleFor, connect, sleep: (t) => time.sleep(lens.clock, t) });
+    await run({ runtime, at: server.at, idleFor: limits.idleFor, connect, sleep: (t) => time.sleep(runtime.clock, t) });
   } finally {
     for (const c of open) c.close();
     await server.close();
@@ -82,20 +82,20 @@
 const simulated = async (seed: number, run: (p: Sim) => Promise<void>): Promise<void> => {
   const w = world.open({ seed, zoneDelay: us.ms(2), clientDelay: us.ms(1), clientIp: '10.9.0.1' });
   const [client, server] = [w.host('10.0.0.1', 'a'), w.host('10.0.0.2', 'b')];
-  const [lens, there] = [w.lens(client), w.lens(server)];
+  const [runtime, there] = [w.runtime(client), w.runtime(server)];
   const at = '10.0.0.2:80';
   await w.wire(server).serve(at, misbehaving(there), limits);
   let [done, failed] = [false, undefined as unknown];
   run({
-    lens,
+    runtime,
     at,
     w,
     client,
     server,
     wire: w.wire(server),
     idleFor: limits.idleFor,
-    connect: (onClosed) => lens.net.connect(at, { connectWithin, ...(onClosed ? { onClosed } : {}) }),
-    sleep: (t) => time.sleep(lens.clock, t),
+    connect: (onClosed) => runtime.net.connect(at, { connectWithin, ...(onClosed ? { onClosed } : {}) }),
+    sleep: (t) => time.sleep(runtime.clock, t),
   }).then(
     () => void (done = true),
     (e: unknown) => {
@@ -190,7 +190,7 @@
   test(`${name}: one that was cut is not used again`, () =>
     bench(async (p) => {
       const c = p.connect();
-      assert.is((await ask(c, '/hang', { lens: p.lens, left: us.ms(50) })).how, 'fail');
+      assert.is((await ask(c, '/hang', { runtime: p.runtime, left: us.ms(50) })).how, 'fail');
       assert.not.ok(c.open());
       const g = await ask(c, '/a');
       assert.is(g.how, 'fail');
@@ -207,7 +207,7 @@
     }));
   test(`${name}: nothing is sent where nobody listens`, () =>
     bench(async (p) => {
-      const c = p.lens.net.connect(`${p.at.split(':')[0]!}:1`, { connectWithin });
+      const c = p.runtime.net.connect(`${p.at.split(':')[0]!}:1`, { connectWithin });
       const g = await ask(c, '/a');
       assert.is(g.how, 'fail');
       assert.not.ok(g.sent);
@@ -238,7 +238,7 @@
       },
       limits,
     );
-    const d = p.lens.net.connect('10.0.0.2:81', { connectWithin });
+    const d = p.runtime.net.connect('10.0.0.2:81', { connectWithin });
     await ask(d, '/a');
     const heal = p.w.cutOneWay([p.server], [p.client]);
     const got = ask(d, '/b');
@@ -252,14 +252,14 @@
     const c = p.connect();
     await ask(c, '/a');
     p.w.kill(p.server, 'power');
-    const begun = p.lens.clock.now();
+    const begun = p.runtime.clock.now();
     const g = await ask(p.connect(), '/a');
     assert.not.ok(g.sent);
-    assert.is(p.lens.clock.now() - begun, connectWithin);
-    const kept = await ask(c, '/b', { lens: p.lens, left: us.s(2) });
+    assert.is(p.runtime.clock.now() - begun, connectWithin);
+    const kept = await ask(c, '/b', { runtime: p.runtime, left: us.s(2) });
     assert.ok(kept.sent);
     assert.is(kept.how, 'fail');
-    assert.is(p.lens.clock.now() - begun, connectWithin + us.s(2));
+    assert.is(p.runtime.clock.now() - begun, connectWithin + us.s(2));
   }));
 test('a process that ends breaks its connections; one that is back knows nothing of them', () =>
   simulated(5, async (p) => {
@@ -278,7 +278,7 @@
     await ask(c, '/a');
     p.w.kill(p.server, 'power');
     p.w.start(p.server);
-    await p.w.wire(p.server).serve(p.at, misbehaving(p.w.lens(p.server)), limits);
+    await p.w.wire(p.server).serve(p.at, misbehaving(p.w.runtime(p.server)), limits);
     const g = await ask(c, '/b');
     assert.ok(g.sent);
     assert.is(g.how, 'fail');
@@ -288,8 +288,8 @@
   simulated(7, async (p) => {
     let gone = false;
     await p.wire.serve('10.0.0.2:81', (_ask, say) => say.onGone(() => (gone = true)), limits);
-    const c = p.lens.net.connect('10.0.0.2:81', { connectWithin });
-    await ask(c, '/a', { lens: p.lens, left: us.ms(50) });
+    const c = p.runtime.net.connect('10.0.0.2:81', { connectWithin });
+    await ask(c, '/a', { runtime: p.runtime, left: us.ms(50) });
     await p.sleep(us.ms(50));
     assert.ok(gone);
   }));
@@ -306,7 +306,7 @@
       say.end();
     };
     await p.wire.serve('10.0.0.2:81', handler, limits);
-    const c = p.lens.net.connect('10.0.0.2:81', { connectWithin });
+    const c = p.runtime.net.connect('10.0.0.2:81', { connectWithin });
     let [size, over] = [0, false];
     const control = c.exchange(
       { method: 'GET', target: '/', headers: [], body: null },
@@ -330,7 +330,7 @@
 const answerOfEnding = async (how: 'process' | 'power'): Promise<string> => {
   let outcome = '';
   await simulated(1, async (p) => {
-    const there = p.w.lens(p.server);
+    const there = p.w.runtime(p.server);
     await there.net.serve(
       '10.0.0.2:81',
       async (_, say) => {
@@ -343,7 +343,7 @@
     );
     try {
       const call = { at: '10.0.0.2:81', method: 'GET', path: '/', timeLeft: us.s(1), silence: us.s(1) };
-      const r = await p.lens.net.call(call);
+      const r = await p.runtime.net.call(call);
       for await (const piece of r.body) outcome += piece;
     } catch {
       outcome = 'failed';
--- a/packages/simulation/test/load.test.ts
+++ b/packages/simulation/test/load.test.ts
@@ -50,17 +50,17 @@
   return h!;
 };
 const begin = (n: HollowNode): void =>
-  void n.node!.fairway!.admission.slot('chat', { hint: worker, not: new Set(), force: true, limit: 0 });
+  void n.node!.dataPlane!.admission.slot('chat', { hint: worker, not: new Set(), force: true, limit: 0 });
 /** Turns that an edge takes to be running at the worker, at all edges. */
-const runningSeenBy = (n: HollowNode): number => n.node!.fairway!.admission.runningAt(worker);
+const runningSeenBy = (n: HollowNode): number => n.node!.dataPlane!.admission.runningAt(worker);
 
 /** How long it takes until all edges know of a turn that begins at one. */
 const untilKnown = async (h: Hollow, at: HollowNode): Promise<number> => {
-  const fronts = h.of('front');
+  const gateways = h.of('gateway');
   const before = runningSeenBy(at);
   const began = h.w.now();
   begin(at);
-  assert.ok(await h.until(() => fronts.every((f) => runningSeenBy(f) === before + 1), us.s(2)), 'known everywhere');
+  assert.ok(await h.until(() => gateways.every((f) => runningSeenBy(f) === before + 1), us.s(2)), 'known everywhere');
   const took = h.w.now() - began;
   await h.run(us.s(1));
   return took;
@@ -69,7 +69,7 @@
 test('a turn at one of many edges is known at all others within 0.46 s while slots are plenty', async () => {
   const h = await open();
   for (const n of [0, 11, 23]) {
-    const took = await untilKnown(h, h.of('front')[n]!);
+    const took = await untilKnown(h, h.of('gateway')[n]!);
     assert.ok(took <= us.ms(460), `known everywhere after ${us.toMs(took)} ms`);
   }
   assert.equal(invariant.breaches(), []);
@@ -77,52 +77,56 @@
 
 test('while a turn waits at any of many edges it is known within 0.26 s', async () => {
   const h = await open();
-  const fronts = h.of('front');
-  for (let slot = 0; slot < 24; slot++) begin(fronts[2]!);
+  const gateways = h.of('gateway');
+  for (let slot = 0; slot < 24; slot++) begin(gateways[2]!);
   await h.run(us.s(1));
-  const waiting = fronts[3]!.node!.fairway!.admission;
+  const waiting = gateways[3]!.node!.dataPlane!.admission;
   waiting.slot('chat', { hint: null, not: new Set(), force: false, limit: us.s(60) });
   assert.ok(waiting.waits(), 'a turn waits');
   await h.run(us.s(2));
   for (const n of [0, 11, 23]) {
-    const took = await untilKnown(h, fronts[n]!);
+    const took = await untilKnown(h, gateways[n]!);
     assert.ok(took <= us.ms(260), `known everywhere after ${us.toMs(took)} ms`);
   }
 });
 
 test('an edge whose neighbour in the grid is cut off hears by the news, until the roster has ruled', async () => {
   const h = await open();
-  const fronts = h.of('front');
-  h.kill(fronts[7]!);
-  const left = fronts.filter((n) => n.node !== null);
+  const gateways = h.of('gateway');
+  h.kill(gateways[7]!);
+  const left = gateways.filter((n) => n.node !== null);
   const before = runningSeenBy(left[0]!);
   begin(left[3]!);
   const known = (): boolean => left.every((f) => runningSeenBy(f) === before + 1);
   assert.ok(await h.until(known, us.s(4)), 'known everywhere');
 });
 
-test('at many edges load takes few messages at an edge, at a pilot and at a tower', async () => {
+test('at many edges load takes few messages at an edge, at an agent and at a coordinator', async () => {
   const h = await open();
   const span = 4;
   h.clear();
   for (let step = 0; step < span * 10; step++) {
-    if (step % 2 === 0) for (const n of h.of('front')) begin(n);
-    else for (const n of h.of('front')) n.node!.fairway!.admission.leave(worker, 'chat', null);
+    if (step % 2 === 0) for (const n of h.of('gateway')) begin(n);
+    else for (const n of h.of('gateway')) n.node!.dataPlane!.admission.leave(worker, 'chat', null);
     await h.run(us.ms(100));
   }
   /** Messages a second at a node of a role, in the mean. */
-  const rate = (role: 'front' | 'pilot' | 'tower', of: 'sent' | 'got', kinds: (k: string) => boolean): number => {
+  const rate = (
+    role: 'gateway' | 'agent' | 'coordinator',
+    of: 'sent' | 'got',
+    kinds: (k: string) => boolean,
+  ): number => {
     const nodes = h.of(role);
     return nodes.reduce((sum, n) => sum + total(n.tally[of], kinds).messages, 0) / nodes.length / span;
   };
   const isLoad = (k: string): boolean => k === 'load' || k === 'loads';
   const isNews = (k: string): boolean => k === 'news.load';
   // Told directly they would be 23 to and fro, five times a second.
-  assert.ok(rate('front', 'sent', isLoad) < 60, `${rate('front', 'sent', isLoad)} a second sent`);
-  assert.ok(rate('front', 'got', isLoad) < 60, `${rate('front', 'got', isLoad)} a second received`);
+  assert.ok(rate('gateway', 'sent', isLoad) < 60, `${rate('gateway', 'sent', isLoad)} a second sent`);
+  assert.ok(rate('gateway', 'got', isLoad) < 60, `${rate('gateway', 'got', isLoad)} a second received`);
   // Passed on one by one they are 16 a second at each relay.
-  assert.ok(rate('pilot', 'got', isNews) < 11, `${rate('pilot', 'got', isNews)} a second at a pilot`);
-  assert.ok(rate('tower', 'got', isNews) < 11, `${rate('tower', 'got', isNews)} a second at a tower`);
+  assert.ok(rate('agent', 'got', isNews) < 11, `${rate('agent', 'got', isNews)} a second at an agent`);
+  assert.ok(rate('coordinator', 'got', isNews) < 11, `${rate('coordinator', 'got', isNews)} a second at a coordinator`);
 });
 
 test.run();
--- a/packages/simulation/test/parts.test.ts
+++ b/packages/simulation/test/parts.test.ts
@@ -1,10 +1,10 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { beam, tree, type Beam } from '@thornsail/dissemination';
+import { dissemination, tree, type Dissemination } from '@thornsail/dissemination';
 import { invariant, us } from '@thornsail/runtime';
-import { logbook } from '@thornsail/durable-files';
-import { lookout, ring } from '@thornsail/failure-detector';
-import { pipe } from '@thornsail/rpc';
+import { durableStore } from '@thornsail/durable-files';
+import { failureDetector, ring } from '@thornsail/failure-detector';
+import { rpc } from '@thornsail/rpc';
 import { watch, type Duty } from '@thornsail/leases';
 import { world, type Host } from '@thornsail/simulation';
 
@@ -13,16 +13,16 @@
   return world.open({ seed, zoneDelay: us.ms(1.5), clientDelay: us.ms(1), clientIp: '127.0.9.9' });
 };
 
-test('logbook: what was acknowledged survives power loss; torn and half-written files are recognised', async () => {
+test('durable store: what was acknowledged survives power loss; torn and half-written files show', async () => {
   for (let seed = 1; seed <= 20; seed++) {
     const w = open(seed);
     const h = w.host('127.0.0.1', 'z1');
     const acked = new Map<string, number>();
     const write = async (): Promise<void> => {
-      const book = await logbook.open(w.lens(h).disk);
+      const durable = await durableStore.open(w.runtime(h).disk);
       for (let m = 1; m < 200; m++)
         for (const name of ['a/b', 'c*.d']) {
-          await book.write(name, m, { m });
+          await durable.write(name, m, { m });
           acked.set(name, m);
         }
     };
@@ -31,18 +31,18 @@
     w.kill(h, 'power');
     w.start(h);
     h.files.set('a%2Fb.000000009999', 'torn');
-    let got: { book: Awaited<ReturnType<typeof logbook.open>>; a: number; c: number } | undefined;
+    let got: { durable: Awaited<ReturnType<typeof durableStore.open>>; a: number; c: number } | undefined;
     void (async () => {
-      const book = await logbook.open(w.lens(h).disk);
+      const durable = await durableStore.open(w.runtime(h).disk);
       got = {
-        book,
-        a: (await book.read<{ m: number }>('a/b'))?.value.m ?? 0,
-        c: (await book.read<{ m: number }>('c*.d'))?.value.m ?? 0,
+        durable,
+        a: (await durable.read<{ m: number }>('a/b'))?.value.m ?? 0,
+        c: (await durable.read<{ m: number }>('c*.d'))?.value.m ?? 0,
       };
     })();
     await w.run(w.now() + us.s(1));
     assert.ok(got!.a >= (acked.get('a/b') ?? 0) && got!.c >= (acked.get('c*.d') ?? 0), `seed ${seed}`);
-    assert.is(got!.book.counts().torn, 1);
+    assert.is(got!.durable.counts().torn, 1);
     assert.ok([...h.files.keys()].length <= 6, 'old versions pile up');
   }
 });
@@ -68,7 +68,7 @@
   }
 });
 
-test('lookout: a silent node is suspected within 1.5 s; a frozen watcher does not accuse on waking', async () => {
+test('failure detector: a silent node is suspected within 1.5 s; a frozen watcher accuses nobody on waking', async () => {
   const w = open(3);
   const all = Array.from({ length: 9 }, (_, i) => ({
     id: `n${i}`,
@@ -78,10 +78,10 @@
   }));
   const accused = new Map<string, Set<string>>();
   for (const x of all)
-    void pipe.open(w.lens(x.host), x.place).then((p) =>
-      lookout.open({
-        lens: w.lens(x.host),
-        pipe: p,
+    void rpc.open(w.runtime(x.host), x.place).then((p) =>
+      failureDetector.open({
+        runtime: w.runtime(x.host),
+        rpc: p,
         self: () => x,
         roster: () => all,
         report: (l) => {
@@ -107,21 +107,25 @@
 const relays = async (
   seed: number,
   n: number,
-): Promise<{ w: ReturnType<typeof open>; nodes: { id: string; host: Host; b: Beam }[]; dead: Set<string> }> => {
+): Promise<{
+  w: ReturnType<typeof open>;
+  nodes: { id: string; host: Host; b: Dissemination }[];
+  dead: Set<string>;
+}> => {
   const w = open(seed);
   const dead = new Set<string>();
   const list = Array.from({ length: n }, (_, i) => ({ id: `n${i}`, place: `127.0.0.${i + 1}:1` }));
-  const nodes: { id: string; host: Host; b: Beam }[] = [];
+  const nodes: { id: string; host: Host; b: Dissemination }[] = [];
   for (const x of list) {
     const host = w.host(x.place.split(':')[0]!, 'z1');
-    const lens = w.lens(host);
-    void pipe.open(lens, x.place).then((p) =>
+    const runtime = w.runtime(host);
+    void rpc.open(runtime, x.place).then((p) =>
       nodes.push({
         id: x.id,
         host,
-        b: beam.open({
-          lens,
-          pipe: p,
+        b: dissemination.open({
+          runtime,
+          rpc: p,
           self: x.id,
           leaf: false,
           relays: () => list.filter((r) => !dead.has(r.id)),
@@ -135,7 +139,7 @@
   await w.run(us.ms(10));
   return { w, nodes, dead };
 };
-test('beam: news reaches all within 2 s past a relay not yet known to be dead; marks never go back', async () => {
+test('dissemination: news reaches all within 2 s past a relay not known to be dead; marks never go back', async () => {
   for (let seed = 1; seed <= 10; seed++) {
     const { w, nodes } = await relays(seed, 20);
     w.kill(nodes[w.rand.int(5)]!.host, 'process');
@@ -150,7 +154,7 @@
     assert.is(from.b.get('order')?.mark, 10);
   }
 });
-test('beam: news of a dead node does not come back from siblings that were slower to drop it', async () => {
+test('dissemination: news of a dead node does not come back from siblings that were slower to drop it', async () => {
   const { w, nodes, dead } = await relays(5, 8);
   nodes[0]!.b.put('load/n3', 7, { x: 1 });
   await w.run(w.now() + us.s(2));
@@ -166,21 +170,21 @@
     const w = open(seed);
     const voters = [1, 2, 3].map((i) => ({ host: w.host(`127.0.3.${i}`, `z${i}`), at: `127.0.3.${i}:1` }));
     const bootVoter = (v: { host: Host; at: string }): void => {
-      const lens = w.lens(v.host);
-      void pipe.open(lens, v.at).then((p) => watch.voter({ lens, pipe: p }));
+      const runtime = w.runtime(v.host);
+      void rpc.open(runtime, v.at).then((p) => watch.voter({ runtime, rpc: p }));
     };
     voters.forEach(bootVoter);
     const duties: { d: Duty; host: Host }[] = [];
     const won: number[] = [];
     for (let i = 1; i <= 4; i++) {
       const host = w.host(`127.0.1.${i}`, 'z1');
-      const lens = w.lens(host);
-      void pipe.open(lens, `127.0.1.${i}:1`).then((p) =>
+      const runtime = w.runtime(host);
+      void rpc.open(runtime, `127.0.1.${i}:1`).then((p) =>
         duties.push({
           host,
           d: watch.duty({
-            lens,
-            pipe: p,
+            runtime,
+            rpc: p,
             name: 'sweep',
             by: `n${i}`,
             voters: () => voters.map((v) => v.at),
--- a/packages/simulation/test/registers.test.ts
+++ b/packages/simulation/test/registers.test.ts
@@ -10,8 +10,8 @@
   type SweepResult,
 } from '@thornsail/register-store';
 import { fault, invariant, time, us } from '@thornsail/runtime';
-import { logbook } from '@thornsail/durable-files';
-import { pipe, type Pipe } from '@thornsail/rpc';
+import { durableStore } from '@thornsail/durable-files';
+import { rpc, type Rpc } from '@thornsail/rpc';
 import { world, type Host } from '@thornsail/simulation';
 
 type Op = {
@@ -64,7 +64,7 @@
 ): Promise<{ problems: string[]; done: number; unknown: number; reads: number; opened: number }> => {
   /** With `fresh`, new keys that two or three edges come upon at about the same time. */
   const keys = o.fresh ? 24 : 3;
-  /** Nothing is opened for a while after a keeper did not answer. */
+  /** Nothing is opened for a while after a store did not answer. */
   const span = us.s(o.fresh ? 12 : 3);
   invariant.clear();
   // With faults the disk is slower than the network, or a missing sync would never show.
@@ -81,9 +81,9 @@
     id: `k${i}`,
   }));
   const boot = async (h: Host, at: string, id: string): Promise<void> => {
-    const lens = w.lens(h);
-    const p = await pipe.open(lens, at);
-    await store.open({ lens, pipe: p, book: await logbook.open(lens.disk), freshId: id });
+    const runtime = w.runtime(h);
+    const p = await rpc.open(runtime, at);
+    await store.open({ runtime, rpc: p, durable: await durableStore.open(runtime.disk), freshId: id });
   };
   for (const k of places) void boot(k.host, k.at, k.id);
   const members = (ids: number[]): Group['members'] => ids.map((i) => ({ id: `k${i}`, at: `127.0.2.${i}:7101` }));
@@ -93,17 +93,17 @@
   const lag = [0, 1, 2].map((e) => (e === 0 || !o.regroup ? 0 : w.rand.int(us.s(3))));
   const edges: Registers[] = [];
   const hosts: Host[] = [];
-  const pipes: Pipe[] = [];
+  const pipes: Rpc[] = [];
   for (let e = 0; e < 3; e++) {
     const h = w.host(`127.0.1.${e}`, `z${e + 1}`);
     hosts.push(h);
-    const lens = w.lens(h);
-    void pipe.open(lens, `127.0.1.${e}:7101`).then((p) => {
+    const runtime = w.runtime(h);
+    void rpc.open(runtime, `127.0.1.${e}:7101`).then((p) => {
       pipes[e] = p;
       const near = (id: string): number => (o.mixed && id === `k${e + 1}` ? 0 : 1);
       edges[e] = registers.open({
-        lens,
-        pipe: p,
+        runtime,
+        rpc: p,
         by: `edge${e}`,
         near,
         group: () => (w.now() < lag[e]! ? old : group),
@@ -115,7 +115,7 @@
   const r = w.rand;
   let open = 0;
   let blackouts = o.faults ? 2 : 0;
-  /** All keepers lose power right after an acknowledgement. */
+  /** All stores lose power right after an acknowledgement. */
   const blackout = (): void => {
     blackouts -= 1;
     for (const k of places.slice(0, 3))
@@ -167,7 +167,7 @@
     });
   }
   // Reads of several keys, reservations some time before a change, and extensions in between.
-  const wall = w.lens(w.host('127.0.8.8', 'z1')).clock.wall;
+  const wall = w.runtime(w.host('127.0.8.8', 'z1')).clock.wall;
   const all = Array.from({ length: keys }, (_, k) => `key${k}`);
   const look = (edge: Registers, some: string[]): void => {
     const from = w.now();
@@ -212,9 +212,9 @@
           void boot(k.host, k.at, k.id);
         });
       });
-  const { clock } = w.lens(w.host('127.0.8.9', 'z1'));
+  const { clock } = w.runtime(w.host('127.0.8.9', 'z1'));
   const pass = (all: boolean): Promise<SweepResult> =>
-    sweep.pass({ clock, pipe: pipes[0]!, registers: edges[0]!, group, all, pause: 0, still: () => true });
+    sweep.pass({ clock, rpc: pipes[0]!, registers: edges[0]!, group, all, pause: 0, still: () => true });
   if (o.fresh) {
     // The group is swept, filled and then changed again: 4 joins, 1 leaves, comes back with its old disk, 2 leaves.
     const groups = o.regroup
@@ -250,7 +250,7 @@
       w.kill(places[0]!.host, 'disk');
     };
     w.at(us.ms(900), () => void step());
-    // Two edges each miss another keeper, so that their majorities differ.
+    // Two edges each miss another store, so that their majorities differ.
     const heal = [w.cut([hosts[1]!], [places[2]!.host]), w.cut([hosts[2]!], [places[1]!.host])];
     w.at(us.s(5), () => heal.forEach((h) => h()));
   }
@@ -284,7 +284,7 @@
     assert.is(h.unknown, 0);
   }
 });
-test('register histories are linearizable with keepers losing power and freezing', async () => {
+test('register histories are linearizable with stores losing power and freezing', async () => {
   let done = 0;
   for (let s = 1; s <= 40; s++) {
     const h = await history(s, { faults: true, regroup: false });
@@ -300,7 +300,7 @@
     assert.ok(h.done > 30);
   }
 });
-test('with reservations, reads of many keys from the nearest keeper and extensions in between: the same', async () => {
+test('with reservations, reads of many keys from the nearest store and extensions in between: the same', async () => {
   for (const [faults, regroup] of [
     [false, false],
     [true, false],
@@ -350,7 +350,7 @@
   assert.is(check([a, b, op('r', 4, 5, ['a', 'b'], true), op('r', 6, 7, ['a'], true)], last).length, 2);
 });
 
-/** Keepers by number, one proposer, and a story told in simulated time. */
+/** Stores by number, one proposer, and a story told in simulated time. */
 const stage = async (
   seed: number,
   tell: (x: {
@@ -368,16 +368,16 @@
   const at = (i: number): string => `127.0.2.${i}:7101`;
   const hosts = [1, 2, 3, 4].map((i) => w.host(`127.0.2.${i}`, 'z1'));
   const boot = async (i: number): Promise<Store> => {
-    const lens = w.lens(hosts[i - 1]!);
-    const p = await pipe.open(lens, at(i));
-    return store.open({ lens, pipe: p, book: await logbook.open(lens.disk), freshId: `k${i}` });
+    const runtime = w.runtime(hosts[i - 1]!);
+    const p = await rpc.open(runtime, at(i));
+    return store.open({ runtime, rpc: p, durable: await durableStore.open(runtime.disk), freshId: `k${i}` });
   };
   let group: Group = { mark: 0, members: [] };
-  const lens = w.lens(w.host('127.0.1.1', 'z1'));
+  const runtime = w.runtime(w.host('127.0.1.1', 'z1'));
   let done = '';
   const story = async (): Promise<void> => {
-    const p = await pipe.open(lens, '127.0.1.1:7101');
-    const regs = registers.open({ lens, pipe: p, by: 'e', group: () => group });
+    const p = await rpc.open(runtime, '127.0.1.1:7101');
+    const regs = registers.open({ runtime, rpc: p, by: 'e', group: () => group });
     await tell({
       w,
       regs,
@@ -387,7 +387,7 @@
         group = { mark, members: ids.map((i) => ({ id: `k${i}`, at: at(i) })) };
       },
       pass: (all) =>
-        sweep.pass({ clock: lens.clock, pipe: p, registers: regs, group, all, pause: 0, still: () => true }),
+        sweep.pass({ clock: runtime.clock, rpc: p, registers: regs, group, all, pause: 0, still: () => true }),
       wait: (t) =>
         new Promise((fin) => {
           w.at(w.now() + t, fin);
@@ -405,7 +405,7 @@
 
 test('the sweep brings what a minority of the new group holds onto its majority', () =>
   stage(8, async ({ w, regs, boot, hosts, group, pass }) => {
-    // keeper3 is down while this is written: only 1 and 2 hold it.
+    // store3 is down while this is written: only 1 and 2 hold it.
     for (const i of [1, 2, 4]) await boot(i);
     group(1, [1, 2, 3]);
     for (let i = 0; i < 300; i++)
@@ -443,7 +443,7 @@
     for (let i = 0; i < 3; i++) assert.is(await regs.read(`late${i}`, us.s(2)), `late${i}`);
   }));
 
-test('an expired register is absent, is dropped only when every keeper holds the same, and does not come back', () =>
+test('an expired register is absent, is dropped only when every store holds the same, and does not come back', () =>
   stage(10, async ({ w, regs, boot, hosts, group, pass, wait }) => {
     for (const i of [1, 2, 3]) await boot(i);
     group(1, [1, 2, 3]);
@@ -451,12 +451,12 @@
       regs.change('k', (_v, x) => ({ held: { value: v, until: x.max + keep }, result: 0 }));
     await write('old', us.s(3000));
     await wait(us.s(1));
-    // keeper3 misses the last value, which expires first.
+    // store3 misses the last value, which expires first.
     w.kill(hosts[2]!, 'power');
     await write('new', us.s(10));
     await wait(us.s(700));
     assert.is(await regs.read('k'), undefined);
-    assert.is((await pass(false)).purged, 0, 'dropped while a keeper with an older copy was away');
+    assert.is((await pass(false)).purged, 0, 'dropped while a store with an older copy was away');
     w.start(hosts[2]!);
     await boot(3);
     assert.is(await regs.read('k', us.s(2)), undefined);
--- a/packages/simulation/test/sizes.test.ts
+++ b/packages/simulation/test/sizes.test.ts
@@ -1,4 +1,4 @@
-// A keeper with the registers of a full day (§8): nothing looks at all of them in one go, and a keeper is replaced.
+// A store with the registers of a full day (§8): nothing looks at all of them in one go, and a store is replaced.
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import {
@@ -10,9 +10,9 @@
   type Store,
   type SweepResult,
 } from '@thornsail/register-store';
-import { invariant, us, type Lens } from '@thornsail/runtime';
-import { logbook } from '@thornsail/durable-files';
-import { pipe, type Pipe } from '@thornsail/rpc';
+import { invariant, us, type Runtime } from '@thornsail/runtime';
+import { durableStore } from '@thornsail/durable-files';
+import { rpc, type Rpc } from '@thornsail/rpc';
 import { world, type Host, type World } from '@thornsail/simulation';
 
 const count = 100_000;
@@ -27,22 +27,25 @@
   const hosts = [1, 2, 3, 4].map((i) => w.host(`127.0.2.${i}`, `z${i % 3}`));
   const stores = new Map<number, Store>();
   const boot = async (i: number): Promise<void> => {
-    const lens = w.lens(hosts[i - 1]!);
-    const p = await pipe.open(lens, at(i));
-    stores.set(i, await store.open({ lens, pipe: p, book: await logbook.open(lens.disk), freshId: `k${i}` }));
+    const runtime = w.runtime(hosts[i - 1]!);
+    const p = await rpc.open(runtime, at(i));
+    stores.set(
+      i,
+      await store.open({ runtime, rpc: p, durable: await durableStore.open(runtime.disk), freshId: `k${i}` }),
+    );
   };
   return { w, hosts, stores, boot };
 };
-/** The files as a keeper leaves them, written once and copied to the others. */
+/** The files as a store leaves them, written once and copied to the others. */
 const fill = async (s: Stage): Promise<void> => {
-  const put = async (lens: Lens): Promise<void> => {
-    const book = await logbook.open(lens.disk);
+  const put = async (runtime: Runtime): Promise<void> => {
+    const durable = await durableStore.open(runtime.disk);
     const copy = { promised: [1, 'e'], accepted: [1, 'e'], held: { value: 1, until: 9e15, ops: ['e.1'] }, touched: 1 };
-    await book.write('identity', 1, { id: 'k1' });
-    await Promise.all(Array.from({ length: count }, (_, i) => book.write(`reg:${keyOf(i)}`, 1, copy)));
+    await durable.write('identity', 1, { id: 'k1' });
+    await Promise.all(Array.from({ length: count }, (_, i) => durable.write(`reg:${keyOf(i)}`, 1, copy)));
   };
   let done = false;
-  void put(s.w.lens(s.hosts[0]!)).then(() => (done = true));
+  void put(s.w.runtime(s.hosts[0]!)).then(() => (done = true));
   while (!done) await s.w.run(s.w.now() + us.s(1));
   const id = [...s.hosts[0]!.files.keys()].find((f) => f.startsWith('identity'))!;
   for (const h of s.hosts.slice(1, 3)) for (const [k, v] of s.hosts[0]!.files) if (k !== id) h.files.set(k, v);
@@ -56,17 +59,17 @@
   while (s.stores.size < 3) await s.w.run(s.w.now() + us.ms(100));
   assert.ok(s.w.now() - begun < us.s(12), 'the start does not fit into the time to serve again');
   assert.is(s.stores.get(1)!.size(), count);
-  const lens = s.w.lens(s.w.host('127.0.1.1', 'z1'));
+  const runtime = s.w.runtime(s.w.host('127.0.1.1', 'z1'));
   let group: Group = { mark: 1, members: [1, 2, 3].map((i) => ({ id: `k${i}`, at: at(i) })) };
-  const got: { p?: Pipe; regs?: Registers; pass?: SweepResult } = {};
-  void pipe.open(lens, '127.0.1.1:7101').then((p) => {
+  const got: { p?: Rpc; regs?: Registers; pass?: SweepResult } = {};
+  void rpc.open(runtime, '127.0.1.1:7101').then((p) => {
     got.p = p;
-    got.regs = registers.open({ lens, pipe: p, by: 'e', group: () => group });
+    got.regs = registers.open({ runtime, rpc: p, by: 'e', group: () => group });
   });
   await s.w.run(s.w.now() + us.ms(50));
   const pass = async (all: boolean, limit: number): Promise<SweepResult> => {
     delete got.pass;
-    const o = { clock: lens.clock, pipe: got.p!, registers: got.regs!, group, all, pause: 0, still: () => true };
+    const o = { clock: runtime.clock, rpc: got.p!, registers: got.regs!, group, all, pause: 0, still: () => true };
     void sweep.pass(o).then((r) => (got.pass = r));
     const end = s.w.now() + limit;
     while (!got.pass && s.w.now() < end) await s.w.run(s.w.now() + us.ms(50));
@@ -74,7 +77,7 @@
     return got.pass!;
   };
   assert.equal(await pass(false, us.s(2)).then((r) => [r.complete, r.seen]), [true, 0]);
-  // A keeper loses its disk; it is taken out, then an empty one joins: each change is complete at once, because a
+  // A store loses its disk; it is taken out, then an empty one joins: each change is complete at once, because a
   // majority of the new group holds the same.
   s.w.kill(s.hosts[2]!, 'disk');
   void s.boot(4);
--- a/packages/simulation/test/streams.test.ts
+++ b/packages/simulation/test/streams.test.ts
@@ -15,8 +15,8 @@
   }
   for (const x of f.layout.workers.filter((y) => y.kind === 'model')) {
     const host = x.at.split(':')[0]!;
-    const lens = f.w.lens(f.hostOf(host));
-    await lens.net.serve(
+    const runtime = f.w.runtime(f.hostOf(host));
+    await runtime.net.serve(
       x.at,
       (ask, say) => {
         if (ask.path === '/report') {
@@ -34,8 +34,8 @@
   let text = '';
   let ended: 'clean' | 'cut' | null = null;
   const read = async (): Promise<void> => {
-    const r = await f.callerLens.net.call({
-      at: f.proc('front-edge1').options['http'] as Place,
+    const r = await f.callerRuntime.net.call({
+      at: f.proc('gateway-edge1').options['http'] as Place,
       method: 'POST',
       path: '/v1/chat/completions',
       headers,
@@ -61,8 +61,8 @@
   let written = 0;
   let ended = false;
   for (const x of f.layout.workers.filter((y) => y.kind === 'model')) {
-    const lens = f.w.lens(f.hostOf(x.at.split(':')[0]!));
-    await lens.net.serve(
+    const runtime = f.w.runtime(f.hostOf(x.at.split(':')[0]!));
+    await runtime.net.serve(
       x.at,
       async (ask, say) => {
         if (ask.path === '/report') {
@@ -84,9 +84,9 @@
     );
   }
   let r: HttpResult | undefined;
-  void f.callerLens.net
+  void f.callerRuntime.net
     .call({
-      at: f.proc('front-edge1').options['http'] as Place,
+      at: f.proc('gateway-edge1').options['http'] as Place,
       method: 'POST',
       path: '/v1/chat/completions',
       headers,
@@ -100,25 +100,25 @@
   await f.w.run(f.w.now() + us.s(3));
   assert.ok(written < 200, `${written} pieces were read ahead of a reader that reads nothing`);
   await f.until('the worker to finish', () => ended, us.s(20));
-  let purse: { spent: number; open: unknown } | undefined;
+  let budgetRecord: { spent: number; open: unknown } | undefined;
   void f
-    .proc('front-edge2')
+    .proc('gateway-edge2')
     .node!.registers.read('program/p1')
     .then((v) => {
-      purse = v as typeof purse;
+      budgetRecord = v as typeof budgetRecord;
     });
   await f.w.run(f.w.now() + us.s(2));
-  assert.equal([purse!.spent, purse!.open], [12, null]);
-  assert.is(f.proc('front-edge1').node!.counts()['slow_cut'], 1);
+  assert.equal([budgetRecord!.spent, budgetRecord!.open], [12, null]);
+  assert.is(f.proc('gateway-edge1').node!.counts()['slow_cut'], 1);
 });
 test('an edge killed in the middle of streams costs its own and no others', async () => {
   const f = await fleet.open({ seed: 6, shape: 'granite', perToken: us.ms(40) });
   const ended = new Map<string, 'clean' | 'cut'>();
-  for (const [i, name] of ['front-edge1', 'front-edge2', 'front-edge3', 'front-edge4'].entries()) {
+  for (const [i, name] of ['gateway-edge1', 'gateway-edge2', 'gateway-edge3', 'gateway-edge4'].entries()) {
     const read = async (): Promise<void> => {
       let text = '';
       try {
-        const r = await f.callerLens.net.call({
+        const r = await f.callerRuntime.net.call({
           at: f.proc(name).options['http'] as Place,
           method: 'POST',
           path: '/v1/chat/completions',
@@ -139,13 +139,13 @@
     void read();
   }
   await f.w.run(f.w.now() + us.ms(300));
-  f.kill('front-edge2', 'power');
+  f.kill('gateway-edge2', 'power');
   await f.until('the streams to end', () => ended.size === 4, us.s(30));
   assert.equal(Object.fromEntries([...ended].sort()), {
-    'front-edge1': 'clean',
-    'front-edge2': 'cut',
-    'front-edge3': 'clean',
-    'front-edge4': 'clean',
+    'gateway-edge1': 'clean',
+    'gateway-edge2': 'cut',
+    'gateway-edge3': 'clean',
+    'gateway-edge4': 'clean',
   });
   // The program of the lost turn is served by another edge; its turn stays charged.
   let again: number | undefined;
@@ -154,7 +154,7 @@
     let r: { status: number } | undefined;
     void f
       .http(
-        f.proc('front-edge5').options['http'] as Place,
+        f.proc('gateway-edge5').options['http'] as Place,
         'POST',
         '/v1/chat/completions',
         { messages: [{ role: 'user', content: 'more [last]' }], max_tokens: 8, stream: false },
--- a/packages/simulation/test/sweep.test.ts
+++ b/packages/simulation/test/sweep.test.ts
@@ -3,8 +3,8 @@
 import * as assert from 'uvu/assert';
 import { invariant, us } from '@thornsail/runtime';
 import { registers, store, sweep, type Group, type SweepResult } from '@thornsail/register-store';
-import { logbook } from '@thornsail/durable-files';
-import { pipe } from '@thornsail/rpc';
+import { durableStore } from '@thornsail/durable-files';
+import { rpc } from '@thornsail/rpc';
 import { world } from '@thornsail/simulation';
 
 const count = 300;
@@ -19,17 +19,17 @@
   const w = world.open({ seed: 1, zoneDelay: us.ms(1), clientDelay: us.ms(1), clientIp: '127.0.9.9' });
   const hosts = [1, 2, 3, 4].map((i) => w.host(`127.0.2.${i}`, `z${i % 3}`));
   for (const [i, host] of hosts.entries()) {
-    const lens = w.lens(host);
+    const runtime = w.runtime(host);
     const open = async (): Promise<void> => {
-      const p = await pipe.open(lens, at(i + 1));
-      await store.open({ lens, pipe: p, book: await logbook.open(lens.disk), freshId: `k${i + 1}` });
+      const p = await rpc.open(runtime, at(i + 1));
+      await store.open({ runtime, rpc: p, durable: await durableStore.open(runtime.disk), freshId: `k${i + 1}` });
     };
     void open();
   }
   let group = groupOf(1, [1, 2, 3]);
-  const lens = w.lens(w.host('127.0.1.1', 'z1'));
-  const p = await pipe.open(lens, '127.0.1.1:7101');
-  const regs = registers.open({ lens, pipe: p, by: 'e', group: () => group });
+  const runtime = w.runtime(w.host('127.0.1.1', 'z1'));
+  const p = await rpc.open(runtime, '127.0.1.1:7101');
+  const regs = registers.open({ runtime, rpc: p, by: 'e', group: () => group });
   let written = 0;
   await w.run(us.s(1));
   for (let i = 0; i < count; i++)
@@ -45,7 +45,7 @@
   let done: SweepResult | undefined;
   let took = Infinity;
   void sweep
-    .pass({ clock: lens.clock, pipe: p, registers: regs, group, all: true, pause: 0, still: () => true })
+    .pass({ clock: runtime.clock, rpc: p, registers: regs, group, all: true, pause: 0, still: () => true })
     .then((r) => {
       done = r;
       took = w.now() - begun;
--- a/packages/simulation/test/upgrade.test.ts
+++ b/packages/simulation/test/upgrade.test.ts
@@ -2,13 +2,13 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { us } from '@thornsail/runtime';
-import { pipe, protocol } from '@thornsail/rpc';
+import { rpc, protocol } from '@thornsail/rpc';
 import { world } from '@thornsail/simulation';
 
 test('a sibling that speaks a foreign protocol mark is refused politely, one in range is served', async () => {
   const w = world.open({ seed: 1, zoneDelay: us.ms(1), clientDelay: us.ms(1), clientIp: 'x' });
-  const lens = w.lens(w.host('127.0.0.1', 'z1'));
-  const p = await pipe.open(lens, '127.0.0.1:1');
+  const runtime = w.runtime(w.host('127.0.0.1', 'z1'));
+  const p = await rpc.open(runtime, '127.0.0.1:1');
   p.on(
     'echo',
     () => true,
@@ -16,7 +16,7 @@
   );
   const got: { k: string; n: string; b: unknown }[] = [];
   const frames = await w
-    .lens(w.host('127.0.0.2', 'z1'))
+    .runtime(w.host('127.0.0.2', 'z1'))
     .net.frames('127.0.0.2:1', (_from, text) => got.push(parse(text) as { k: string; n: string; b: unknown }) > 0);
   frames.send('127.0.0.1:1', stringify({ p: protocol.mark + 1, k: 'ask', t: 'echo', n: '1', b: 'new' }));
   frames.send('127.0.0.1:1', stringify({ p: protocol.oldest - 1, k: 'ask', t: 'echo', n: '2', b: 'old' }));
@@ -34,8 +34,8 @@
 test('a node that was started again does not take a result that was meant for its former self', async () => {
   const w = world.open({ seed: 2, zoneDelay: us.ms(1), clientDelay: us.ms(1), clientIp: 'x' });
   const [a, b] = [w.host('127.0.0.1', 'z1'), w.host('127.0.0.2', 'z1')];
-  const lb = w.lens(b);
-  const pb = await pipe.open(lb, '127.0.0.2:1');
+  const lb = w.runtime(b);
+  const pb = await rpc.open(lb, '127.0.0.2:1');
   pb.on<{ say: string; after: number }>(
     'slow',
     () => true,
@@ -45,7 +45,7 @@
       }),
   );
   const ask = async (say: string, after: number): Promise<string> =>
-    (await pipe.open(w.lens(a), '127.0.0.1:1')).ask('127.0.0.2:1', 'slow', { say, after }, us.s(3));
+    (await rpc.open(w.runtime(a), '127.0.0.1:1')).ask('127.0.0.2:1', 'slow', { say, after }, us.s(3));
   void ask('for the first', us.s(1)).catch(() => undefined);
   await w.run(us.ms(100));
   w.kill(a, 'process');
--- a/packages/simulation/test/views.test.ts
+++ b/packages/simulation/test/views.test.ts
@@ -1,13 +1,13 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { fault, invariant, us } from '@thornsail/runtime';
-import { logbook } from '@thornsail/durable-files';
-import { pipe } from '@thornsail/rpc';
+import { durableStore } from '@thornsail/durable-files';
+import { rpc } from '@thornsail/rpc';
 import { views, type Marked, type Views } from '@thornsail/consensus';
 import { world, type Host, type World } from '@thornsail/simulation';
 
 type List = { list: string[] };
-type Tower = { at: string; host: Host; v: Views<List> | null; log: Marked<List>[] };
+type Coordinator = { at: string; host: Host; v: Views<List> | null; log: Marked<List>[] };
 
 const run = async (
   seed: number,
@@ -15,7 +15,7 @@
 ): Promise<{
   acked: string[];
   refused: Set<string>;
-  towers: Tower[];
+  towers: Coordinator[];
   marks: Map<number, string>;
   problems: string[];
   now: number;
@@ -25,20 +25,20 @@
   const at = [1, 2, 3].map((i) => `127.0.3.${i}:7101`);
   const marks = new Map<number, string>();
   const problems: string[] = [];
-  const towers: Tower[] = at.map((a, i) => ({
+  const towers: Coordinator[] = at.map((a, i) => ({
     at: a,
     host: w.host(`127.0.3.${i + 1}`, `z${i + 1}`),
     v: null,
     log: [],
   }));
-  const boot = async (t: Tower): Promise<void> => {
-    const lens = w.lens(t.host);
+  const boot = async (t: Coordinator): Promise<void> => {
+    const runtime = w.runtime(t.host);
     const inc = t.host.inc;
     let last = -1;
     const v = await views.open<List>({
-      lens,
-      pipe: await pipe.open(lens, t.at),
-      book: await logbook.open(lens.disk),
+      runtime,
+      rpc: await rpc.open(runtime, t.at),
+      durable: await durableStore.open(runtime.disk),
       founders: at,
       initial: { list: [] },
       onDone: (m) => {
@@ -102,13 +102,13 @@
   await w.run(us.s(24));
   return { acked, refused, towers, marks, problems: [...problems, ...invariant.breaches()], now: w.now() };
 };
-const final = (towers: Tower[]): string[] =>
+const final = (towers: Coordinator[]): string[] =>
   towers
     .map((t) => t.v?.done())
     .filter((x): x is Marked<List> => x !== undefined)
     .sort((a, b) => b.seq - a.seq)[0]!.state.list;
 
-test('towers form, one leads, all deliver one order', async () => {
+test('coordinators form, one leads, all deliver one order', async () => {
   for (let s = 1; s <= 10; s++) {
     const x = await run(s, 'none');
     assert.equal(x.problems, [], `seed ${s}`);
@@ -131,7 +131,7 @@
   }
   assert.ok(acked > 200, `only ${acked} acknowledged`);
 });
-test('a head lost while it adds a newcomer does not leave the towers without one for ever', async () => {
+test('a head lost while it adds a newcomer does not leave the coordinators without one for ever', async () => {
   for (let seed = 1; seed <= 6; seed++) {
     invariant.clear();
     const w = world.open({ seed, zoneDelay: us.ms(1.5), clientDelay: us.ms(1), clientIp: '127.0.9.9' });
@@ -139,8 +139,8 @@
     const hosts = at.map((_, i) => w.host(`127.0.3.${i + 1}`, 'z1'));
     const all: Views<List>[] = [];
     const boot = async (i: number, founders: string[]): Promise<void> => {
-      const lens = w.lens(hosts[i]!);
-      const own = { lens, pipe: await pipe.open(lens, at[i]!), book: await logbook.open(lens.disk) };
+      const runtime = w.runtime(hosts[i]!);
+      const own = { runtime, rpc: await rpc.open(runtime, at[i]!), durable: await durableStore.open(runtime.disk) };
       all[i] = await views.open<List>({ ...own, founders, initial: { list: [] }, onDone: () => undefined });
     };
     for (const i of [0, 1, 2]) void boot(i, at.slice(0, 3));
@@ -170,7 +170,7 @@
   }
 });
 type Trio = { w: World; hosts: Host[]; all: Views<List>[]; boot: (i: number) => Promise<void>; head: () => number };
-/** Three towers that have formed a view. */
+/** Three coordinators that have formed a view. */
 const trio = async (seed: number): Promise<Trio> => {
   invariant.clear();
   const w = world.open({ seed, zoneDelay: us.ms(1.5), clientDelay: us.ms(1), clientIp: '127.0.9.9' });
@@ -178,8 +178,8 @@
   const hosts = at.map((_, i) => w.host(`127.0.3.${i + 1}`, `z${i + 1}`));
   const all: Views<List>[] = [];
   const boot = async (i: number): Promise<void> => {
-    const lens = w.lens(hosts[i]!);
-    const own = { lens, pipe: await pipe.open(lens, at[i]!), book: await logbook.open(lens.disk) };
+    const runtime = w.runtime(hosts[i]!);
+    const own = { runtime, rpc: await rpc.open(runtime, at[i]!), durable: await durableStore.open(runtime.disk) };
     all[i] = await views.open<List>({ ...own, founders: at, initial: { list: [] }, onDone: () => undefined });
   };
   for (const i of [0, 1, 2]) void boot(i);
@@ -194,7 +194,7 @@
   assert.ok(read, 'no agreed state');
   return read;
 };
-test('towers that have all started again have a head soon, and one of them only', async () => {
+test('coordinators that have all started again have a head soon, and one of them only', async () => {
   for (let seed = 1; seed <= 30; seed++) {
     const x = await trio(seed);
     const { w } = x;
@@ -217,7 +217,7 @@
     assert.equal(invariant.breaches(), []);
   }
 });
-test('two towers that start again while the third is gone have a head within a second', async () => {
+test('two coordinators that start again while the third is gone have a head within a second', async () => {
   for (let seed = 1; seed <= 30; seed++) {
     const x = await trio(seed);
     const { w } = x;
@@ -233,7 +233,7 @@
     assert.equal(invariant.breaches(), []);
   }
 });
-test('towers that start again leave a head that lives where it is', async () => {
+test('coordinators that start again leave a head that lives where it is', async () => {
   for (let seed = 1; seed <= 30; seed++) {
     const x = await trio(seed);
     const { w } = x;
--- a/packages/test-harness/src/callers.ts
+++ b/packages/test-harness/src/callers.ts
@@ -5,12 +5,12 @@
   us,
   wholeText,
   type HttpResult,
-  type Lens,
+  type Runtime,
   type Place,
   type Rand,
   type Us,
 } from '@thornsail/runtime';
-import type { Ledger } from './standins.js';
+import type { RequestLog } from './standins.js';
 import { standText } from './standins.js';
 
 /** What the callers know of one key, over all copies of its request. */
@@ -34,7 +34,7 @@
   urgentWaits: Us[];
   chatWaits: Us[];
   breaches: string[];
-  /** Turns whose caller heard nothing for too long, with no fault at its own front to excuse it. */
+  /** Turns whose caller heard nothing for too long, with no fault at its own gateway to excuse it. */
   silences: { program: string; begun: Us; waited: Us; what: string }[];
   lastOk: Us;
 };
@@ -56,14 +56,14 @@
   key: string | null;
 };
 type Options = {
-  lens: Lens;
+  runtime: Runtime;
   rand: Rand;
-  fronts: () => Place[];
+  gateways: () => Place[];
   classes: { chat: string; kept: string; urgent: string; ping: string };
   chatTimeLeft: number;
   pushTimeLeft: number;
   gap: Us;
-  /** True if a fault had hold of this front since then: what its own callers bore is no breach. */
+  /** True if a fault had hold of this gateway since then: what its own callers bore is no breach. */
   excused: (at: Place, since: Us) => boolean;
   /** Workers that stall on purpose. */
   stalls: boolean;
@@ -148,8 +148,8 @@
 
 export const callers = {
   open: (o: Options): Callers => {
-    const { lens, rand } = o;
-    const { clock } = lens;
+    const { runtime, rand } = o;
+    const { clock } = runtime;
     const s = fresh();
     const keys = new Map<string, KeyStory>();
     const storyOf = (key: string): KeyStory => {
@@ -157,8 +157,8 @@
       keys.set(key, story);
       return story;
     };
-    const front = (): Place => {
-      const f = o.fronts();
+    const gateway = (): Place => {
+      const f = o.gateways();
       return f[rand.int(f.length)]!;
     };
     const gotFirst = (at: Place, begun: Us, what: string, program: string): Us => {
@@ -189,7 +189,7 @@
     };
 
     const send = (a: Ask): Promise<HttpResult> =>
-      lens.net.call({
+      runtime.net.call({
         at: a.at,
         method: 'POST',
         path: '/v1/chat/completions',
@@ -212,7 +212,7 @@
       if (silent) s.silent += 1;
       if (info.step === 'http.body') s.cut += 1;
       else s.failed += 1;
-      // The pipe stood, yet nothing came, or nothing more.
+      // The connection stood, yet nothing came, or nothing more.
       if ((silent && !o.stalls) || (!first && info.sent && waited > patience))
         if (!o.excused(a.at, begun)) s.silences.push({ program: a.program, begun, waited, what: 'cut after silence' });
       tellUnanswered(a.key, info.sent !== false);
@@ -263,7 +263,7 @@
       for (let round = 0; round < 20; round++) {
         try {
           const path = `/v1/conversations/${conversation}`;
-          const r = await lens.net.call({ at: front(), method: 'GET', path, timeLeft: us.s(2) });
+          const r = await runtime.net.call({ at: gateway(), method: 'GET', path, timeLeft: us.s(2) });
           const text = await wholeText(r.body);
           if (r.status === 200) return (JSON.parse(text) as { messages: Message[] }).messages;
           if (r.status === 404) return 'missing';
@@ -288,7 +288,7 @@
       for (let round = 0; round < 5; round++) {
         r = await turn({ ...a, key: keyed ? `${a.key}.${tries}` : null });
         if (r.ok || r.why === 'budget_spent') return r;
-        a.at = front();
+        a.at = gateway();
         if (r.why === 'outcome_unknown' && keyed) {
           const there = await keptReply(a.conversation!, user);
           if (typeof there?.reply === 'string') return { ok: true, content: there.reply, waited: r.waited };
@@ -309,7 +309,7 @@
       const history: Message[] = [];
       const sent: Message[] = [];
       const replies = new Map<string, string>();
-      let at = front();
+      let at = gateway();
       for (let i = 0; i < turns; i++) {
         const last = i === turns - 1 ? ' [last]' : '';
         const filler = 'x'.repeat(40 + rand.int(kept ? 400 : 160));
@@ -325,7 +325,7 @@
         history.push(user, { role: 'assistant', content: r.content });
         replies.set(user.content, r.content);
         // A mobile caller changes its node now and then.
-        if (rand.next() < 0.2) at = front();
+        if (rand.next() < 0.2) at = gateway();
         await time.sleep(clock, o.gap + rand.int(o.gap));
       }
       if (!conversation || replies.size === 0) return;
@@ -339,7 +339,7 @@
     };
 
     const sendJob = (at: Place, urgent: boolean, once: boolean, key: string, left: Us): Promise<HttpResult> =>
-      lens.net.call({
+      runtime.net.call({
         at,
         method: 'POST',
         path: '/v1/jobs',
@@ -384,7 +384,7 @@
         const left = us.ms(o.pushTimeLeft) - (clock.now() - begun);
         if (left <= us.ms(50)) break;
         const was = s.results;
-        const wait = await tryJob(front(), urgent, once, key, left);
+        const wait = await tryJob(gateway(), urgent, once, key, left);
         if (wait === 'done') {
           if (urgent && s.results > was) s.urgentWaits.push(clock.now() - begun);
           return;
@@ -402,7 +402,7 @@
  * line made its caller wait; the design lets a forced turn through to a full worker: counted, not a breach.
  */
 export const silent = (
-  l: Ledger,
+  l: RequestLog,
   s: Summary['silences'],
   firstToken: Us,
 ): { breaches: string[]; atWorkers: number } => {
@@ -418,9 +418,9 @@
   };
 };
 
-/** The rules that the workers' ledger shows (§9.3). */
+/** The rules that the workers' request log shows (§9.3). */
 export const audit = (o: {
-  ledger: Ledger;
+  requestLog: RequestLog;
   keys: Map<string, KeyStory>;
   budgets: (program: string) => number;
   leftAt: Map<string, Us>;
@@ -428,7 +428,7 @@
   const out: string[] = [];
   const byProgram = new Map<string, { sum: number; largest: number }>();
   const byKey = new Map<string, number>();
-  for (const e of o.ledger.entries) {
+  for (const e of o.requestLog.entries) {
     if (e.program !== null && e.ran) {
       const p = byProgram.get(e.program) ?? { sum: 0, largest: 0 };
       byProgram.set(e.program, {
@@ -445,7 +445,7 @@
     if (p.sum > o.budgets(id) + p.largest)
       out.push(`program ${id} received ${p.sum} tokens of a budget of ${o.budgets(id)}`);
   for (const [k, n] of byKey) if (n > 1) out.push(`once-request ${k} ran ${n} times`);
-  for (const e of o.ledger.entries) {
+  for (const e of o.requestLog.entries) {
     const st = e.key === null ? undefined : o.keys.get(e.key);
     const t = st?.no.find((x) => x < e.at && !st.sent.some((y) => y >= x && y <= e.at));
     if (t !== undefined)
--- a/packages/test-harness/src/fleet-cli.ts
+++ b/packages/test-harness/src/fleet-cli.ts
@@ -31,7 +31,7 @@
   if (!/^\d+$/.test(given[k]!) && !(k === 'capacity' && given[k] === '')) wrong(`--${k}: a whole number is needed`);
 const faults = given['faults']!.split(',').filter(Boolean);
 for (const x of faults)
-  if (!['kill', 'freeze', 'disk', 'config', 'leave', 'tower'].includes(x)) wrong(`--faults: no fault ${x}`);
+  if (!['kill', 'freeze', 'disk', 'config', 'leave', 'coordinator'].includes(x)) wrong(`--faults: no fault ${x}`);
 
 const f = await realFleet.open({
   shape: given['shape'] as ShapeName,
@@ -49,43 +49,43 @@
     jobs: Number(given['jobs']),
     overMs: span,
   });
-  const wait = (ms: number): Promise<void> => time.sleep(f.lens.clock, us.ms(ms));
+  const wait = (ms: number): Promise<void> => time.sleep(f.runtime.clock, us.ms(ms));
   for (const x of faults) {
     await wait(span / (faults.length + 1) / 2);
     out(`fault: ${x}`);
     if (x === 'kill') {
-      await f.signal('front-edge3', 'SIGKILL');
-      await f.signal('pilot-edge3', 'SIGKILL');
+      await f.signal('gateway-edge3', 'SIGKILL');
+      await f.signal('agent-edge3', 'SIGKILL');
       await wait(500);
-      f.start(f.proc('pilot-edge3'));
-      f.start(f.proc('front-edge3'));
+      f.start(f.proc('agent-edge3'));
+      f.start(f.proc('gateway-edge3'));
     }
     if (x === 'freeze') {
-      await f.signal('front-edge4', 'SIGSTOP');
+      await f.signal('gateway-edge4', 'SIGSTOP');
       await wait(2500);
-      await f.signal('front-edge4', 'SIGCONT');
+      await f.signal('gateway-edge4', 'SIGCONT');
     }
     if (x === 'disk') {
-      await f.signal('keeper2', 'SIGKILL');
-      f.loseDisk('keeper2');
+      await f.signal('store2', 'SIGKILL');
+      f.loseDisk('store2');
       await wait(300);
-      f.start(f.proc('keeper2'));
+      f.start(f.proc('store2'));
     }
-    if (x === 'tower') {
-      await f.signal('tower1', 'SIGKILL');
+    if (x === 'coordinator') {
+      await f.signal('coordinator1', 'SIGKILL');
       await wait(1500);
-      f.start(f.proc('tower1'));
+      f.start(f.proc('coordinator1'));
     }
     if (x === 'leave') f.platform.leave(f.layout.workers[0]!.id);
     if (x === 'config') {
       const r = await f.put(
-        f.proc('front-edge2').http,
+        f.proc('gateway-edge2').http,
         '/thornsail/v1/config',
         'PATCH',
         { scheduler: { intervalSeconds: 4 } },
         { 'if-match': '1', 'push-id': 'second' },
       );
-      out(`configuration push at a front: ${r.status} ${JSON.stringify(r.body)}`);
+      out(`configuration push at a gateway: ${r.status} ${JSON.stringify(r.body)}`);
     }
   }
   await load;
@@ -93,9 +93,9 @@
   const s = f.callers.summary;
   if (faults.includes('disk'))
     await f.waitFor(
-      'the emptied keeper takes a place in the group',
+      'the emptied store takes a place in the group',
       async () => {
-        const r = await f.get(f.proc('pilot-edge1').http, '/thornsail/v1/status');
+        const r = await f.get(f.proc('agent-edge1').http, '/thornsail/v1/status');
         const k = r.body['keepers'] as { members: number; swept: boolean; mark: number };
         return k.members === 3 && k.swept && k.mark >= 3;
       },
@@ -113,7 +113,7 @@
     `budget: rejected ${c['budget_rejected'] ?? 0}, lost turns ${c['lost'] ?? 0}; ` +
       `registers: ${c['register_rounds'] ?? 0} full rounds, ${c['register_quick'] ?? 0} quick`,
   );
-  const st = await f.get(f.proc('tower2').http, '/thornsail/v1/status');
+  const st = await f.get(f.proc('coordinator2').http, '/thornsail/v1/status');
   out(`status: ${JSON.stringify(st.body)}`);
 } finally {
   const ended = await f.stop();
--- a/packages/test-harness/src/fleet.ts
+++ b/packages/test-harness/src/fleet.ts
@@ -5,12 +5,12 @@
 import { createRequire } from 'node:module';
 import os from 'node:os';
 import path from 'node:path';
-import { fault, real, seeded, time, us, wholeText, type Lens, type Place } from '@thornsail/runtime';
+import { fault, real, seeded, time, us, wholeText, type Runtime, type Place } from '@thornsail/runtime';
 import { audit, callers, type Callers } from './callers.js';
 import { classNames, layout, ports, shapes, type Layout, type Shape, type ShapeName } from './shapes.js';
-import { ledger, standIns, type Ledger, type Platform, type StandIn } from './standins.js';
+import { requestLog, standIns, type RequestLog, type Platform, type StandIn } from './standins.js';
 
-type Role = 'front' | 'pilot' | 'tower' | 'keeper';
+type Role = 'gateway' | 'agent' | 'coordinator' | 'store';
 export type RealProc = {
   name: string;
   role: Role;
@@ -23,12 +23,12 @@
   stderr: string;
 };
 export type RealFleet = {
-  lens: Lens;
+  runtime: Runtime;
   shape: Shape;
   layout: Layout;
   procs: RealProc[];
   callers: Callers;
-  ledger: Ledger;
+  requestLog: RequestLog;
   models: StandIn[];
   apps: StandIn[];
   platform: Platform;
@@ -69,9 +69,9 @@
     if (o.config) shape.config = o.config(structuredClone(shape.config));
     const lay = layout(shape, o.net ?? `127.${64 + (process.pid % 160)}`);
     const folder = mkdtempSync(path.join(os.tmpdir(), 'thornsail-fleet-'));
-    const lens = real.lens(path.join(folder, 'harness'));
+    const runtime = real.runtime(path.join(folder, 'harness'));
     const rand = seeded(o.seed);
-    const book = ledger.open();
+    const recorded = requestLog.open();
     const problems: string[] = [];
     const slots = shape.config['slots'] as { model: number; app: number };
     const models: StandIn[] = [];
@@ -79,7 +79,7 @@
     for (const x of lay.workers) {
       if (x.kind === 'model')
         models.push(
-          await standIns.model(lens, {
+          await standIns.model(runtime, {
             id: x.id,
             at: x.at,
             capacity: shape.capacity,
@@ -87,16 +87,23 @@
             firstToken: shape.firstToken,
             perToken: shape.perToken,
             perPrefill: 60,
-            ledger: book,
+            requestLog: recorded,
             rand,
           }),
         );
       else
         apps.push(
-          await standIns.app(lens, { id: x.id, at: x.at, takes: us.ms(15), places: slots.app, ledger: book, rand }),
+          await standIns.app(runtime, {
+            id: x.id,
+            at: x.at,
+            takes: us.ms(15),
+            places: slots.app,
+            requestLog: recorded,
+            rand,
+          }),
         );
     }
-    const platform = await standIns.platform(lens, { at: lay.platform, workers: lay.workers });
+    const platform = await standIns.platform(runtime, { at: lay.platform, workers: lay.workers });
     const procs: RealProc[] = [];
     const add = (name: string, role: Role, options: Record<string, unknown>): void =>
       void procs.push({
@@ -112,16 +119,16 @@
       });
     for (const m of lay.machines) {
       const common = { place: `${m.host}:${ports.sibling}`, http: `${m.host}:${ports.http}`, zone: m.zone };
-      if (m.kind === 'tower')
-        add(m.name, 'tower', { ...common, data: path.join(folder, m.name), founders: lay.founders });
-      else if (m.kind === 'keeper') add(m.name, 'keeper', { ...common, data: path.join(folder, m.name) });
+      if (m.kind === 'coordinator')
+        add(m.name, 'coordinator', { ...common, data: path.join(folder, m.name), founders: lay.founders });
+      else if (m.kind === 'store') add(m.name, 'store', { ...common, data: path.join(folder, m.name) });
       else {
-        add(`pilot-${m.name}`, 'pilot', { ...common, platform: lay.platform });
-        add(`front-${m.name}`, 'front', {
-          place: `${m.host}:${ports.frontSibling}`,
-          http: `${m.host}:${ports.frontHttp}`,
+        add(`agent-${m.name}`, 'agent', { ...common, platform: lay.platform });
+        add(`gateway-${m.name}`, 'gateway', {
+          place: `${m.host}:${ports.gatewaySibling}`,
+          http: `${m.host}:${ports.gatewayHttp}`,
           zone: m.zone,
-          pilot: common.place,
+          agent: common.place,
         });
       }
     }
@@ -157,17 +164,17 @@
       };
     };
     const f: RealFleet = {
-      lens,
+      runtime,
       shape,
       layout: lay,
       procs,
-      ledger: book,
+      requestLog: recorded,
       models,
       apps,
       platform,
       start,
       callers: callers.open({
-        lens,
+        runtime,
         rand,
         classes: classNames[o.shape],
         chatTimeLeft: shape.chatTimeLeft,
@@ -176,7 +183,7 @@
         // A busy machine may be slow: real processes are held to order and safety, not to speed.
         excused: () => true,
         stalls: true,
-        fronts: () => procs.filter((p) => p.role === 'front' && p.child && !p.expectDown).map((p) => p.http),
+        gateways: () => procs.filter((p) => p.role === 'gateway' && p.child && !p.expectDown).map((p) => p.http),
       }),
       proc: (name) => {
         const p = procs.find((x) => x.name === name);
@@ -190,10 +197,10 @@
         if (sig === 'SIGKILL') await p.exit;
       },
       loseDisk: (name) => rmSync(f.proc(name).data, { recursive: true, force: true }),
-      get: async (at, p) => body(await lens.net.call({ at, method: 'GET', path: p, timeLeft: us.s(6) })),
+      get: async (at, p) => body(await runtime.net.call({ at, method: 'GET', path: p, timeLeft: us.s(6) })),
       put: async (at, p, method, b, headers) =>
         body(
-          await lens.net.call({
+          await runtime.net.call({
             at,
             method,
             path: p,
@@ -203,24 +210,24 @@
           }),
         ),
       waitFor: async (what, ok, limitMs) => {
-        const begun = lens.clock.now();
+        const begun = runtime.clock.now();
         for (;;) {
           try {
             if (await ok()) return;
           } catch {
             /* Not yet. */
           }
-          if (lens.clock.now() - begun > us.ms(limitMs)) {
+          if (runtime.clock.now() - begun > us.ms(limitMs)) {
             problems.push(`${what}: not within ${limitMs} ms`);
             return;
           }
-          await time.sleep(lens.clock, us.ms(50));
+          await time.sleep(runtime.clock, us.ms(50));
         }
       },
       nodeCounts: async () => {
         const sum: Record<string, number> = {};
         for (const p of procs)
-          if (p.role === 'front' && p.child)
+          if (p.role === 'gateway' && p.child)
             try {
               const r = await f.get(p.http, '/thornsail/v1/node');
               for (const [k, v] of Object.entries(r.body['counts'] as Record<string, number>))
@@ -234,7 +241,7 @@
         const tag = rand.id().slice(0, 6);
         const work: Promise<void>[] = [];
         const later = async (fn: () => Promise<void>): Promise<void> => {
-          await time.sleep(lens.clock, us.ms(rand.int(overMs)));
+          await time.sleep(runtime.clock, us.ms(rand.int(overMs)));
           await fn();
         };
         for (let i = 0; i < chats; i++)
@@ -252,7 +259,7 @@
           ...problems,
           ...f.callers.summary.breaches,
           ...audit({
-            ledger: book,
+            requestLog: recorded,
             keys: f.callers.keys,
             leftAt: platform.leftAt,
             budgets: (p) => (p.startsWith('k') ? cls[nm.kept] : cls[nm.chat])?.budgetTokens ?? 1_000_000,
@@ -263,7 +270,7 @@
         const exits: Record<string, number | null> = {};
         const bad: string[] = [];
         const up = procs.filter((p) => p.child);
-        for (const r of ['front', 'pilot', 'keeper', 'tower'])
+        for (const r of ['gateway', 'agent', 'store', 'coordinator'])
           for (const p of up.filter((x) => x.role === r)) {
             p.expectDown = true;
             p.child?.kill('SIGCONT');
@@ -286,8 +293,12 @@
       },
     };
     for (const p of procs) start(p);
-    const edge = f.proc('pilot-edge1').http;
-    await f.waitFor('a view of towers', async () => (await f.get(edge, '/thornsail/v1/status')).status === 200, 30_000);
+    const edge = f.proc('agent-edge1').http;
+    await f.waitFor(
+      'a view of coordinators',
+      async () => (await f.get(edge, '/thornsail/v1/status')).status === 200,
+      30_000,
+    );
     await f.waitFor(
       'the first configuration',
       async () =>
@@ -295,10 +306,10 @@
           .status === 200,
       20_000,
     );
-    const fronts = procs.filter((p) => p.role === 'front');
+    const gateways = procs.filter((p) => p.role === 'gateway');
     await f.waitFor(
-      'all fronts ready',
-      async () => (await Promise.all(fronts.map((p) => f.get(p.http, '/ready')))).every((r) => r.status === 200),
+      'all gateways ready',
+      async () => (await Promise.all(gateways.map((p) => f.get(p.http, '/ready')))).every((r) => r.status === 200),
       30_000,
     );
     return f;
--- a/packages/test-harness/src/index.ts
+++ b/packages/test-harness/src/index.ts
@@ -1,11 +1,11 @@
 export { shapes, layout, ports, classNames, type Shape, type ShapeName, type Layout, type Machine } from './shapes.js';
 export {
   standIns,
-  ledger,
+  requestLog,
   standText,
   standTokens,
-  type Ledger,
-  type LedgerEntry,
+  type RequestLog,
+  type RequestLogEntry,
   type Listed,
   type Mood,
   type Platform,
--- a/packages/test-harness/src/shapes.ts
+++ b/packages/test-harness/src/shapes.ts
@@ -83,7 +83,7 @@
   granite: { chat: 'diagnose', kept: 'repair', urgent: 'alarm', ping: 'status' },
 };
 
-export type Machine = { name: string; kind: 'edge' | 'keeper' | 'tower'; host: string; zone: string };
+export type Machine = { name: string; kind: 'edge' | 'store' | 'coordinator'; host: string; zone: string };
 export type Layout = {
   machines: Machine[];
   platform: Place;
@@ -94,18 +94,18 @@
 };
 const sibling = 7101;
 const http = 7102;
-const frontSibling = 7201;
-const frontHttp = 7202;
-export const ports = { sibling, http, frontSibling, frontHttp };
+const gatewaySibling = 7201;
+const gatewayHttp = 7202;
+export const ports = { sibling, http, gatewaySibling, gatewayHttp };
 
 export const layout = (s: Shape, net = '127.77'): Layout => {
   const machines: Machine[] = [];
   for (let i = 0; i < 7; i++)
     machines.push({ name: `edge${i + 1}`, kind: 'edge', host: `${net}.1.${i + 1}`, zone: `z${(i % 3) + 1}` });
   for (let i = 0; i < 3; i++)
-    machines.push({ name: `keeper${i + 1}`, kind: 'keeper', host: `${net}.2.${i + 1}`, zone: `z${i + 1}` });
+    machines.push({ name: `store${i + 1}`, kind: 'store', host: `${net}.2.${i + 1}`, zone: `z${i + 1}` });
   for (let i = 0; i < 3; i++)
-    machines.push({ name: `tower${i + 1}`, kind: 'tower', host: `${net}.3.${i + 1}`, zone: `z${i + 1}` });
+    machines.push({ name: `coordinator${i + 1}`, kind: 'coordinator', host: `${net}.3.${i + 1}`, zone: `z${i + 1}` });
   const workers: Layout['workers'] = [];
   for (let i = 0; i < s.models; i++)
     workers.push({ id: `model-${i + 1}`, at: `${net}.4.${i + 1}:7300`, kind: 'model' });
@@ -117,6 +117,6 @@
     platform: `${net}.6.1:7400`,
     callers: `${net}.9.1`,
     seeds: [`${net}.1.1:${sibling}`, `${net}.2.1:${sibling}`, `${net}.3.1:${sibling}`],
-    founders: machines.filter((m) => m.kind === 'tower').map((m) => `${m.host}:${sibling}`),
+    founders: machines.filter((m) => m.kind === 'coordinator').map((m) => `${m.host}:${sibling}`),
   };
 };
--- a/packages/test-harness/src/standins.ts
+++ b/packages/test-harness/src/standins.ts
@@ -1,18 +1,18 @@
 // Stand-ins for what is outside (§9.3): model workers, application workers and the platform, in published formats.
-// They keep a ledger of what reached them, against which the rules are checked.
+// They keep a request log of what reached them, against which the rules are checked.
 import {
   hash,
   time,
   us,
   type Clock,
   type HttpSay,
-  type Lens,
+  type Runtime,
   type Place,
   type Rand,
   type Us,
 } from '@thornsail/runtime';
 
-export type LedgerEntry = {
+export type RequestLogEntry = {
   worker: string;
   program: string | null;
   key: string | null;
@@ -25,7 +25,7 @@
   reprefilled: number;
   body: string;
 };
-const blank = (worker: string, at: Us): LedgerEntry => ({
+const blank = (worker: string, at: Us): RequestLogEntry => ({
   worker,
   program: null,
   key: null,
@@ -37,10 +37,10 @@
   reprefilled: 0,
   body: '',
 });
-export type Ledger = { entries: LedgerEntry[]; add: (e: LedgerEntry) => LedgerEntry };
-export const ledger = {
-  open: (): Ledger => {
-    const entries: LedgerEntry[] = [];
+export type RequestLog = { entries: RequestLogEntry[]; add: (e: RequestLogEntry) => RequestLogEntry };
+export const requestLog = {
+  open: (): RequestLog => {
+    const entries: RequestLogEntry[] = [];
     return {
       entries,
       add: (e) => {
@@ -178,7 +178,7 @@
   firstToken: Us;
   perToken: Us;
   perPrefill: Us;
-  ledger: Ledger;
+  requestLog: RequestLog;
   rand: Rand;
 };
 type Asked = { messages: { role: string; content?: string }[]; max_tokens: number };
@@ -192,7 +192,7 @@
 };
 
 export const standIns = {
-  model: async (lens: Lens, o: Model): Promise<StandIn> => {
+  model: async (runtime: Runtime, o: Model): Promise<StandIn> => {
     const faults = noFaults();
     const seats = places(o.places);
     const cache = kvCache(o.capacity);
@@ -204,18 +204,18 @@
         if (i === dieAt) return false;
         const delta = { ...(i === 0 ? { role: 'assistant' } : {}), content: w };
         say.write(chunk([{ index: 0, delta, finish_reason: null }]));
-        await time.sleep(lens.clock, pace());
+        await time.sleep(runtime.clock, pace());
       }
       return true;
     };
-    const turn = async (b: Asked, program: string, e: LedgerEntry, say: HttpSay): Promise<void> => {
+    const turn = async (b: Asked, program: string, e: RequestLogEntry, say: HttpSay): Promise<void> => {
       const words = standText(b.messages, b.max_tokens);
       const need = e.prompt + words.length;
       if (!(await seats.enter(() => cache.fits(need), say))) return;
       try {
         e.ran = true;
         e.reprefilled = e.prompt - Math.min(cache.take(program, need), e.prompt);
-        await time.sleep(lens.clock, Math.round((o.firstToken + e.reprefilled * o.perPrefill) * faults.slow));
+        await time.sleep(runtime.clock, Math.round((o.firstToken + e.reprefilled * o.perPrefill) * faults.slow));
         if (o.rand.next() < faults.loseResult) {
           e.ended = true;
           say.cut();
@@ -243,7 +243,7 @@
       say.head(200, { 'content-type': 'application/json' });
       say.end(['{"CacheTotal":"much"}', '<html>', '', '[1,2', '{"CacheTotal":-5}'][o.rand.int(5)]);
     };
-    const s = await lens.net.serve(
+    const s = await runtime.net.serve(
       o.at,
       async (ask, say) => {
         if (ask.path === '/report') return report(say);
@@ -252,8 +252,8 @@
         const b = parseAsked(ask.body);
         if (!b) return json(say, 400, { error: { message: 'not a chat request' } });
         const program = ask.headers['x-program-id'] ?? '-';
-        const e = o.ledger.add({
-          ...blank(o.id, lens.clock.now()),
+        const e = o.requestLog.add({
+          ...blank(o.id, runtime.clock.now()),
           program,
           key: ask.headers['idempotency-key'] ?? null,
           prompt: standTokens(b.messages),
@@ -266,22 +266,22 @@
     return { id: o.id, at: s.at, faults, running: seats.running, peak: seats.peak, close: s.close };
   },
   app: async (
-    lens: Lens,
-    o: { id: string; at: Place; takes: Us; places: number; ledger: Ledger; rand: Rand },
+    runtime: Runtime,
+    o: { id: string; at: Place; takes: Us; places: number; requestLog: RequestLog; rand: Rand },
   ): Promise<StandIn> => {
     const faults = noFaults();
     const seats = places(o.places);
-    const s = await lens.net.serve(
+    const s = await runtime.net.serve(
       o.at,
       async (ask, say) => {
         if (ask.path !== '/jobs' || ask.method !== 'POST') return json(say, 404, { error: 'no such path' });
         const key = ask.headers['idempotency-key'] ?? null;
-        const e = o.ledger.add({ ...blank(o.id, lens.clock.now()), key, body: ask.body });
+        const e = o.requestLog.add({ ...blank(o.id, runtime.clock.now()), key, body: ask.body });
         // What has arrived is run, though its caller may be gone by then.
         await seats.enter(() => true, null);
         try {
           e.ran = true;
-          await time.sleep(lens.clock, Math.round(o.takes * faults.slow));
+          await time.sleep(runtime.clock, Math.round(o.takes * faults.slow));
           e.ended = true;
           if (o.rand.next() < faults.loseResult) {
             say.cut();
@@ -296,12 +296,12 @@
     );
     return { id: o.id, at: s.at, faults, running: seats.running, peak: seats.peak, close: s.close };
   },
-  platform: async (lens: Lens, o: { at: Place; workers: Listed[] }): Promise<Platform> => {
+  platform: async (runtime: Runtime, o: { at: Place; workers: Listed[] }): Promise<Platform> => {
     let list = o.workers.map((w) => ({ id: w.id, address: w.at, kind: w.kind as string, leaving: false }));
     const leftAt = new Map<string, Us>();
     const mood = { now: 'ok' as Mood };
-    const clock: Clock = lens.clock;
-    const s = await lens.net.serve(
+    const clock: Clock = runtime.clock;
+    const s = await runtime.net.serve(
       o.at,
       async (ask, say) => {
         if (ask.path !== '/workers') return json(say, 404, { error: 'no such path' });
--- a/packages/test-harness/test/fleet.test.ts
+++ b/packages/test-harness/test/fleet.test.ts
@@ -8,21 +8,21 @@
   const f = await realFleet.open({ shape: 'granite', seed: 3 });
   let ended: { exits: Record<string, number | null>; bad: string[] } | undefined;
   try {
-    const pause = (ms: number): Promise<void> => time.sleep(f.lens.clock, us.ms(ms));
+    const pause = (ms: number): Promise<void> => time.sleep(f.runtime.clock, us.ms(ms));
     const load = f.load({ chats: 20, kept: 3, jobs: 24, overMs: 4000 });
     await pause(500);
-    await f.signal('front-edge3', 'SIGKILL');
-    await f.signal('keeper2', 'SIGKILL');
-    f.loseDisk('keeper2');
-    f.start(f.proc('keeper2'));
-    f.start(f.proc('front-edge3'));
-    await f.signal('front-edge4', 'SIGSTOP');
+    await f.signal('gateway-edge3', 'SIGKILL');
+    await f.signal('store2', 'SIGKILL');
+    f.loseDisk('store2');
+    f.start(f.proc('store2'));
+    f.start(f.proc('gateway-edge3'));
+    await f.signal('gateway-edge4', 'SIGSTOP');
     await pause(2000);
-    await f.signal('front-edge4', 'SIGCONT');
+    await f.signal('gateway-edge4', 'SIGCONT');
     await load;
-    const at = f.proc('pilot-edge6').http;
+    const at = f.proc('agent-edge6').http;
     await f.waitFor(
-      'the emptied keeper in the group under a swept mark',
+      'the emptied store in the group under a swept mark',
       async () => {
         const k = (await f.get(at, '/thornsail/v1/status')).body['keepers'] as {
           members: number;
@@ -35,7 +35,7 @@
     );
     const push = (): ReturnType<typeof f.put> =>
       f.put(
-        f.proc('front-edge2').http,
+        f.proc('gateway-edge2').http,
         '/thornsail/v1/config',
         'PATCH',
         { slots: { model: 12 } },
@@ -49,10 +49,10 @@
     }
     assert.equal([r.status, r.body['mark']], [200, 2]);
     await f.waitFor(
-      'the new configuration at every front',
+      'the new configuration at every gateway',
       async () => {
         const all = await Promise.all(
-          f.procs.filter((p) => p.role === 'front').map((p) => f.get(p.http, '/thornsail/v1/node')),
+          f.procs.filter((p) => p.role === 'gateway').map((p) => f.get(p.http, '/thornsail/v1/node')),
         );
         return all.every((x) => (x.body['counts'] as Record<string, number>)['config_mark'] === 2);
       },
--- a/packages/thornsail/src/bin.ts
+++ b/packages/thornsail/src/bin.ts
@@ -4,9 +4,9 @@
 import { createInterface } from 'node:readline';
 import { stripVTControlCharacters } from 'node:util';
 import { defineCommand, renderUsage, runCommand, type ArgsDef, type CommandDef } from 'citty';
-import { chart, type Role } from '@thornsail/config-schema';
-import { glass } from '@thornsail/query-shell';
-import { fault, invariant, real, type Lens } from '@thornsail/runtime';
+import { configSchema, type Role } from '@thornsail/config-schema';
+import { queryShell } from '@thornsail/query-shell';
+import { fault, invariant, real, type Runtime } from '@thornsail/runtime';
 import { operator } from './operator.js';
 import { roles, type Node } from './roles.js';
 
@@ -40,16 +40,16 @@
   seeds: 'three addresses of other processes, comma between',
   name: 'name of this node',
   data: 'data folder',
-  founders: 'the three places of the first towers (towers only)',
+  founders: 'the three places of the first coordinators (coordinators only)',
   platform: 'address of the platform',
-  pilot: 'place of the pilot beside this front',
+  agent: 'place of the agent beside this gateway',
   beatMs: 'milliseconds between two heartbeats',
-  tolerates: 'machines that may be lost at once (towers only)',
-  leastKeepers: 'keepers that a drain leaves at least (towers only)',
+  tolerates: 'machines that may be lost at once (coordinators only)',
+  leastStores: 'stores that a drain leaves at least (coordinators only)',
 };
 
 const roleCommand = (role: Role, text: string): CommandDef => {
-  const keys = chart.keys(role);
+  const keys = configSchema.keys(role);
   const args: ArgsDef = { 'settings': { type: 'string', description: 'settings file (JSON); flags go first' } };
   for (const k of keys) args[k] = { type: 'string', description: describe[k] ?? k };
   return defineCommand({
@@ -71,7 +71,7 @@
       }
       const merged: Record<string, unknown> = { ...(file as Record<string, unknown>) };
       for (const k of keys) if (a[k] !== undefined) merged[k] = fromFlag(k, a[k]);
-      const c = chart.options(role, merged);
+      const c = configSchema.options(role, merged);
       if (!c.ok) {
         for (const p of c.problems) err(`${p.path}: ${p.text}`);
         process.exit(2);
@@ -83,8 +83,8 @@
 
 const run = async (role: Role, options: { data?: string }): Promise<void> => {
   real.logsByDefault();
-  const lens = real.lens(options.data ?? '/nonexistent');
-  const node = await (roles[role] as (l: Lens, o: never) => Promise<Node>)(lens, options as never);
+  const runtime = real.runtime(options.data ?? '/nonexistent');
+  const node = await (roles[role] as (l: Runtime, o: never) => Promise<Node>)(runtime, options as never);
   out(`${role} listens at http ${node.http}, siblings ${node.place}`);
   node.onFailed((why) => {
     err(why);
@@ -95,7 +95,7 @@
     asked += 1;
     if (asked > 1) process.exit(1);
     // Running turns are finished; nothing is cut off.
-    const work = role === 'front' || role === 'pilot' ? node.drain() : Promise.resolve();
+    const work = role === 'gateway' || role === 'agent' ? node.drain() : Promise.resolve();
     work
       .catch(() => undefined)
       .then(() => node.close())
@@ -140,7 +140,7 @@
       process.exitCode = await fn(a);
     },
   });
-const op = operator.open({ lens: real.lens('/nonexistent'), out, err });
+const op = operator.open({ runtime: real.runtime('/nonexistent'), out, err });
 const show = (what: string, text: string): CommandDef =>
   operatorCommand(what, text, {}, (a) => op.show(String(a['at']), what, a['json'] === true));
 const pushArgs: ArgsDef = {
@@ -178,7 +178,7 @@
 const shell = async (where: string, query: string | undefined, json: boolean): Promise<number> => {
   if (query !== undefined) {
     if (query === 'help') {
-      out(glass.help());
+      out(queryShell.help());
       return 0;
     }
     return op.query(where, query, json);
@@ -193,7 +193,7 @@
   for await (const line of rl) {
     const text = line.trim();
     if (text === 'quit' || text === 'exit') break;
-    if (text === 'help') out(glass.help());
+    if (text === 'help') out(queryShell.help());
     else if (text !== '') code = (await op.query(where, text, json)) || code;
     rl.prompt();
   }
@@ -203,10 +203,10 @@
 const main = defineCommand({
   meta: { name: 'thornsail', 'version': release, description: 'A serving tier for agent programs.' },
   subCommands: {
-    front: roleCommand('front', "the reference front: takes callers' requests"),
-    pilot: roleCommand('pilot', 'the daemon beside a front'),
-    tower: roleCommand('tower', 'a core node: orders configuration and membership'),
-    keeper: roleCommand('keeper', 'a store node: keeps registers'),
+    gateway: roleCommand('gateway', "the reference gateway: takes callers' requests"),
+    agent: roleCommand('agent', 'the daemon beside a gateway'),
+    coordinator: roleCommand('coordinator', 'a core node: orders configuration and membership'),
+    store: roleCommand('store', 'a store node: keeps registers'),
     config: defineCommand({
       meta: { name: 'config', description: 'read and change the configuration' },
       subCommands: {
@@ -245,7 +245,7 @@
         patch: operatorCommand('patch', 'change a part (JSON Merge Patch)', pushArgs, pushed('PATCH')),
       },
     }),
-    glass: operatorCommand(
+    queryShell: operatorCommand(
       'glass',
       "query the fleet's state: one query, or a shell without one",
       { query: { type: 'positional', description: 'a query, quoted', required: false } },
@@ -263,10 +263,10 @@
     duties: show('duties', 'who holds which duty'),
     drain: operatorCommand(
       'drain',
-      "have a node leave; a keeper's records are moved first",
+      "have a node leave; a store's records are moved first",
       {
         node: { type: 'positional', description: 'name, id or place of the node', required: true },
-        cancel: { type: 'boolean', description: "take a keeper's drain back" },
+        cancel: { type: 'boolean', description: "take a store's drain back" },
         wait: { type: 'boolean', description: 'wait until it is safe to remove' },
       },
       (a) => op.drain(String(a['at']), String(a['node']), a['cancel'] === true, a['wait'] === true, a['json'] === true),
--- a/packages/thornsail/src/embed.ts
+++ b/packages/thornsail/src/embed.ts
@@ -1,16 +1,16 @@
-// The data plane in a front program of one's own, in one call (§1.1): a front of the fleet beside the pilot on the
+// The data plane in a gateway program of one's own, in one call (§1.1): a front of the fleet beside the agent on the
 // same machine, served by whatever HTTP server the program already has.
-import { chart } from '@thornsail/config-schema';
-import { fault, real, type HttpHandler, type Lens, type Listener } from '@thornsail/runtime';
+import { configSchema } from '@thornsail/config-schema';
+import { fault, real, type HttpHandler, type Runtime, type Listener } from '@thornsail/runtime';
 import { root } from '@thornsail/admin-api';
 import { roles } from './roles.js';
 
-/** As the settings of `thornsail front` (docs/CONFIG.md). `http` is where the program's own server is reached. */
+/** As the settings of `thornsail gateway` (docs/CONFIG.md). `http` is where the program's own server is reached. */
 export type EmbedOptions = {
   name: string;
   place: string;
   http: string;
-  pilot: string;
+  agent: string;
   zone?: string;
   seeds?: string[];
 };
@@ -31,15 +31,15 @@
   path.startsWith(`${root}/`);
 
 export const embed = {
-  open: async (o: EmbedOptions, lens: Lens = real.lens('/nonexistent')): Promise<Embedded> => {
-    const c = chart.options('front', o);
+  open: async (o: EmbedOptions, runtime: Runtime = real.runtime('/nonexistent')): Promise<Embedded> => {
+    const c = configSchema.options('gateway', o);
     if (!c.ok) throw fault.make({ step: 'embed' }, c.problems.map((p) => `${p.path}: ${p.text}`).join('; '));
     const given: { handler?: HttpHandler } = {};
-    const serve: Lens['net']['serve'] = async (at, handler) => {
+    const serve: Runtime['net']['serve'] = async (at, handler) => {
       given.handler = handler;
       return { at, close: async () => undefined };
     };
-    const node = await roles.front({ ...lens, net: { ...lens.net, serve } }, c.value);
+    const node = await roles.gateway({ ...runtime, net: { ...runtime.net, serve } }, c.value);
     return {
       handler: real.listener(given.handler!, largestBody, ours),
       ready: node.ready,
--- a/packages/thornsail/src/operator.ts
+++ b/packages/thornsail/src/operator.ts
@@ -1,6 +1,6 @@
 // Operator commands (§7.3): thin callers of any node's HTTP.
-import { fault, time, us, wholeText, type HttpCall, type Lens } from '@thornsail/runtime';
-import { glass } from '@thornsail/query-shell';
+import { fault, time, us, wholeText, type HttpCall, type Runtime } from '@thornsail/runtime';
+import { queryShell } from '@thornsail/query-shell';
 import { root } from '@thornsail/admin-api';
 import { patience, survey } from './survey.js';
 
@@ -54,10 +54,10 @@
           : 1;
 
 export const operator = {
-  open: (o: { lens: Lens; out: (t: string) => void; err: (t: string) => void }): Operator => {
-    const { lens, out, err } = o;
+  open: (o: { runtime: Runtime; out: (t: string) => void; err: (t: string) => void }): Operator => {
+    const { runtime, out, err } = o;
     const call = async (c: Omit<HttpCall, 'timeLeft'>, timeLeft = us.s(8)): Promise<Reply> => {
-      const r = await lens.net.call({ ...c, timeLeft });
+      const r = await runtime.net.call({ ...c, timeLeft });
       const text = await wholeText(r.body);
       try {
         return { status: r.status, body: JSON.parse(text) as Record<string, unknown> };
@@ -115,7 +115,7 @@
       id: string | undefined,
       json: boolean,
     ): Promise<number> => {
-      const push = id ?? lens.rand.id();
+      const push = id ?? runtime.rand.id();
       const r = await call({
         at,
         method,
@@ -222,7 +222,7 @@
         }),
       query: (at, text, json) =>
         safely(async () => {
-          const p = glass.parse(text);
+          const p = queryShell.parse(text);
           if (!p.ok) {
             err(p.text);
             return 2;
@@ -238,14 +238,14 @@
               path: `${root}/${table_}${key ? `?limit=200&after=${encodeURIComponent(after)}` : ''}`,
             });
             if (r.status !== 200) return failed(r, json);
-            const page = glass.rows(table_, r.body);
+            const page = queryShell.rows(table_, r.body);
             rowsAll = [...rowsAll, ...page];
             mark = String(r.body['mark']);
             const last = page[page.length - 1]?.[key ?? ''];
             if (!key || page.length < 200 || typeof last !== 'string') break;
             after = last;
           }
-          const got = glass.run(p.query, rowsAll);
+          const got = queryShell.run(p.query, rowsAll);
           out(
             json
               ? JSON.stringify({ mark: Number(mark), rows: got })
@@ -290,7 +290,7 @@
             );
             if (done) return 0;
             method = 'GET';
-            await time.sleep(lens.clock, us.s(1));
+            await time.sleep(runtime.clock, us.s(1));
           }
         }),
     };
--- a/packages/thornsail/src/roles.ts
+++ b/packages/thornsail/src/roles.ts
@@ -1,13 +1,14 @@
-// The roles (§1.2). Each is given its lens and its checked options, and runs as well in fog as on a machine.
-import { workersOf, fairway, type Drain, type EdgeLoad, type Fairway } from '@thornsail/data-plane';
-import type { FrontOptions, KeeperOptions, PilotOptions, TowerOptions } from '@thornsail/config-schema';
-import { harbour, type PlatformWorker } from '@thornsail/service-catalog';
+// The roles (§1.2). Each is given its runtime and its checked options, and runs as well in the simulator as on a
+// machine.
+import { workersOf, dataPlane, type Drain, type EdgeLoad, type DataPlane } from '@thornsail/data-plane';
+import type { GatewayOptions, StoreOptions, AgentOptions, CoordinatorOptions } from '@thornsail/config-schema';
+import { serviceCatalog, type PlatformWorker } from '@thornsail/service-catalog';
 import { registers, store, type Registers } from '@thornsail/register-store';
-import { fault, invariant, time, us, type HttpHandler, type Lens, type Place, type Us } from '@thornsail/runtime';
+import { fault, invariant, time, us, type HttpHandler, type Runtime, type Place, type Us } from '@thornsail/runtime';
 import type { WorkerEntry } from '@thornsail/load-balancer';
-import { logbook } from '@thornsail/durable-files';
-import { mooring, type Mooring } from '@thornsail/membership';
-import { pipe, type Pipe } from '@thornsail/rpc';
+import { durableStore } from '@thornsail/durable-files';
+import { membership, type Membership } from '@thornsail/membership';
+import { rpc, type Rpc } from '@thornsail/rpc';
 import { control, root, signal, type Control, type NewsResult, type SignalNode } from '@thornsail/admin-api';
 import { configuration, core, order, type Ordered, type Marked } from '@thornsail/consensus';
 import { watch } from '@thornsail/leases';
@@ -19,7 +20,7 @@
   role: string;
   http: Place;
   place: Place;
-  mooring: Mooring;
+  membership: Membership;
   registers: Registers;
   /** What an operator may ask of this node, for interfaces of one's own. */
   control: Control;
@@ -30,15 +31,15 @@
   close: () => Promise<void>;
   /** Calls back if this node must stop: its disk failed, and nothing it says of its state would be safe (§6.1). */
   onFailed: (fn: (why: string) => void) => void;
-  fairway?: Fairway;
+  dataPlane?: DataPlane;
 };
 const operatorBody = 1 << 20;
 /** Where there are so many coordinators, all vote: a loss right after a loss is borne without any repair (§3.3). */
-const usualTowers = 5;
+const usualCoordinators = 5;
 
 type DiskWatch = { failed: (e: Error) => void; onFailed: Node['onFailed'] };
-const diskOf = (lens: Lens): DiskWatch => {
-  const log = lens.log('disk');
+const diskOf = (runtime: Runtime): DiskWatch => {
+  const log = runtime.log('disk');
   let why: string | undefined;
   const told: ((why: string) => void)[] = [];
   return {
@@ -50,13 +51,13 @@
     onFailed: (fn) => (why === undefined ? void told.push(fn) : fn(why)),
   };
 };
-const commonCounts = (p: Pipe, m: Mooring): Record<string, number> => ({
+const commonCounts = (p: Rpc, m: Membership): Record<string, number> => ({
   breaches: invariant.breaches().length,
   frames_sent: p.counts().sent,
   frames_got: p.counts().got,
-  suspects: m.lookout.suspects().length,
+  suspects: m.failureDetector.suspects().length,
   freezes: m.freezes(),
-  ...Object.fromEntries(Object.entries(m.beam.counts()).map(([k, v]) => [`news_${k}`, v])),
+  ...Object.fromEntries(Object.entries(m.dissemination.counts()).map(([k, v]) => [`news_${k}`, v])),
 });
 type Parts = Omit<SignalNode, 'drain'> & {
   drain: (o?: Drain) => Promise<void>;
@@ -66,7 +67,7 @@
   stop: () => void;
   onFailed?: Node['onFailed'];
   callers?: HttpHandler;
-  fairway?: Fairway;
+  dataPlane?: DataPlane;
   maxBody?: number;
 };
 
@@ -75,18 +76,18 @@
 const replacedEvery = us.ms(50);
 /** Resolves once this node is no member any more, at once if no spare could replace it. */
 const untilReplaced = async (
-  lens: Lens,
-  m: Mooring,
-  role: 'tower' | 'keeper',
+  runtime: Runtime,
+  m: Membership,
+  role: 'coordinator' | 'store',
   members: () => { id: string }[],
 ): Promise<void> => {
-  const end = lens.clock.now() + replacedWithin;
+  const end = runtime.clock.now() + replacedWithin;
   const isMember = (id: string): boolean => members().some((x) => x.id === id);
   const hasSpare = (): boolean => {
     const s = m.state();
     return s !== undefined && order.live(s, role).some((n) => n.standing === 'live' && !isMember(n.id));
   };
-  while (isMember(m.id) && hasSpare() && lens.clock.now() < end) await time.sleep(lens.clock, replacedEvery);
+  while (isMember(m.id) && hasSpare() && runtime.clock.now() < end) await time.sleep(runtime.clock, replacedEvery);
 };
 
 /** What all roles share: the operators' HTTP, draining by a sibling's word, closing in order. */
@@ -96,13 +97,13 @@
     (draining ??= (async () => {
       // Nothing new is taken from now on, even if the core cannot be told.
       const done = x.drain(o);
-      await x.mooring.leave();
+      await x.membership.leave();
       await done;
       await x.replaced?.();
     })());
   const ops = signal.handler({ ...x, drain: () => drain() });
   const own = x.callers;
-  const http = await x.lens.net.serve(
+  const http = await x.runtime.net.serve(
     x.http,
     (ask, say) =>
       own && !ask.path.startsWith(`${root}/`) && ask.path !== '/ready' && ask.path !== '/metrics'
@@ -110,101 +111,103 @@
         : ops(ask, say),
     x.maxBody ?? operatorBody,
   );
-  obeyDrain(x.pipe, x.mooring.id, drain);
+  obeyDrain(x.rpc, x.membership.id, drain);
   return {
-    id: x.mooring.id,
+    id: x.membership.id,
     role: x.role,
     http: http.at,
-    place: x.pipe.at,
-    mooring: x.mooring,
+    place: x.rpc.at,
+    membership: x.membership,
     registers: x.registers,
-    control: control.open({ lens: x.lens, mooring: x.mooring }),
+    control: control.open({ runtime: x.runtime, membership: x.membership }),
     ready: x.ready,
     counts: x.counts,
     drain,
     onFailed: x.onFailed ?? ((): void => undefined),
-    ...(x.fairway ? { fairway: x.fairway } : {}),
+    ...(x.dataPlane ? { dataPlane: x.dataPlane } : {}),
     close: async () => {
       x.stop();
-      x.mooring.close();
-      await Promise.all([http.close(), x.pipe.close()]);
+      x.membership.close();
+      await Promise.all([http.close(), x.rpc.close()]);
     },
   };
 };
 
 export type ReadWorkers = (known: (id: string) => WorkerEntry | undefined) => Promise<PlatformWorker[]>;
 /**
- * One pilot's reading of the list serves all: the first of those that live reads it when the newest list is old enough,
+ * One agent's reading of the list serves all: the first of those that live reads it when the newest list is old enough,
  * the next ones only if nothing came for a while longer (§3.8). Nobody has to be elected, and nobody's loss is felt.
  */
-const listDue = (m: Mooring, now: Us): boolean => {
-  const read = [...m.beam.all('workers/'), ...m.beam.all('read/')];
+const listDue = (m: Membership, now: Us): boolean => {
+  const read = [...m.dissemination.all('workers/'), ...m.dissemination.all('read/')];
   const newest = Math.max(-Infinity, ...read.map((x) => x.item.at));
   const s = m.state();
-  const pilots = s ? order.live(s, 'pilot').map((n) => n.id) : [];
-  const rank = Math.max(0, pilots.indexOf(m.id));
+  const agents = s ? order.live(s, 'agent').map((n) => n.id) : [];
+  const rank = Math.max(0, agents.indexOf(m.id));
   return now - newest >= us.ms(850) + rank * us.ms(200);
 };
 
 export const roles = {
-  tower: async (lens: Lens, o: TowerOptions): Promise<Node> => {
-    const p = await pipe.open(lens, o.place);
-    const disk = diskOf(lens);
-    const book = await logbook.open(lens.disk, disk.failed);
-    const voter = watch.voter({ lens, pipe: p });
-    const here: { moor?: Mooring } = {};
+  coordinator: async (runtime: Runtime, o: CoordinatorOptions): Promise<Node> => {
+    const p = await rpc.open(runtime, o.place);
+    const disk = diskOf(runtime);
+    const durable = await durableStore.open(runtime.disk, disk.failed);
+    const voter = watch.voter({ runtime, rpc: p });
+    const here: { membership?: Membership } = {};
     const give = (v: Marked<Ordered>): void =>
-      here.moor?.beam.put('order', v.seq, { ...v, state: configuration.forNodes(v.state) });
+      here.membership?.dissemination.put('order', v.seq, { ...v, state: configuration.forNodes(v.state) });
     let last: Marked<Ordered> | undefined;
     const c = await core.open({
-      lens,
-      pipe: p,
-      book,
+      runtime,
+      rpc: p,
+      durable,
       founders: o.founders,
       onDone: (v) => {
         last = v;
         give(v);
       },
       uses: (id) => {
-        const used = here.moor?.beam.get(`uses/${id}`);
+        const used = here.membership?.dissemination.get(`uses/${id}`);
         if (used) return used.mark;
-        const l = here.moor?.beam.get(`load/${id}`)?.value as Partial<EdgeLoad> | undefined;
+        const l = here.membership?.dissemination.get(`load/${id}`)?.value as Partial<EdgeLoad> | undefined;
         // A front of the release before does not say; it is taken at its word that news reaches it.
         return l === undefined ? -1 : (l.uses ?? Infinity);
       },
-      onLead: (mark) => here.moor?.beam.put('core', mark, {}),
+      onLead: (mark) => here.membership?.dissemination.put('core', mark, {}),
       times: {
         keepers: 2 * o.tolerates + 1,
-        towers: Math.max(usualTowers, 2 * o.tolerates + 1),
-        leastKeepers: o.leastKeepers,
+        towers: Math.max(usualCoordinators, 2 * o.tolerates + 1),
+        leastStores: o.leastStores,
       },
       news: (): NewsResult => ({
-        workers: here.moor ? workersOf(here.moor.beam, lens.clock.now()) : [],
-        loads: Object.fromEntries((here.moor?.beam.all('load/') ?? []).map((x) => [x.name.slice(5), x.item.value])),
+        workers: here.membership ? workersOf(here.membership.dissemination, runtime.clock.now()) : [],
+        loads: Object.fromEntries(
+          (here.membership?.dissemination.all('load/') ?? []).map((x) => [x.name.slice(5), x.item.value]),
+        ),
         duties: Object.fromEntries(Object.entries(voter.grants()).map(([k, g]) => [k, { by: g.by, mark: g.mark }])),
       }),
     });
-    const m = mooring.open({
-      lens,
-      pipe: p,
+    const m = membership.open({
+      runtime,
+      rpc: p,
       id: c.views.id,
       name: o.name,
-      role: 'tower',
+      role: 'coordinator',
       http: o.http,
       zone: o.zone,
       seeds: o.seeds,
       beat: us.ms(o.beatMs),
       towers: o.founders,
     });
-    here.moor = m;
+    here.membership = m;
     if (last) give(last);
-    const regs = registers.open({ lens, pipe: p, by: `${m.id}.${lens.rand.id()}`, group: () => groupOf(m) });
+    const regs = registers.open({ runtime, rpc: p, by: `${m.id}.${runtime.rand.id()}`, group: () => groupOf(m) });
     return serve({
-      lens,
-      pipe: p,
-      mooring: m,
+      runtime,
+      rpc: p,
+      membership: m,
       registers: regs,
-      role: 'tower',
+      role: 'coordinator',
       name: o.name,
       http: o.http,
       ready: () => {
@@ -219,59 +222,59 @@
         view: c.views.done()?.view ?? 0,
         version: c.views.done()?.seq ?? 0,
         leads: c.views.standing() === 'lead' ? 1 : 0,
-        syncs: book.counts().syncs,
-        torn: book.counts().torn,
+        syncs: durable.counts().syncs,
+        torn: durable.counts().torn,
       }),
       drain: async () => undefined,
-      replaced: () => untilReplaced(lens, m, 'tower', () => m.marked()?.members ?? []),
+      replaced: () => untilReplaced(runtime, m, 'coordinator', () => m.marked()?.members ?? []),
       stop: () => c.close(),
       onFailed: disk.onFailed,
     });
   },
 
-  keeper: async (lens: Lens, o: KeeperOptions): Promise<Node> => {
-    const p = await pipe.open(lens, o.place);
-    const disk = diskOf(lens);
-    const book = await logbook.open(lens.disk, disk.failed);
-    const s = await store.open({ lens, pipe: p, book });
-    const m = mooring.open({
-      lens,
-      pipe: p,
+  store: async (runtime: Runtime, o: StoreOptions): Promise<Node> => {
+    const p = await rpc.open(runtime, o.place);
+    const disk = diskOf(runtime);
+    const durable = await durableStore.open(runtime.disk, disk.failed);
+    const s = await store.open({ runtime, rpc: p, durable });
+    const m = membership.open({
+      runtime,
+      rpc: p,
       id: s.id,
       name: o.name,
-      role: 'keeper',
+      role: 'store',
       http: o.http,
       zone: o.zone,
       seeds: o.seeds,
       beat: us.ms(o.beatMs),
     });
-    const regs = registers.open({ lens, pipe: p, by: `${s.id}.${lens.rand.id()}`, group: () => groupOf(m) });
+    const regs = registers.open({ runtime, rpc: p, by: `${s.id}.${runtime.rand.id()}`, group: () => groupOf(m) });
     const counts: Record<string, number> = {};
     m.onState(() => {
       const g = groupOf(m);
       if (g) void s.learn(g);
     });
     const stopSweep = sweepDuty({
-      lens,
-      pipe: p,
-      mooring: m,
+      runtime,
+      rpc: p,
+      membership: m,
       registers: regs,
       id: s.id,
       voters: () => m.marked()?.members.map((x) => x.at) ?? [],
       counts,
     });
     return serve({
-      lens,
-      pipe: p,
-      mooring: m,
+      runtime,
+      rpc: p,
+      membership: m,
       registers: regs,
-      role: 'keeper',
+      role: 'store',
       name: o.name,
       http: o.http,
       ready: () => {
         const g = groupOf(m);
         const why = [
-          ...(g ? [] : ['no keeper group']),
+          ...(g ? [] : ['no store group']),
           ...(g && !g.members.some((k) => k.id === s.id) ? ['not a member'] : []),
         ];
         return { ok: why.length === 0, why };
@@ -282,11 +285,11 @@
         ...counts,
         records: s.size(),
         group_mark: s.group()?.mark ?? 0,
-        syncs: book.counts().syncs,
-        torn: book.counts().torn,
+        syncs: durable.counts().syncs,
+        torn: durable.counts().torn,
       }),
       drain: async () => undefined,
-      replaced: () => untilReplaced(lens, m, 'keeper', () => m.state()?.keepers.members ?? []),
+      replaced: () => untilReplaced(runtime, m, 'store', () => m.state()?.keepers.members ?? []),
       stop: stopSweep,
       onFailed: disk.onFailed,
     });
@@ -296,48 +299,49 @@
    * `read` brings the list of workers in a format of one's own; it is told what is known of a worker already, so that
    * nobody is asked twice.
    */
-  pilot: async (lens: Lens, o: PilotOptions, extra: { read?: ReadWorkers } = {}): Promise<Node> => {
-    const p = await pipe.open(lens, o.place);
-    const id = `pilot-${lens.rand.id()}`;
-    const m = mooring.open({
-      lens,
-      pipe: p,
+  agent: async (runtime: Runtime, o: AgentOptions, extra: { read?: ReadWorkers } = {}): Promise<Node> => {
+    const p = await rpc.open(runtime, o.place);
+    const id = `agent-${runtime.rand.id()}`;
+    const m = membership.open({
+      runtime,
+      rpc: p,
       id,
       name: o.name,
-      role: 'pilot',
+      role: 'agent',
       http: o.http,
       zone: o.zone,
       seeds: o.seeds,
       beat: us.ms(o.beatMs),
     });
-    const regs = registers.open({ lens, pipe: p, by: id, group: () => groupOf(m) });
+    const regs = registers.open({ runtime, rpc: p, by: id, group: () => groupOf(m) });
     let mark = 0;
     let last = '';
     let lastPut = 0;
     const known = (worker: string): WorkerEntry | undefined =>
-      workersOf(m.beam, lens.clock.now()).find((w) => w.id === worker);
+      workersOf(m.dissemination, runtime.clock.now()).find((w) => w.id === worker);
     const { read } = extra;
-    const h = harbour.open({
-      lens,
+    const h = serviceCatalog.open({
+      runtime,
       platform: o.platform,
-      ...(read ? { read: () => read(known), due: () => listDue(m, lens.clock.now()), every: us.ms(100) } : {}),
+      ...(read ? { read: () => read(known), due: () => listDue(m, runtime.clock.now()), every: us.ms(100) } : {}),
       onList: (list) => {
         const text = JSON.stringify(list);
-        const now = lens.clock.now();
+        const now = runtime.clock.now();
         // An unchanged list is not sent again; that it was read is.
-        if (text === last && now - lastPut < us.s(1.5)) return read ? m.beam.put(`read/${id}`, ++mark, {}) : undefined;
+        if (text === last && now - lastPut < us.s(1.5))
+          return read ? m.dissemination.put(`read/${id}`, ++mark, {}) : undefined;
         last = text;
         lastPut = now;
-        m.beam.put(`workers/${id}`, ++mark, { list });
+        m.dissemination.put(`workers/${id}`, ++mark, { list });
       },
     });
     let leaving = false;
     return serve({
-      lens,
-      pipe: p,
-      mooring: m,
+      runtime,
+      rpc: p,
+      membership: m,
       registers: regs,
-      role: 'pilot',
+      role: 'agent',
       name: o.name,
       http: o.http,
       ready: () => {
@@ -348,7 +352,7 @@
         ];
         return { ok: why.length === 0, why };
       },
-      counts: () => ({ ...commonCounts(p, m), workers: workersOf(m.beam, lens.clock.now()).length }),
+      counts: () => ({ ...commonCounts(p, m), workers: workersOf(m.dissemination, runtime.clock.now()).length }),
       drain: async () => {
         leaving = true;
       },
@@ -356,34 +360,34 @@
     });
   },
 
-  front: async (lens: Lens, o: FrontOptions, extra: { plain?: boolean } = {}): Promise<Node> => {
-    const p = await pipe.open(lens, o.place);
-    const id = `front-${lens.rand.id()}`;
-    const m = mooring.open({
-      lens,
-      pipe: p,
+  gateway: async (runtime: Runtime, o: GatewayOptions, extra: { plain?: boolean } = {}): Promise<Node> => {
+    const p = await rpc.open(runtime, o.place);
+    const id = `gateway-${runtime.rand.id()}`;
+    const m = membership.open({
+      runtime,
+      rpc: p,
       id,
       name: o.name,
-      role: 'front',
+      role: 'gateway',
       http: o.http,
       zone: o.zone,
       seeds: o.seeds,
       beat: us.ms(o.beatMs),
-      beside: o.pilot,
+      beside: o.agent,
     });
-    const f = fairway.open({
-      lens,
-      pipe: p,
-      mooring: m,
+    const f = dataPlane.open({
+      runtime,
+      rpc: p,
+      membership: m,
       zone: o.zone,
       ...extra,
     });
     return serve({
-      lens,
-      pipe: p,
-      mooring: m,
+      runtime,
+      rpc: p,
+      membership: m,
       registers: f.registers,
-      role: 'front',
+      role: 'gateway',
       name: o.name,
       http: o.http,
       ready: f.ready,
@@ -391,7 +395,7 @@
       drain: (o) => f.drain(o),
       stop: () => f.close(),
       callers: f.handle,
-      fairway: f,
+      dataPlane: f,
       maxBody: 8 << 20,
     });
   },
--- a/packages/thornsail/src/survey.ts
+++ b/packages/thornsail/src/survey.ts
@@ -22,7 +22,7 @@
   if (b['id'] !== n.id) return [bad('another node answers at its address')];
   if (ready.status !== 200 && n.standing !== 'leaving')
     out.push({
-      severity: n.role === 'keeper' ? 'note' : 'bad',
+      severity: n.role === 'store' ? 'note' : 'bad',
       about: n.name,
       text: `is not ready: ${((ready.body['why'] as string[] | undefined) ?? []).join(', ')}`,
     });
@@ -37,18 +37,18 @@
   if (n.standing === 'leaving') out.push({ severity: 'note', about: n.name, text: 'is leaving' });
   return out;
 };
-const ofKeepers = (k: Group, nodes: NodeRow[]): Finding[] => {
+const ofStores = (k: Group, nodes: NodeRow[]): Finding[] => {
   const out: Finding[] = [];
   const say = (severity: Finding['severity'], text: string): void =>
     void out.push({ severity, about: 'keepers', text });
   if (k.members.length === 0) {
-    say('bad', 'no group has been formed: three keepers are needed');
+    say('bad', 'no group has been formed: three stores are needed');
     return out;
   }
   if (k.members.length < 3)
-    say('bad', `the group has ${k.members.length} members: no further keeper may fail; start an empty one`);
+    say('bad', `the group has ${k.members.length} members: no further store may fail; start an empty one`);
   if (k.members.length > 3) say('note', 'the group is changing: a newcomer has joined, another is to leave');
-  if (k.swept !== k.group) say('note', `records are being copied for group mark ${k.group}: do not lose a keeper now`);
+  if (k.swept !== k.group) say('note', `records are being copied for group mark ${k.group}: do not lose a store now`);
   for (const m of k.members)
     if (nodes.find((n) => n.id === m.id)?.standing !== 'live')
       say('bad', `member ${nodes.find((n) => n.id === m.id)?.name ?? m.id} is not live`);
@@ -89,8 +89,8 @@
       }),
     );
     findings.push(...each.flat());
-    findings.push(...ofKeepers(group.body as unknown as Group, nodes));
-    const towers = nodes.filter((n) => n.role === 'tower');
+    findings.push(...ofStores(group.body as unknown as Group, nodes));
+    const towers = nodes.filter((n) => n.role === 'coordinator');
     const members = Number(status.body['towers']);
     if (members < 3) say('bad', 'towers', `the view has ${members} members`);
     if (towers.length < 3)
@@ -101,9 +101,9 @@
     const list = workers.body['workers'] as { leaving: boolean; kind: string }[];
     for (const kind of ['model', 'app'])
       if (!list.some((w) => w.kind === kind && !w.leaving)) say('note', 'workers', `no ${kind} worker takes requests`);
-    for (const n of nodes.filter((x) => x.role === 'front'))
-      if (!nodes.some((p) => p.role === 'pilot' && p.http.split(':')[0] === n.http.split(':')[0]))
-        say('note', n.name, 'has no live pilot on its machine');
+    for (const n of nodes.filter((x) => x.role === 'gateway'))
+      if (!nodes.some((p) => p.role === 'agent' && p.http.split(':')[0] === n.http.split(':')[0]))
+        say('note', n.name, 'has no live agent on its machine');
     const order = { bad: 0, note: 1 };
     return {
       ok: true,
--- a/packages/thornsail/src/sweep-duty.ts
+++ b/packages/thornsail/src/sweep-duty.ts
@@ -1,12 +1,12 @@
-// When a keeper sweeps (§6.5). Now and then one keeper does, by a lease. After a change of group the first member that
-// lives does at once, without a lease: the lease may be with the very keeper that was lost, and two sweeps at once do
+// When a store sweeps (§6.5). Now and then one store does, by a lease. After a change of group the first member that
+// lives does at once, without a lease: the lease may be with the very store that was lost, and two sweeps at once do
 // no harm, as every key is settled by a ballot.
-import { time, us, type Lens, type Place, type Us } from '@thornsail/runtime';
+import { time, us, type Runtime, type Place, type Us } from '@thornsail/runtime';
 import { watch } from '@thornsail/leases';
-import type { Mooring } from '@thornsail/membership';
+import type { Membership } from '@thornsail/membership';
 import { sweep, type Group, type Registers, type SweepPace, type SweepResult } from '@thornsail/register-store';
 import type { Ordered } from '@thornsail/consensus';
-import type { Pipe } from '@thornsail/rpc';
+import type { Rpc } from '@thornsail/rpc';
 
 /** Between two passes while the group stays as it is. */
 const fullEvery = us.s(20);
@@ -17,9 +17,9 @@
 const tellWithin = us.s(3);
 const pauseBetweenKeys = us.ms(2);
 
-/** The group of keepers as the newest agreed state known here has it; undefined before one is formed. */
-export const groupOf = (mooring: Mooring): Group | undefined => {
-  const keepers = mooring.state()?.keepers;
+/** The group of stores as the newest agreed state known here has it; undefined before one is formed. */
+export const groupOf = (membership: Membership): Group | undefined => {
+  const keepers = membership.state()?.keepers;
   return keepers && keepers.mark > 0 ? { mark: keepers.mark, members: keepers.members } : undefined;
 };
 /** The member that sweeps after a change: the first that the roster has alive. */
@@ -27,15 +27,15 @@
   keepers.members.find(({ id }) => roster[id] !== undefined && roster[id].standing !== 'dead')?.id;
 
 type SweepDutyOptions = {
-  lens: Lens;
-  pipe: Pipe;
-  mooring: Mooring;
+  runtime: Runtime;
+  rpc: Rpc;
+  membership: Membership;
   registers: Registers;
-  /** The identity of this keeper. */
+  /** The identity of this store. */
   id: string;
   /** Where the lease of the sweep is asked for. */
   voters: () => Place[];
-  /** Counters by name; the passes of this keeper are added. */
+  /** Counters by name; the passes of this store are added. */
   counts: Record<string, number>;
 };
 /** Sweeps all keys once; false where the group changed meanwhile, or not every key was settled. */
@@ -49,32 +49,32 @@
   add('swept_mended', result.mended);
 };
 const passes =
-  ({ lens, pipe, mooring, registers, counts }: SweepDutyOptions, isClosed: () => boolean): Pass =>
+  ({ runtime, rpc, membership, registers, counts }: SweepDutyOptions, isClosed: () => boolean): Pass =>
   async (group, pace) => {
     const result = await sweep.pass({
-      clock: lens.clock,
-      pipe,
+      clock: runtime.clock,
+      rpc,
       registers,
       group,
       all: pace === 'change',
       pause: pace === 'usual' ? pauseBetweenKeys : 0,
       pace,
-      still: () => !isClosed() && groupOf(mooring)?.mark === group.mark,
+      still: () => !isClosed() && groupOf(membership)?.mark === group.mark,
     });
     addCounts(counts, result);
     return result.complete;
   };
 
 type Sweeper = {
-  /** Makes the pass that is due, if this keeper is to make it. */
+  /** Makes the pass that is due, if this store is to make it. */
   once: () => Promise<void>;
   close: () => void;
 };
 const openSweeper = (options: SweepDutyOptions): Sweeper => {
-  const { lens, pipe, mooring, id, voters } = options;
-  const { clock } = lens;
-  const log = lens.log('keeper');
-  const lease = watch.duty({ lens, pipe, name: 'sweep', by: id, voters });
+  const { runtime, rpc, membership, id, voters } = options;
+  const { clock } = runtime;
+  const log = runtime.log('store');
+  const lease = watch.duty({ runtime, rpc, name: 'sweep', by: id, voters });
   let lastFull = clock.now();
   let changed: { mark: number; at: Us } = { mark: 0, at: clock.now() };
   let closed = false;
@@ -84,7 +84,7 @@
   const sweepChange = async (group: Group): Promise<void> => {
     if (!(await pass(group, 'change'))) return;
     log(`every record is on a majority of group ${group.mark}.`);
-    await mooring.core.ask({ op: 'swept', mark: group.mark }, tellWithin).catch(() => undefined);
+    await membership.core.ask({ op: 'swept', mark: group.mark }, tellWithin).catch(() => undefined);
     // Brings up what the newcomer lacks; the lease's holder goes on if this one is lost meanwhile.
     lastFull = clock.now() - fullEvery;
     if (await pass(group, 'fill')) lastFull = clock.now();
@@ -93,8 +93,8 @@
     firstMember(ordered) === id || (lease.holds() && clock.now() - changed.at > firstWithin);
   return {
     once: async () => {
-      const ordered = mooring.state();
-      const group = groupOf(mooring);
+      const ordered = membership.state();
+      const group = groupOf(membership);
       if (closed || !ordered || !group) return;
       if (changed.mark !== group.mark) changed = { mark: group.mark, at: clock.now() };
       if (ordered.keepers.swept !== group.mark) {
@@ -124,8 +124,8 @@
       running = false;
     }
   };
-  options.mooring.onState(() => void look().catch(() => undefined));
-  const stop = time.every(options.lens.clock, lookEvery, look);
+  options.membership.onState(() => void look().catch(() => undefined));
+  const stop = time.every(options.runtime.clock, lookEvery, look);
   return () => {
     stop();
     sweeper.close();
--- a/packages/thornsail/test/cli.test.ts
+++ b/packages/thornsail/test/cli.test.ts
@@ -21,7 +21,7 @@
   writeFileSync(f, typeof v === 'string' ? v : JSON.stringify(v));
   return f;
 };
-const ok = { name: 'f1', place: '127.0.0.1:1', http: '127.0.0.1:2', pilot: '127.0.0.1:3' };
+const ok = { name: 'f1', place: '127.0.0.1:1', http: '127.0.0.1:2', agent: '127.0.0.1:3' };
 
 test('help and version exit 0; no command and an unknown one exit 2', () => {
   assert.is(run('--help').code, 0);
@@ -34,15 +34,15 @@
 });
 test('an unknown or bad key, in the file or as a flag, exits 2 and is named', () => {
   const cases: [string[], RegExp][] = [
-    [['front', '--bogus', '1'], /--bogus/],
-    [['front', '--settings', file('a.json', { ...ok, colour: 'red' })], /colour: unknown key/],
-    [['front', '--settings', file('b.json', { ...ok, place: '1.2.3' })], /place: expected an address/],
-    [['front', '--settings', file('c.json', ok), '--zone', 'Z 1'], /zone: expected/],
-    [['front', '--settings', file('d.json', '{nonsense')], /settings file/],
-    [['front', '--settings', path.join(dir, 'absent.json')], /absent\.json/],
+    [['gateway', '--bogus', '1'], /--bogus/],
+    [['gateway', '--settings', file('a.json', { ...ok, colour: 'red' })], /colour: unknown key/],
+    [['gateway', '--settings', file('b.json', { ...ok, place: '1.2.3' })], /place: expected an address/],
+    [['gateway', '--settings', file('c.json', ok), '--zone', 'Z 1'], /zone: expected/],
+    [['gateway', '--settings', file('d.json', '{nonsense')], /settings file/],
+    [['gateway', '--settings', path.join(dir, 'absent.json')], /absent\.json/],
     [
       [
-        'tower',
+        'coordinator',
         '--name',
         't',
         '--place',
@@ -56,24 +56,12 @@
       ],
       /founders/,
     ],
-    [['keeper', '--name', 'k', '--place', '127.0.0.1:1', '--http', '127.0.0.1:2'], /data: missing/],
+    [['store', '--name', 'k', '--place', '127.0.0.1:1', '--http', '127.0.0.1:2'], /data: missing/],
     [
-      [
-        'keeper',
-        '--name',
-        'k',
-        '--place',
-        '127.0.0.1:1',
-        '--http',
-        '127.0.0.1:2',
-        '--data',
-        '/x',
-        '--keepers',
-        'three',
-      ],
-      /--keepers/,
+      ['store', '--name', 'k', '--place', '127.0.0.1:1', '--http', '127.0.0.1:2', '--data', '/x', '--stores', 'three'],
+      /--stores/,
     ],
-    [['pilot', 'extra'], /extra/],
+    [['agent', 'extra'], /extra/],
     [['status'], /--at/],
     [['status', '--at', 'localhost:1'], /--at/],
     [['nodes', '--at', '127.0.0.1:1', '--colour'], /--colour/],
--- a/packages/thornsail/test/drain.test.ts
+++ b/packages/thornsail/test/drain.test.ts
@@ -2,14 +2,14 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { fault, real, us } from '@thornsail/runtime';
-import { pipe } from '@thornsail/rpc';
+import { rpc } from '@thornsail/rpc';
 import { obeyDrain } from '../src/drain.js';
 
 const host = `127.${64 + (process.pid % 150)}.15.1`;
 
 test('a process that took over an address does not drain for its predecessor', async () => {
-  const lens = real.lens('/nonexistent');
-  const [client, node] = [await pipe.open(lens, `${host}:0`), await pipe.open(lens, `${host}:0`)];
+  const runtime = real.runtime('/nonexistent');
+  const [client, node] = [await rpc.open(runtime, `${host}:0`), await rpc.open(runtime, `${host}:0`)];
   let drains = 0;
   obeyDrain(node, 'second-life', () => Promise.resolve(void (drains += 1)));
   const order = (body: unknown): Promise<unknown> =>
