--- a/packages/register-store/src/read.ts
+++ b/packages/register-store/src/read.ts
@@ -1,11 +1,11 @@
 // Reads (§6.2): the value comes from the nearest store, from the others only its ballot; a majority with the same
 // ballot is enough, else the value is settled by a ballot.
-import { us, type Us } from '@thornsail/runtime';
+import { duration, type Microseconds } from '@thornsail/runtime';
 import { majority, patience, type Good } from './members.js';
 import { ballot, keptUntil, type Ballot, type Group, type Keep, type Seen } from './messages.js';
 import { agreed, askCopies, decided, lacksLast, type Agreed, type Proposer, type ReadMany } from './proposer.js';
 
-const askWithin = us.ms(400);
+const askWithin = duration.ms(400);
 const expired = (a: Agreed): boolean => keptUntil(a.until, a.extended) <= a.walls.min;
 /** An extension that decides whether the value is there has to be on a majority before anybody is told of it. */
 export const hangsOnExtension = (a: Agreed): boolean =>
@@ -25,7 +25,7 @@
     for (const { from, accepted } of all) {
       if (ballot.cmp(accepted, a.accepted) >= 0) continue;
       x.c.mended += 1;
-      x.rpc.ask(from.at, 'reg.mend', { to: from.id, group: g, ...body }).catch(() => undefined);
+      x.rpc.request(from.at, 'reg.mend', { to: from.id, group: g, ...body }).catch(() => undefined);
     }
   });
 };
@@ -35,7 +35,7 @@
   x: Proposer,
   g: Group,
   lacking: { key: string; a: Agreed; from: Keep[] }[],
-  left: Us,
+  left: Microseconds,
 ): Promise<void> => {
   const order = x.members.near(g, lacking[0]?.key ?? '');
   for (const k of order) {
@@ -56,8 +56,8 @@
 /** `settle` gives the value by a ballot, on a majority with the latest end of keeping that was seen. */
 export const reader = (
   x: Proposer,
-  settle: (key: string, left: Us) => Promise<unknown>,
-): ((keys: string[], timeLeft: Us, o?: { once?: boolean }) => Promise<unknown[]>) => {
+  settle: (key: string, left: Microseconds) => Promise<unknown>,
+): ((keys: string[], timeLeft: Microseconds, o?: { once?: boolean }) => Promise<unknown[]>) => {
   const { clock } = x.runtime;
   return async (keys, timeLeft, { once = false } = {}) => {
     x.c.reads += keys.length;
--- a/packages/register-store/src/registers.ts
+++ b/packages/register-store/src/registers.ts
@@ -1,6 +1,6 @@
 // The proposer's side of registers (§6.2): one ballot for each change, decided by a majority of the group.
 // There is no leader, so losing a store leaves no gap.
-import { lock, us, type Runtime, type Us } from '@thornsail/runtime';
+import { lock, duration, type Runtime, type Microseconds } from '@thornsail/runtime';
 import type { Rpc } from '@thornsail/rpc';
 import type { Known, Walls } from './known.js';
 import { majority, members } from './members.js';
@@ -21,13 +21,13 @@
 export { majority } from './members.js';
 export type Write<R> = { held: Omit<Held, 'ops'> | null; result: R } | { keep: true; result: R };
 /** Sees the agreed value, the stores' walls and until when the value was to be kept (0 if there is none). */
-type Fn<R> = (value: unknown, walls: Walls, until: Us) => Write<R>;
+type Fn<R> = (value: unknown, walls: Walls, until: Microseconds) => Write<R>;
 export type Registers = {
   /** Reads the agreed value; throws with code 'no-majority' rather than say it is missing. */
-  read: (key: string, timeLeft?: Us) => Promise<unknown>;
+  read: (key: string, timeLeft?: Microseconds) => Promise<unknown>;
   /** As `read` for several keys, in their order, with one frame to each store. */
   /** `once`: these are written once, so any copy's value is the value, and need not be settled (§6.2). */
-  readMany: (keys: string[], timeLeft?: Us, o?: { once?: boolean }) => Promise<unknown[]>;
+  readMany: (keys: string[], timeLeft?: Microseconds, o?: { once?: boolean }) => Promise<unknown[]>;
   /**
    * Compare-and-set by function: `fn` sees the agreed value and gives the next. It may be called more than once,
    * but takes effect once: a round whose accepts went to a minority is recognised if its value lives on. `fresh`: there
@@ -35,17 +35,17 @@
    * other proposers have likely changed it since this one did, and it has seen about so many ballots: what was
    * promised here is not tried, and the first ballot is above them.
    */
-  change: <R>(key: string, fn: Fn<R>, timeLeft?: Us, o?: { fresh?: boolean; past?: number }) => Promise<R>;
+  change: <R>(key: string, fn: Fn<R>, timeLeft?: Microseconds, o?: { fresh?: boolean; past?: number }) => Promise<R>;
   /** Runs the prepare round ahead of time: the next `change` of this key here takes one round, if no other comes. */
-  reserve: (key: string, timeLeft?: Us) => Promise<void>;
+  reserve: (key: string, timeLeft?: Microseconds) => Promise<void>;
   /**
    * Keeps values until this wall time at least, on a majority and without ballots; values that last longer stay as
    * they are. Gives the keys that have no value. Throws with code 'no-majority' if it is not known for all.
    */
-  extend: (keys: string[], until: Us, timeLeft?: Us) => Promise<string[]>;
+  extend: (keys: string[], until: Microseconds, timeLeft?: Microseconds) => Promise<string[]>;
   /** Brings one key onto a majority of the present group under its mark (§6.5). */
-  settleKey: (key: string, timeLeft?: Us) => Promise<void>;
-  reachable: (timeLeft?: Us) => Promise<boolean>;
+  settleKey: (key: string, timeLeft?: Microseconds) => Promise<void>;
+  reachable: (timeLeft?: Microseconds) => Promise<boolean>;
   /** Whether a store group is known at all. */
   known: () => boolean;
   counts: () => Counts;
@@ -53,10 +53,10 @@
 
 /** How many changes a value remembers: more than can be in flight for one key at once. */
 const opsKept = 12;
-const askWithin = us.ms(400);
+const askWithin = duration.ms(400);
 type How = { force?: boolean; fresh?: boolean; past?: number };
 type Done<R> = { result: R } | undefined;
-const untilAll = (h: Held | null, extended: Us): Us => keptUntil(h?.until ?? 0, extended);
+const untilAll = (h: Held | null, extended: Microseconds): Microseconds => keptUntil(h?.until ?? 0, extended);
 
 export const registers = {
   /** `near` ranks stores by id, the lower the nearer: values are read from the nearest. */
@@ -73,7 +73,7 @@
     const short = lock.keyed();
     let opNo = 0;
 
-    type Prepared = { mine: Ballot; held: Held | null; extended: Us; walls: Walls; a?: Agreed };
+    type Prepared = { mine: Ballot; held: Held | null; extended: Microseconds; walls: Walls; a?: Agreed };
     /** Ballots have to be above what was in the way before. */
     type Top = { ballot: Ballot };
     const lost = (top: Top, no: Parameters<typeof x.members.learn>[0], mine: Ballot): undefined => {
@@ -81,7 +81,7 @@
       c.conflicts += 1;
       return undefined;
     };
-    const prepare = async (g: Group, key: string, top: Top, left: Us): Promise<Prepared | undefined> => {
+    const prepare = async (g: Group, key: string, top: Top, left: Microseconds): Promise<Prepared | undefined> => {
       c.rounds += 1;
       const mine: Ballot = [Math.max(top.ballot[0], x.members.floor()) + 1, me];
       const known = cache.get(key);
@@ -142,12 +142,12 @@
       p: Prepared,
       put: Held | null,
       top: Top,
-      end: Us,
+      end: Microseconds,
     ): Promise<boolean> => {
       const next: Ballot = [p.mine[0] + 1, me];
       const extended = p.extended > 0 ? { extended: p.extended } : {};
       const body = { key, ballot: p.mine, held: put, next, ...extended, lean: true };
-      const left = Math.min(end - clock.now() + us.ms(1), askWithin);
+      const left = Math.min(end - clock.now() + duration.ms(1), askWithin);
       const begun = clock.now();
       const r = await x.members.gather(x.members.ask<AcceptReply>(g, 'reg.accept', () => body, left));
       x.members.took(clock.now() - begun);
@@ -169,7 +169,7 @@
       fn: Fn<R>,
       tried: Map<string, R>,
       top: Top,
-      left: Us,
+      left: Microseconds,
     ): Promise<Done<R>> => {
       const walls = x.members.walls(g);
       if (!walls || !x.members.well(g)) return undefined;
@@ -197,7 +197,7 @@
       c.done += 1;
       return { result: r.result };
     };
-    const change = <R>(key: string, fn: Fn<R>, timeLeft: Us = us.s(2), o: How = {}): Promise<R> =>
+    const change = <R>(key: string, fn: Fn<R>, timeLeft: Microseconds = duration.s(2), o: How = {}): Promise<R> =>
       short(key, async () => {
         const end = clock.now() + timeLeft;
         const top: Top = { ballot: ballot.zero };
@@ -242,10 +242,10 @@
           return quick ? 'again' : undefined;
         });
       });
-    const settle = (key: string, timeLeft?: Us): Promise<unknown> =>
+    const settle = (key: string, timeLeft?: Microseconds): Promise<unknown> =>
       change<unknown>(key, (value) => ({ keep: true, result: value }), timeLeft, { force: true });
     const readMany = reader(x, settle);
-    const reserve = (key: string, timeLeft: Us = us.s(2)): Promise<void> =>
+    const reserve = (key: string, timeLeft: Microseconds = duration.s(2)): Promise<void> =>
       short(key, () => {
         const top: Top = { ballot: ballot.zero };
         const end = clock.now() + timeLeft;
@@ -260,7 +260,7 @@
       });
 
     /** By a ballot, for a key of which too few stores have a value; true if there is none. */
-    const extendByBallot = (key: string, until: Us, left: Us): Promise<boolean> =>
+    const extendByBallot = (key: string, until: Microseconds, left: Microseconds): Promise<boolean> =>
       change<boolean>(
         key,
         // Written even if one store has it extended already: it has to be on a majority.
@@ -270,7 +270,11 @@
             : { held: { value: v, until: Math.max(was, until) }, result: false },
         left,
       );
-    const extend = async (keys: string[], until: Us, timeLeft: Us = us.s(2)): Promise<string[]> => {
+    const extend = async (
+      keys: string[],
+      until: Microseconds,
+      timeLeft: Microseconds = duration.s(2),
+    ): Promise<string[]> => {
       const end = clock.now() + timeLeft;
       const g = x.members.group();
       const need = majority(g.members.length);
@@ -300,9 +304,9 @@
       reserve,
       extend,
       settleKey: async (key, timeLeft) => void (await settle(key, timeLeft)),
-      read: async (key, timeLeft = us.s(2)) => (await readMany([key], timeLeft))[0],
-      readMany: (keys, timeLeft = us.s(2), o = {}) => readMany(keys, timeLeft, o),
-      reachable: async (timeLeft = us.ms(400)) => {
+      read: async (key, timeLeft = duration.s(2)) => (await readMany([key], timeLeft))[0],
+      readMany: (keys, timeLeft = duration.s(2), o = {}) => readMany(keys, timeLeft, o),
+      reachable: async (timeLeft = duration.ms(400)) => {
         try {
           const g = x.members.group();
           const r = await x.members.gather(askCopies(x, g, ['reachable'], timeLeft, { bare: () => true }));
--- a/packages/register-store/src/replica-table.ts
+++ b/packages/register-store/src/replica-table.ts
@@ -1,6 +1,6 @@
 // What a store holds, by ranges of keys (§6.3): digests that are kept up with each change, and lists that look at one
 // range, or at what ends at one time, so that nothing walks through a whole day's registers in one go.
-import { hash, us, type Us } from '@thornsail/runtime';
+import { hash, duration, type Microseconds } from '@thornsail/runtime';
 import type { Index, Slot } from '@thornsail/durable-files';
 import type { Ballot, Copy } from './messages.js';
 
@@ -12,7 +12,7 @@
   size: () => number;
   digest: (range: number) => number;
   /** Up to `limit` keys, with their ballots, that nothing has needed since `before`; what ended first comes first. */
-  due: (before: Us, limit: number) => [string, Ballot][];
+  due: (before: Microseconds, limit: number) => [string, Ballot][];
   /** The keys of a range after one, in order; one more than `limit` says that there are more. */
   keys: (range: number, after: string, limit: number) => string[];
   /** The most copies that one call has looked at. */
@@ -20,7 +20,7 @@
 };
 
 /** Until when a copy may be needed (§6.4). */
-export const neededUntil = (c: Copy): Us => Math.max(c.touched, c.held?.until ?? 0, c.extended ?? 0);
+export const neededUntil = (c: Copy): Microseconds => Math.max(c.touched, c.held?.until ?? 0, c.extended ?? 0);
 /** Two hashes, packed into 52 bits: after a change of group an equal digest is trusted (§6.5). */
 const mix = (key: string, c: Copy): [number, number] => {
   const text = `${key} ${c.accepted.join(' ')}${c.extended ? ` ${c.extended}` : ''}`;
@@ -30,15 +30,15 @@
 const add = (d: Digest, m: Digest, sign: 1 | -1): Digest => [(d[0] + sign * m[0]) >>> 0, (d[1] + sign * m[1]) >>> 0];
 
 /** Keys by the time at which they end, so many microseconds together. */
-const together = us.s(16);
+const together = duration.s(16);
 const endings = (): {
-  add: (key: string, at: Us) => void;
-  drop: (key: string, at: Us) => void;
+  add: (key: string, at: Microseconds) => void;
+  drop: (key: string, at: Microseconds) => void;
   clear: () => void;
-  before: (at: Us) => Set<string>[];
+  before: (at: Microseconds) => Set<string>[];
 } => {
   const all = new Map<number, Set<string>>();
-  const of = (at: Us): number => Math.floor(at / together);
+  const of = (at: Microseconds): number => Math.floor(at / together);
   return {
     add: (key, at) => {
       const set = all.get(of(at));
--- a/packages/register-store/src/store.ts
+++ b/packages/register-store/src/store.ts
@@ -1,5 +1,5 @@
 // The store's side of registers (§6.2): promises and accepted values, each synced before its reply.
-import { fault, invariant, lock, time, us, type Runtime, type Us } from '@thornsail/runtime';
+import { fault, invariant, lock, time, duration, type Runtime, type Microseconds } from '@thornsail/runtime';
 import { batches, durableStore, type Index, type Limits, type DurableStore, type Slot } from '@thornsail/durable-files';
 import type { Rpc } from '@thornsail/rpc';
 import {
@@ -55,8 +55,8 @@
 };
 
 /** What a store waits beyond `until` before it may drop a copy, unless it is told otherwise (§6.4). */
-export const grace = us.s(600);
-const leastGrace = us.s(10);
+export const grace = duration.s(600);
+const leastGrace = duration.s(10);
 
 /** So many messages may wait for the disk at once; those beyond are refused, as if this store were not there (§8). */
 const mostWaiting = 2000;
@@ -106,7 +106,7 @@
     /** How many files, and how large (§6.1). */
     limits?: Partial<Limits>;
     /** How long a copy stays after its end of keeping, 10 s at least (§6.4). */
-    grace?: Us;
+    grace?: Microseconds;
   }): Promise<Store> => {
     const { runtime, rpc, durable } = o;
     const wait = o.grace ?? grace;
@@ -226,7 +226,7 @@
     const promisedOf = (key: string): Ballot =>
       copies.get(key)?.value.promised ?? (floor() > 0 ? [floor(), '~'] : ballot.zero);
     /** An extension stays as long as the copy: what says more may be of a ballot that comes to nothing. */
-    const extendedOf = (cur: Copy, m: { extended?: Us }): { extended?: Us } => {
+    const extendedOf = (cur: Copy, m: { extended?: Microseconds }): { extended?: Microseconds } => {
       const extended = Math.max(cur.extended ?? 0, m.extended ?? 0);
       return extended > 0 ? { extended } : {};
     };
@@ -318,7 +318,7 @@
       }),
     );
     /** Raises the end of keeping of one value; false if there is none. */
-    const extendOne = (key: string, until: Us): Promise<boolean> =>
+    const extendOne = (key: string, until: Microseconds): Promise<boolean> =>
       short(key, async () => {
         const cur = copies.get(key)?.value;
         // One that has ended counts as absent: it is not brought back.
@@ -378,7 +378,7 @@
       return { ok: true, keys: copies.due(wall - wait, Math.min(m.limit, 1024)), wall };
     });
     /** Whether a copy is the one that is meant, and nothing has needed it since the grace began (§6.4). */
-    const mayDrop = (key: string, accepted: Ballot, wall: Us): boolean => {
+    const mayDrop = (key: string, accepted: Ballot, wall: Microseconds): boolean => {
       const cur = copies.get(key)?.value;
       if (!cur || !ballot.same(cur.accepted, accepted)) return false;
       return neededUntil(cur) + wait <= Math.min(wall, runtime.clock.wall());
@@ -387,7 +387,7 @@
       short(floorKey, async () => {
         if (to > floor()) await records.write(floorKey, { ...none, promised: [to, ''] });
       });
-    const dropOne = (key: string, accepted: Ballot, wall: Us): Promise<boolean> =>
+    const dropOne = (key: string, accepted: Ballot, wall: Microseconds): Promise<boolean> =>
       short(key, async () => {
         if (!mayDrop(key, accepted, wall)) return false;
         // Its ballots are forgotten with it: whatever comes under this key again has to be above them.
@@ -403,7 +403,7 @@
       const done = await Promise.all(m.keys.map(([key, accepted]) => dropOne(key, accepted, m.wall)));
       return { ok: true, dropped: done.filter((x) => x).length };
     });
-    rpc.on<Base & { key: string; ballot: Ballot; wall: Us }>('reg.purge', isAsk.purge, async (m) => ({
+    rpc.on<Base & { key: string; ballot: Ballot; wall: Microseconds }>('reg.purge', isAsk.purge, async (m) => ({
       ok: m.to === id && (await dropOne(m.key, m.ballot, m.wall)),
     }));
 
--- a/packages/register-store/src/sweep.ts
+++ b/packages/register-store/src/sweep.ts
@@ -1,6 +1,6 @@
 // The sweep (§6.5): finds the copies that no read has mended, drops what has expired everywhere,
 // and after a change of group brings every record onto a majority of the new one.
-import { time, us, type Clock, type Us } from '@thornsail/runtime';
+import { time, duration, type Clock, type Microseconds } from '@thornsail/runtime';
 import type { Rpc } from '@thornsail/rpc';
 import {
   ballot,
@@ -35,13 +35,13 @@
 /** Keys that are looked at for dropping in one go. */
 const dueAtOnce = 256;
 /** What one member is waited for. */
-const askWithin = us.ms(800);
+const askWithin = duration.ms(800);
 /** What further members are waited for after a change of group, once a majority has answered. */
-const lateWithin = us.ms(100);
-const settleWithin = us.s(2);
+const lateWithin = duration.ms(100);
+const settleWithin = duration.s(2);
 /** Keys listed in one answer. */
 const pageOf = 128;
-type Found = { k: Keep; accepted: Ballot; extended: Us };
+type Found = { k: Keep; accepted: Ballot; extended: Microseconds };
 const alike = (a: Found, b: Found): boolean => ballot.same(a.accepted, b.accepted) && a.extended === b.extended;
 /** The value, and with it the latest extension that is known of it. */
 const onMajority = (copies: Found[], need: number): boolean => {
@@ -57,13 +57,15 @@
   clock: Clock;
   rpc: Rpc;
   group: Group;
-  pause: Us;
+  pause: Microseconds;
   still: () => boolean;
 }): Promise<number> => {
   const { rpc, group } = o;
   const each = <T>(kind: string, body: object): Promise<(T | undefined)[]> =>
     Promise.all(
-      group.members.map((k) => rpc.ask<T>(k.at, kind, { to: k.id, group, ...body }, us.ms(800)).catch(() => undefined)),
+      group.members.map((k) =>
+        rpc.request<T>(k.at, kind, { to: k.id, group, ...body }, duration.ms(800)).catch(() => undefined),
+      ),
     );
   for (let dropped = 0; ;) {
     const lists = await each<DueResult>('reg.due', { limit: dueAtOnce });
@@ -80,7 +82,7 @@
 
 /** All members hold the same now, or it is settled: whatever was opened before is known to this one (§6.5). */
 const tellFilled = (o: { rpc: Rpc; group: Group }, k: Keep): Promise<unknown> =>
-  o.rpc.ask(k.at, 'reg.filled', { to: k.id, group: o.group }, us.ms(800)).catch(() => undefined);
+  o.rpc.request(k.at, 'reg.filled', { to: k.id, group: o.group }, duration.ms(800)).catch(() => undefined);
 
 type Page = Extract<ListResult, { ok: true }>;
 type Member<T> = { store: Keep; reply: T };
@@ -98,7 +100,7 @@
       if (open === 0) return say();
       if (need === undefined || got.length < need || waits) return;
       waits = true;
-      clock.tick(lateWithin, say);
+      clock.schedule(lateWithin, say);
     };
     check();
     for (const one of asked)
@@ -115,7 +117,7 @@
   registers: Registers;
   group: Group;
   all: boolean;
-  pause: Us;
+  pause: Microseconds;
   /** As `change` where `all` is asked for, else `usual`, unless it is said. */
   pace?: SweepPace;
   still: () => boolean;
@@ -129,7 +131,7 @@
   body: object,
 ): Promise<Member<Extract<T, { ok: true }>>[]> => {
   const asked = keepers.map((store) =>
-    o.rpc.ask<T>(store.at, kind, { to: store.id, group: o.group, ...body }, askWithin).then(
+    o.rpc.request<T>(store.at, kind, { to: store.id, group: o.group, ...body }, askWithin).then(
       (reply) => (reply.ok ? { store, reply: reply as Extract<T, { ok: true }> } : undefined),
       () => undefined,
     ),
--- a/packages/register-store/test/registers.test.ts
+++ b/packages/register-store/test/registers.test.ts
@@ -15,9 +15,9 @@
   type SweepResult,
   type Write,
 } from '@thornsail/register-store';
-import { fault, invariant, us, type Us } from '@thornsail/runtime';
+import { fault, invariant, duration, type Microseconds } from '@thornsail/runtime';
 import { durableStore } from '@thornsail/durable-files';
-import { rpc, shape, type Rpc } from '@thornsail/rpc';
+import { rpc, validate, type Rpc } from '@thornsail/rpc';
 
 type Stage = {
   w: World;
@@ -27,20 +27,20 @@
   group: (mark: number, ids: number[]) => void;
   edge: (n: number, near?: (id: string) => number) => Promise<{ regs: Registers; host: Host; rpc: Rpc }>;
   pass: (e: { regs: Registers; rpc: Rpc }, all: boolean) => Promise<SweepResult>;
-  wait: (t: Us) => Promise<void>;
+  wait: (t: Microseconds) => Promise<void>;
 };
 const at = (i: number): string => `127.0.2.${i}:7101`;
 /** Stores by number, edges by number, and a story told in simulated time. A store is in the zone of its number. */
 const stage = async (
   seed: number,
   tell: (x: Stage) => Promise<void>,
-  o: { grace?: Us; diskTime?: Us } = {},
+  o: { grace?: Microseconds; diskTime?: Microseconds } = {},
 ): Promise<void> => {
   invariant.clear();
   const w = world.open({
     seed,
-    zoneDelay: us.ms(1),
-    clientDelay: us.ms(1),
+    zoneDelay: duration.ms(1),
+    clientDelay: duration.ms(1),
     clientIp: '127.0.9.9',
     ...(o.diskTime ? { diskTime: o.diskTime } : {}),
   });
@@ -95,18 +95,18 @@
   story().catch((e) => {
     done = e instanceof Error ? (e.stack ?? e.message) : String(e);
   });
-  await w.run(us.s(20_000));
+  await w.run(duration.s(20_000));
   assert.is(done, 'yes');
   assert.equal(invariant.breaches(), []);
 };
 const put =
-  (value: unknown, keep: Us = us.s(9999)) =>
-  (_v: unknown, x: { max: Us }): Write<void> => ({ held: { value, until: x.max + keep }, result: undefined });
+  (value: unknown, keep: Microseconds = duration.s(9999)) =>
+  (_v: unknown, x: { max: Microseconds }): Write<void> => ({ held: { value, until: x.max + keep }, result: undefined });
 const append =
   (id: string) =>
-  (v: unknown, x: { max: Us }, was: Us): Write<string[]> => {
+  (v: unknown, x: { max: Microseconds }, was: Microseconds): Write<string[]> => {
     const list = (v as string[] | undefined) ?? [];
-    return { held: { value: [...list, id], until: Math.max(was, x.max + us.s(60)) }, result: list };
+    return { held: { value: [...list, id], until: Math.max(was, x.max + duration.s(60)) }, result: list };
   };
 const codeOf = (work: Promise<unknown>): Promise<string> =>
   work.then(
@@ -114,12 +114,16 @@
     (e) => fault.info(e).code ?? String(e),
   );
 /** Frames and time that one thing takes. */
-const cost = async (w: World, work: () => Promise<unknown>): Promise<{ frames: number; bytes: number; took: Us }> => {
+const cost = async (
+  w: World,
+  work: () => Promise<unknown>,
+): Promise<{ frames: number; bytes: number; took: Microseconds }> => {
   const [frames, bytes, from] = [w.frames(), w.zoneBytes(), w.now()];
   await work();
   return { frames: w.frames() - frames, bytes: w.zoneBytes() - bytes, took: w.now() - from };
 };
-const wallAt = (w: World, after: Us): Us => w.runtime(w.host('127.0.8.7', 'z9')).clock.wall() + after;
+const wallAt = (w: World, after: Microseconds): Microseconds =>
+  w.runtime(w.host('127.0.8.7', 'z9')).clock.wall() + after;
 
 test('a reserved key takes one round to change; a new one and one that another edge had', () =>
   stage(1, async ({ w, edge, wait }) => {
@@ -128,12 +132,12 @@
     for (const key of ['new', 'taken']) {
       if (key === 'taken') await b.regs.change(key, append('b'));
       await a.regs.reserve(key);
-      await wait(us.s(1));
+      await wait(duration.s(1));
       const rounds = a.regs.counts().rounds;
       let saw: string[] = [];
       const c = await cost(w, async () => (saw = await a.regs.change(key, append('a'))));
       assert.is(a.regs.counts().rounds, rounds, 'a prepare was needed');
-      assert.ok(c.took < us.ms(5), `${key} took ${c.took}`);
+      assert.ok(c.took < duration.ms(5), `${key} took ${c.took}`);
       assert.equal(saw, key === 'taken' ? ['b'] : []);
     }
     // The promise is used up and renewed; a second reservation costs nothing.
@@ -146,7 +150,7 @@
       await a.regs.reserve('k');
       await b.regs.reserve('k');
       const saw = await Promise.all([a.regs.change('k', append('a')), b.regs.change('k', append('b'))]);
-      await wait(us.s(1));
+      await wait(duration.s(1));
       const end = (await a.regs.read('k')) as string[];
       assert.equal([...end].sort(), ['a', 'b']);
       assert.equal(saw[0], end.slice(0, end.indexOf('a')));
@@ -160,8 +164,8 @@
     await a.regs.reserve('k');
     for (const i of [0, 1]) w.kill(hosts[i]!, 'power');
     const from = w.now();
-    assert.is(await codeOf(a.regs.reserve('other', us.ms(300))), 'no-majority');
-    assert.ok(w.now() - from < us.ms(800));
+    assert.is(await codeOf(a.regs.reserve('other', duration.ms(300))), 'no-majority');
+    assert.ok(w.now() - from < duration.ms(800));
     for (const i of [0, 1]) {
       w.start(hosts[i]!);
       await boot(i + 1);
@@ -185,7 +189,7 @@
     assert.equal(got, [...keys.map((key) => ({ key, big })), undefined]);
     assert.is(c.frames, 6);
     assert.ok(c.bytes < 30 * 200, `${c.bytes} bytes between zones for 30 values of 4000`);
-    assert.ok(c.took < us.ms(4));
+    assert.ok(c.took < duration.ms(4));
     const one = await cost(w, () => a.regs.read('k7'));
     assert.ok(one.bytes < 1000 && one.frames === 6, JSON.stringify(one));
     assert.equal(await a.regs.readMany([]), []);
@@ -204,25 +208,25 @@
     let got: unknown[] = [];
     const down = await cost(w, async () => (got = await a.regs.readMany(keys)));
     assert.equal(got, all);
-    assert.ok(down.took < us.ms(12), `${down.took} with the nearest one down`);
+    assert.ok(down.took < duration.ms(12), `${down.took} with the nearest one down`);
     const next = await cost(w, () => a.regs.readMany(keys));
-    assert.ok(next.took < us.ms(5), `${next.took}: one that was slow just now is not waited for again`);
+    assert.ok(next.took < duration.ms(5), `${next.took}: one that was slow just now is not waited for again`);
     w.start(hosts[0]!);
     await boot(1);
-    await wait(us.s(3));
+    await wait(duration.s(3));
     assert.equal(await a.regs.readMany(keys), all, 'the store that came back is behind');
-    await wait(us.s(1));
+    await wait(duration.s(1));
     // It was mended by that read: it alone can give the value now, with any other for the majority.
     w.kill(hosts[1]!, 'power');
     assert.equal(await a.regs.readMany(keys), all);
     w.start(hosts[1]!);
     await boot(2);
-    await wait(us.s(3));
+    await wait(duration.s(3));
     w.freeze(hosts[0]!);
     const frozen = await cost(w, () => a.regs.readMany(keys));
-    assert.ok(frozen.took < us.ms(12), `${frozen.took} with the nearest one frozen`);
+    assert.ok(frozen.took < duration.ms(12), `${frozen.took} with the nearest one frozen`);
     const change = await cost(w, () => writer.regs.change('k1', append('x')));
-    assert.ok(change.took < us.ms(12), `${change.took} for a change`);
+    assert.ok(change.took < duration.ms(12), `${change.took} for a change`);
     w.wake(hosts[0]!);
   }));
 test('keys of which the stores differ are settled, the others of the same read are not', () =>
@@ -233,7 +237,7 @@
     const b = await edge(3);
     await b.regs.reserve('y');
     const heal = w.cut([b.host], [hosts[0]!, hosts[1]!]);
-    assert.is(await codeOf(b.regs.change('y', append('2'), us.ms(200))), 'no-majority');
+    assert.is(await codeOf(b.regs.change('y', append('2'), duration.ms(200))), 'no-majority');
     heal();
     const rounds = a.regs.counts().rounds;
     const [x, y, z] = (await a.regs.readMany(['x', 'y', 'z'])) as string[][];
@@ -265,12 +269,12 @@
   stage(7, async ({ w, hosts, edge, wait }) => {
     const a = await edge(1);
     await a.regs.change('k', put(0));
-    hosts[2]!.disk.hangsUntil = w.now() + us.s(3);
+    hosts[2]!.disk.hangsUntil = w.now() + duration.s(3);
     for (let i = 1; i <= 20; i++) {
       const c = await cost(w, () => a.regs.change('k', put(i)));
-      assert.ok(c.took < us.ms(8), `change ${i} took ${c.took}`);
+      assert.ok(c.took < duration.ms(8), `change ${i} took ${c.took}`);
     }
-    await wait(us.s(4));
+    await wait(duration.s(4));
     w.kill(hosts[0]!, 'power');
     assert.is(await a.regs.read('k'), 20);
     const b = await edge(3);
@@ -281,59 +285,59 @@
   stage(17, async ({ w, hosts, stores, edge, wait, pass }) => {
     const a = await edge(1);
     await a.regs.change('warm', put(0));
-    hosts[2]!.disk.hangsUntil = w.now() + us.s(5);
+    hosts[2]!.disk.hangsUntil = w.now() + duration.s(5);
     let most = 0;
     const work: Promise<unknown>[] = [];
     for (let i = 0; i < 2500; i++) {
       work.push(a.regs.change(`k${i}`, put(i)));
-      if (i % 10 === 0) await wait(us.ms(10));
+      if (i % 10 === 0) await wait(duration.ms(10));
       most = Math.max(most, stores.get(3)!.counts().waiting);
     }
     await Promise.all(work);
     assert.ok(most > 1500 && most <= 2000, `${most} messages waited`);
     assert.ok(stores.get(3)!.counts().refused > 0);
-    await wait(us.s(5));
+    await wait(duration.s(5));
     assert.is(stores.get(3)!.counts().waiting, 0);
     assert.ok((await pass(a, false)).complete);
     assert.is(stores.get(3)!.size(), 2501);
     w.kill(hosts[0]!, 'power');
     const b = await edge(2);
     const keys = Array.from({ length: 2500 }, (_, i) => `k${i}`);
-    assert.equal(await b.regs.readMany(keys, us.s(5)), [...keys.keys()]);
+    assert.equal(await b.regs.readMany(keys, duration.s(5)), [...keys.keys()]);
   }));
 test('an extension keeps values for longer with one frame to each store, and says which keys have none', () =>
   stage(8, async ({ w, edge, wait }) => {
     const [a, b] = [await edge(1), await edge(2)];
-    for (const k of ['x', 'y', 'z']) await a.regs.change(k, put(k, us.s(10)));
-    await a.regs.change('long', put('long', us.s(5000)));
-    await a.regs.change('removed', put('r', us.s(10)));
+    for (const k of ['x', 'y', 'z']) await a.regs.change(k, put(k, duration.s(10)));
+    await a.regs.change('long', put('long', duration.s(5000)));
+    await a.regs.change('removed', put('r', duration.s(10)));
     await a.regs.change('removed', () => ({ held: null, result: undefined }));
     let missing: string[] = [];
     const c = await cost(w, async () => {
-      missing = await a.regs.extend(['x', 'none', 'y', 'long', 'removed'], wallAt(w, us.s(100)));
+      missing = await a.regs.extend(['x', 'none', 'y', 'long', 'removed'], wallAt(w, duration.s(100)));
     });
     assert.equal(missing, ['none', 'removed']);
     assert.is(c.frames, 6);
-    await wait(us.s(20));
+    await wait(duration.s(20));
     assert.equal(await b.regs.readMany(['x', 'y', 'z', 'long']), ['x', 'y', undefined, 'long']);
     // Shorter ones change nothing; who has ended is not brought back.
-    assert.equal(await b.regs.extend(['x', 'z'], wallAt(w, us.s(1))), ['z']);
-    await wait(us.s(60));
+    assert.equal(await b.regs.extend(['x', 'z'], wallAt(w, duration.s(1))), ['z']);
+    await wait(duration.s(60));
     assert.equal(await b.regs.readMany(['x', 'y', 'z', 'long']), ['x', 'y', undefined, 'long']);
-    await wait(us.s(30));
+    await wait(duration.s(30));
     assert.equal(await b.regs.readMany(['x', 'y', 'z', 'long']), [undefined, undefined, undefined, 'long']);
   }));
 test('an extension holds through any majority: reads, changes with old knowledge, and a change of the group', () =>
   stage(9, async ({ w, hosts, edge, wait, boot, group, pass }) => {
     const a = await edge(1);
     const b = await edge(2);
-    await a.regs.change('k', put('v', us.s(10)));
-    await a.regs.change('gone', put('w', us.s(10)));
+    await a.regs.change('k', put('v', duration.s(10)));
+    await a.regs.change('gone', put('w', duration.s(10)));
     // Edge 2 remembers the value with its old end; then the extension reaches stores 1 and 2 only.
-    await b.regs.change('k', put('v', us.s(10)));
+    await b.regs.change('k', put('v', duration.s(10)));
     const heal = w.cut([a.host], [hosts[2]!]);
-    assert.equal(await a.regs.extend(['k', 'gone'], wallAt(w, us.s(4000))), []);
-    await wait(us.s(30));
+    assert.equal(await a.regs.extend(['k', 'gone'], wallAt(w, duration.s(4000))), []);
+    await wait(duration.s(30));
     heal();
     // Each majority in turn, by a store without power.
     for (const i of [0, 1, 2]) {
@@ -351,7 +355,7 @@
       return { held: { value: v, until: 1 }, result: undefined };
     });
     assert.is(saw, 'v');
-    assert.ok(until > wallAt(w, us.s(3900)), 'the writer was not told of the extension');
+    assert.ok(until > wallAt(w, duration.s(3900)), 'the writer was not told of the extension');
     assert.is(await a.regs.read('k'), 'v', 'a shorter end cut what was promised');
     // Stores 1 and 2 leave one after the other: the extension has to come with what stays.
     await boot(4);
@@ -362,25 +366,25 @@
     group(4, [3, 4]);
     assert.ok((await pass(a, true)).complete);
     for (const i of [0, 1]) w.kill(hosts[i]!, 'disk');
-    assert.equal(await a.regs.readMany(['k', 'gone'], us.s(4)), ['v', 'w']);
+    assert.equal(await a.regs.readMany(['k', 'gone'], duration.s(4)), ['v', 'w']);
   }));
 test('a writer that remembers an older end asks before it takes the value for absent', () =>
   stage(12, async ({ w, edge, wait }) => {
     const [a, b] = [await edge(1), await edge(2)];
-    await b.regs.change('k', put('v', us.s(10)));
-    assert.equal(await a.regs.extend(['k'], wallAt(w, us.s(500))), []);
-    await wait(us.s(60));
+    await b.regs.change('k', put('v', duration.s(10)));
+    assert.equal(await a.regs.extend(['k'], wallAt(w, duration.s(500))), []);
+    await wait(duration.s(60));
     const saw: unknown[] = [];
     const write =
       (value: string) =>
-      (v: unknown, x: { max: Us }): Write<void> => {
+      (v: unknown, x: { max: Microseconds }): Write<void> => {
         saw.push(v);
-        return { held: { value, until: x.max + us.s(10) }, result: undefined };
+        return { held: { value, until: x.max + duration.s(10) }, result: undefined };
       };
     await b.regs.change('k', write('w'));
     // Its own extensions it remembers: one round is enough.
-    assert.equal(await b.regs.extend(['k'], wallAt(w, us.s(2000))), []);
-    await wait(us.s(1000));
+    assert.equal(await b.regs.extend(['k'], wallAt(w, duration.s(2000))), []);
+    await wait(duration.s(1000));
     const quick = b.regs.counts().quick;
     await b.regs.change('k', write('x'));
     assert.equal(saw, ['v', 'w']);
@@ -390,22 +394,22 @@
 test('what is removed stays so, however long it was extended; what is written after it is a value of its own', () =>
   stage(16, async ({ w, edge, wait, pass }) => {
     const [a, b] = [await edge(1), await edge(2)];
-    await a.regs.change('k', put('v', us.s(10)));
-    assert.equal(await b.regs.extend(['k'], wallAt(w, us.s(500))), []);
+    await a.regs.change('k', put('v', duration.s(10)));
+    assert.equal(await b.regs.extend(['k'], wallAt(w, duration.s(500))), []);
     await a.regs.change('k', () => ({ held: null, result: undefined }));
     assert.is(await b.regs.read('k'), undefined);
-    assert.equal(await b.regs.extend(['k'], wallAt(w, us.s(900))), ['k']);
+    assert.equal(await b.regs.extend(['k'], wallAt(w, duration.s(900))), ['k']);
     let saw: unknown = 'not called';
     const quick = a.regs.counts().quick;
     await a.regs.change(
       'k',
-      (v, x) => ((saw = v), { held: { value: 'w', until: x.max + us.s(10) }, result: undefined }),
+      (v, x) => ((saw = v), { held: { value: 'w', until: x.max + duration.s(10) }, result: undefined }),
     );
     assert.equal([saw, a.regs.counts().quick], [undefined, quick + 1]);
     assert.is(await b.regs.read('k'), 'w');
     await b.regs.change('k', (v) => ((saw = v), { held: null, result: undefined }));
     assert.is(saw, 'w');
-    await wait(us.s(2000));
+    await wait(duration.s(2000));
     await pass(a, false);
     assert.is(await a.regs.read('k'), undefined);
   }));
@@ -414,11 +418,11 @@
   for (let seed = 1; seed <= 12; seed++)
     await stage(seed, async ({ w, hosts, edge, wait }) => {
       const a = await edge(1);
-      await a.regs.change('k', put('v', us.s(10)));
+      await a.regs.change('k', put('v', duration.s(10)));
       const heal = w.cut([a.host], [hosts[1]!, hosts[2]!]);
-      assert.is(await codeOf(a.regs.extend(['k'], wallAt(w, us.s(4000)), us.ms(300))), 'no-majority');
+      assert.is(await codeOf(a.regs.extend(['k'], wallAt(w, duration.s(4000)), duration.ms(300))), 'no-majority');
       heal();
-      await wait(us.s(20));
+      await wait(duration.s(20));
       // Reads through the three majorities, in an order by seed.
       const seen: unknown[] = [];
       const b = await edge(2);
@@ -428,7 +432,7 @@
         const look = (): Promise<unknown> => b.regs.change('k', (v) => ({ keep: true, result: v }));
         seen.push(await (seed % 2 ? b.regs.read('k') : look()));
         healOne();
-        await wait(us.ms(100));
+        await wait(duration.ms(100));
       }
       const first = seen.indexOf('v');
       if (first >= 0) {
@@ -448,17 +452,17 @@
       const es = [await edge(1), await edge(2), await edge(3)];
       const keys = ['p', 'q'];
       for (const k of keys) await es[0]!.regs.change(k, append('0'));
-      const most = new Map<string, Us>();
+      const most = new Map<string, Microseconds>();
       const work: Promise<unknown>[] = [];
       for (let i = 0; i < 40; i++) {
         const e = es[r.int(3)]!;
         const key = keys[r.int(2)]!;
-        if (r.int(2) === 0) work.push(e.regs.change(key, append(`${i}`), us.ms(600)).catch(() => undefined));
+        if (r.int(2) === 0) work.push(e.regs.change(key, append(`${i}`), duration.ms(600)).catch(() => undefined));
         else {
-          const until = wallAt(w, us.s(60 + r.int(4000)));
+          const until = wallAt(w, duration.s(60 + r.int(4000)));
           const some = r.int(2) ? keys : [key];
           work.push(
-            e.regs.extend(some, until, us.ms(600)).then(
+            e.regs.extend(some, until, duration.ms(600)).then(
               (missing) => {
                 assert.equal(missing, []);
                 for (const k of some) most.set(k, Math.max(most.get(k) ?? 0, until));
@@ -470,19 +474,19 @@
         if (i % 12 === 5) {
           const at = r.int(3);
           w.kill(hosts[at]!, 'power');
-          w.at(w.now() + r.int(us.ms(300)), () => {
+          w.at(w.now() + r.int(duration.ms(300)), () => {
             w.start(hosts[at]!);
             void boot(at + 1);
           });
-          await wait(us.ms(400));
+          await wait(duration.ms(400));
         }
-        await wait(r.int(us.ms(20)));
+        await wait(r.int(duration.ms(20)));
       }
       await Promise.all(work);
-      await wait(us.s(1));
+      await wait(duration.s(1));
       for (const k of [...keys].sort((x, y) => (most.get(x) ?? 0) - (most.get(y) ?? 0))) {
         const left = (most.get(k) ?? 0) - wallAt(w, 0);
-        if (left > us.s(2)) await wait(left - us.s(1));
+        if (left > duration.s(2)) await wait(left - duration.s(1));
         for (let i = 0; i < 3; i++) {
           const heal = w.cut([es[1]!.host], [hosts[i]!]);
           const v = (await es[1]!.regs.read(k)) as string[] | undefined;
@@ -498,11 +502,11 @@
     10,
     async ({ stores, edge, pass, wait, w, hosts }) => {
       const a = await edge(1);
-      for (let i = 0; i < 1000; i++) await a.regs.change(`k${i}`, put(i, us.s(15)));
-      for (let i = 0; i < 5; i++) await a.regs.change(`long${i}`, put(i, us.s(9000)));
-      await a.regs.extend(['k3'], wallAt(w, us.s(300)));
+      for (let i = 0; i < 1000; i++) await a.regs.change(`k${i}`, put(i, duration.s(15)));
+      for (let i = 0; i < 5; i++) await a.regs.change(`long${i}`, put(i, duration.s(9000)));
+      await a.regs.extend(['k3'], wallAt(w, duration.s(300)));
       assert.is((await pass(a, false)).purged, 0);
-      await wait(us.s(45));
+      await wait(duration.s(45));
       const r = await pass(a, false);
       assert.ok(r.complete && r.purged === 999 && r.seen === 0, JSON.stringify(r));
       assert.equal(
@@ -517,9 +521,9 @@
       w.kill(hosts[0]!, 'power');
       assert.equal(await a.regs.read('k4'), ['x']);
     },
-    { grace: us.s(20) },
+    { grace: duration.s(20) },
   );
-  for (const grace of [us.s(9), 0, NaN, 1.5e7 + 0.5]) {
+  for (const grace of [duration.s(9), 0, NaN, 1.5e7 + 0.5]) {
     let code = '';
     await stage(11, async () => undefined, { grace }).catch((e: { actual?: unknown }) => (code = String(e.actual)));
     assert.match(code, /grace/);
@@ -530,17 +534,17 @@
     13,
     async ({ w, hosts, stores, edge, pass, wait }) => {
       const a = await edge(1);
-      for (const k of ['x', 'y', 'z']) await a.regs.change(k, put(k, us.s(5)));
+      for (const k of ['x', 'y', 'z']) await a.regs.change(k, put(k, duration.s(5)));
       const group = stores.get(1)!.group();
       type Due = { keys: [string, [number, string]][] };
       const ask = <T>(kind: string, body: object): Promise<T> =>
-        a.rpc.ask<T>(at(1), kind, { to: 'k1', group, ...body }, us.s(1));
+        a.rpc.request<T>(at(1), kind, { to: 'k1', group, ...body }, duration.s(1));
       const due = async (): Promise<Due['keys']> => (await ask<Due>('reg.due', { limit: 10 })).keys;
-      await wait(us.s(10));
+      await wait(duration.s(10));
       assert.equal(await due(), []);
       // The grace counts from the last thing that needed it: the third has one more change.
-      await a.regs.change('z', put('z', us.s(5)));
-      await wait(us.s(15));
+      await a.regs.change('z', put('z', duration.s(5)));
+      await wait(duration.s(15));
       const keys = await due();
       assert.equal(keys.map(([k]) => k).sort(), ['x', 'y']);
       const dropped = async (body: object): Promise<number> =>
@@ -548,24 +552,24 @@
       const [[x, ballotOfX], [y]] = keys as [Due['keys'][0], Due['keys'][0]];
       assert.is(await dropped({ keys: [[x, [99, 'other']]] }), 0, 'another ballot');
       assert.is(
-        await dropped({ keys: [[x, ballotOfX]], wall: wallAt(w, -us.s(20)) }),
+        await dropped({ keys: [[x, ballotOfX]], wall: wallAt(w, -duration.s(20)) }),
         0,
         "the sweep's wall is earlier",
       );
       assert.is(await dropped({ keys: [['z', ballotOfX]] }), 0);
-      await a.regs.change(y, put('again', us.s(500)));
+      await a.regs.change(y, put('again', duration.s(500)));
       assert.is(await dropped({ keys }), 1, 'one was changed after it was listed');
       assert.is(stores.get(1)!.size(), 2);
-      await wait(us.s(30));
+      await wait(duration.s(30));
       // A store whose clock is behind does not agree yet.
-      hosts[2]!.skew = -us.s(300);
+      hosts[2]!.skew = -duration.s(300);
       assert.is((await pass(a, false)).purged, 0);
       hosts[2]!.skew = 0;
-      await wait(us.s(40));
+      await wait(duration.s(40));
       assert.ok((await pass(a, false)).purged >= 1);
       assert.is(await a.regs.read(y), 'again');
     },
-    { grace: us.s(15) },
+    { grace: duration.s(15) },
   ));
 test('a copy that was dropped everywhere but at one store does not hide what is written after it', async () => {
   for (let seed = 1; seed <= 6; seed++)
@@ -574,22 +578,22 @@
       async ({ w, hosts, edge, pass, wait }) => {
         const a = await edge(1);
         // Many changes, so that its ballots are high.
-        for (let i = 0; i < 20; i++) await a.regs.change('k', put(i, us.s(5)));
-        await wait(us.s(40));
+        for (let i = 0; i < 20; i++) await a.regs.change('k', put(i, duration.s(5)));
+        await wait(duration.s(40));
         // Store 3 answers what is due, and the word to drop it does not reach it.
         let heal = (): void => undefined;
-        w.at(w.now() + us.ms(4) + w.rand.int(us.ms(3)), () => (heal = w.cut([a.host], [hosts[2]!])));
+        w.at(w.now() + duration.ms(4) + w.rand.int(duration.ms(3)), () => (heal = w.cut([a.host], [hosts[2]!])));
         await pass(a, false);
         heal();
         const b = await edge(2);
-        await b.regs.change('k', put('again', us.s(500)));
+        await b.regs.change('k', put('again', duration.s(500)));
         for (const i of [0, 1, 2]) {
           const healOne = w.cut([b.host], [hosts[i]!]);
           assert.is(await b.regs.read('k'), 'again', `seed ${seed}, without store ${i + 1}`);
           healOne();
         }
       },
-      { grace: us.s(20) },
+      { grace: duration.s(20) },
     );
 });
 
@@ -599,16 +603,16 @@
     const [a, b] = [await edge(1), await edge(2)];
     await a.regs.change('warm', put(1));
     await b.regs.change('warm', put(2));
-    await wait(us.s(1));
-    const c = await cost(w, () => a.regs.change('k', append('a'), us.s(2), fresh));
+    await wait(duration.s(1));
+    const c = await cost(w, () => a.regs.change('k', append('a'), duration.s(2), fresh));
     assert.equal([c.frames, a.regs.counts().opened], [6, 1]);
-    assert.ok(c.took < us.ms(5), `${c.took}`);
+    assert.ok(c.took < duration.ms(5), `${c.took}`);
     assert.equal(await b.regs.read('k'), ['a']);
-    assert.equal(await b.regs.change('k', append('b'), us.s(2), fresh), ['a']);
+    assert.equal(await b.regs.change('k', append('b'), duration.s(2), fresh), ['a']);
     assert.is(b.regs.counts().opened, 0);
     // What was opened promises the next ballot, too: until another came.
-    await a.regs.change('own', append('1'), us.s(2), fresh);
-    await wait(us.s(1));
+    await a.regs.change('own', append('1'), duration.s(2), fresh);
+    await wait(duration.s(1));
     assert.is((await cost(w, () => a.regs.change('own', append('2')))).frames, 6);
     assert.equal(await b.regs.read('own'), ['1', '2']);
   }));
@@ -617,16 +621,16 @@
     await stage(21, async ({ w, hosts, edge, wait }) => {
       const a = await edge(1);
       await a.regs.change('warm', put(1));
-      await wait(us.s(1));
-      const took = async (key: string): Promise<Us> =>
-        (await cost(w, () => a.regs.change(key, append('x'), us.s(2), fresh))).took;
+      await wait(duration.s(1));
+      const took = async (key: string): Promise<Microseconds> =>
+        (await cost(w, () => a.regs.change(key, append('x'), duration.s(2), fresh))).took;
       const usual = (await cost(w, () => a.regs.change('usual', append('x')))).took;
       if (how === 'lost') w.kill(hosts[2]!, 'power');
       else if (how === 'cut') w.cut([a.host], [hosts[2]!]);
       else w.freeze(hosts[2]!);
       const [first, next] = [await took('k1'), await took('k2')];
-      assert.ok(first < usual + us.ms(20), `${how}: the first took ${first}, usual is ${usual}`);
-      assert.ok(next < usual + us.ms(3), `${how}: the next took ${next}, usual is ${usual}`);
+      assert.ok(first < usual + duration.ms(20), `${how}: the first took ${first}, usual is ${usual}`);
+      assert.ok(next < usual + duration.ms(3), `${how}: the next took ${next}, usual is ${usual}`);
       assert.is(a.regs.counts().openings, 1);
       const reader = await edge(2);
       assert.equal(await reader.regs.read('k1'), ['x']);
@@ -639,12 +643,12 @@
       await a.regs.change(key, append('a'));
       await b.regs.change(key, append('b'));
     }
-    await wait(us.s(1));
+    await wait(duration.s(1));
     const plain = await cost(w, () => b.regs.change('l', append('b')));
     const refused = await cost(w, () => a.regs.change('k', append('a')));
-    const told = await cost(w, () => a.regs.change('l', append('a'), us.s(2), { past: 16 }));
+    const told = await cost(w, () => a.regs.change('l', append('a'), duration.s(2), { past: 16 }));
     assert.equal([plain.frames, refused.frames, told.frames], [6, 18, 12]);
-    assert.ok(refused.took < 3 * plain.took + us.ms(1), `${refused.took} us, a usual change takes ${plain.took}`);
+    assert.ok(refused.took < 3 * plain.took + duration.ms(1), `${refused.took} us, a usual change takes ${plain.took}`);
     assert.equal(await b.regs.read('k'), ['a', 'b', 'a']);
     assert.equal(await b.regs.read('l'), ['a', 'b', 'b', 'a']);
   }));
@@ -653,17 +657,17 @@
     await stage(23, async ({ w, hosts, edge, wait }) => {
       const a = await edge(1);
       await a.regs.change('warm', put(1));
-      await wait(us.s(1));
-      await a.regs.change('k', put('v'), us.s(2), fresh);
+      await wait(duration.s(1));
+      await a.regs.change('k', put('v'), duration.s(2), fresh);
       assert.is(a.regs.counts().opened, 1);
       // Store 2 alone has this one: its opening was never decided, nor told to be.
       const heal = w.cut([a.host], [hosts[0]!, hosts[2]!]);
-      await a.regs.change('alone', put('w'), us.ms(100), fresh).catch(() => undefined);
+      await a.regs.change('alone', put('w'), duration.ms(100), fresh).catch(() => undefined);
       heal();
       w.kill(hosts[lost]!, 'power');
       const b = await edge(2);
       const { rounds } = b.regs.counts();
-      const got = await b.regs.readMany(['k', 'alone', 'none'], us.s(2), { once: true });
+      const got = await b.regs.readMany(['k', 'alone', 'none'], duration.s(2), { once: true });
       assert.equal(got, ['v', lost === 1 ? undefined : 'w', undefined], `without store ${lost + 1}`);
       assert.is(b.regs.counts().rounds, rounds, 'no ballot for it');
     });
@@ -672,11 +676,11 @@
   stage(22, async ({ w, hosts, edge, wait, boot }) => {
     const a = await edge(1);
     await a.regs.change('warm', put(1));
-    await wait(us.s(1));
+    await wait(duration.s(1));
     // Stores 1 and 2 take it, store 3 and its proposer do not get further.
     w.cut([a.host], [hosts[2]!]);
-    void a.regs.change('k', append('a'), us.s(2), fresh).catch(() => undefined);
-    await wait(us.ms(4));
+    void a.regs.change('k', append('a'), duration.s(2), fresh).catch(() => undefined);
+    await wait(duration.ms(4));
     w.kill(a.host, 'power');
     // Store 1 is not there: store 2 alone has it.
     const b = await edge(2);
@@ -692,15 +696,15 @@
   stage(26, async ({ w, hosts, edge, wait }) => {
     const [a, b, c] = [await edge(1), await edge(2, (id) => (id === 'k3' ? 0 : 1)), await edge(3)];
     for (const x of [a, b, c]) await x.regs.change('warm', put(1));
-    await wait(us.s(1));
+    await wait(duration.s(1));
     const heal = w.cut([a.host], [hosts[0]!, hosts[1]!]);
-    assert.is(await codeOf(a.regs.change('k', append('1'), us.ms(20), fresh)), 'no-majority');
+    assert.is(await codeOf(a.regs.change('k', append('1'), duration.ms(20), fresh)), 'no-majority');
     heal();
-    await wait(us.s(1));
-    void a.regs.change('k', append('2'), us.s(2), fresh).catch(() => undefined);
-    await wait(us.ms(2));
+    await wait(duration.s(1));
+    void a.regs.change('k', append('2'), duration.s(2), fresh).catch(() => undefined);
+    await wait(duration.ms(2));
     w.kill(a.host, 'power');
-    await wait(us.ms(2));
+    await wait(duration.ms(2));
     assert.is(a.regs.counts().openings, 2);
     const [first, next] = [await b.regs.read('k'), await c.regs.read('k')];
     assert.equal(first, next, 'two readers were told of two values');
@@ -709,13 +713,13 @@
 const strayed = async (s: Stage, n: number, key: string, reached: number[]): Promise<void> => {
   const e = await s.edge(n);
   await e.regs.change(`warm${n}`, put(1));
-  await s.wait(us.s(1));
+  await s.wait(duration.s(1));
   s.w.cut(
     [e.host],
     s.hosts.filter((_, i) => !reached.includes(i + 1)),
   );
-  void e.regs.change(key, append(`stray${n}`), us.s(2), fresh).catch(() => undefined);
-  await s.wait(us.ms(5));
+  void e.regs.change(key, append(`stray${n}`), duration.s(2), fresh).catch(() => undefined);
+  await s.wait(duration.ms(5));
   s.w.kill(e.host, 'power');
 };
 test('a store that comes back into the group with its old disk does not bring back what it held', async () => {
@@ -730,8 +734,8 @@
       group(2, [1, 2]);
       assert.ok((await pass(a, true)).complete);
       await a.regs.change('warm', put(1));
-      await wait(us.s(1));
-      await a.regs.change('k', append('a'), us.s(2), fresh);
+      await wait(duration.s(1));
+      await a.regs.change('k', append('a'), duration.s(2), fresh);
       assert.is(a.regs.counts().opened, 1);
       if (seed % 2) {
         w.start(hosts[2]!);
@@ -740,9 +744,9 @@
       group(3, [1, 2, 3]);
       w.kill(hosts[0]!, 'power');
       const b = await edge(2);
-      assert.equal(await b.regs.read('k', us.s(4)), ['a'], `seed ${seed}`);
+      assert.equal(await b.regs.read('k', duration.s(4)), ['a'], `seed ${seed}`);
       assert.ok((await pass(b, true)).complete);
-      assert.equal(await b.regs.read('k', us.s(4)), ['a']);
+      assert.equal(await b.regs.read('k', duration.s(4)), ['a']);
     });
   assert.is(at3, 8);
 });
@@ -752,8 +756,8 @@
       const { w, hosts, stores, edge, group, pass, boot, wait } = s;
       const a = await edge(1);
       await a.regs.change('warm', put(1));
-      await wait(us.s(1));
-      for (const key of ['k', 'l']) await a.regs.change(key, append('a'), us.s(2), fresh);
+      await wait(duration.s(1));
+      for (const key of ['k', 'l']) await a.regs.change(key, append('a'), duration.s(2), fresh);
       assert.is(a.regs.counts().opened, 2);
       await boot(4);
       group(2, [2, 3]);
@@ -763,19 +767,19 @@
       await strayed(s, 5, 'k', [4]);
       assert.is(stores.get(4)!.counts().opened, 0, 'an opening before it was filled');
       w.kill(hosts[1]!, 'power');
-      assert.equal(await (await edge(2)).regs.read('k', us.s(4)), ['a'], `seed ${seed}`);
+      assert.equal(await (await edge(2)).regs.read('k', duration.s(4)), ['a'], `seed ${seed}`);
       w.start(hosts[1]!);
       await boot(2);
-      await wait(us.s(3));
+      await wait(duration.s(3));
       assert.ok((await pass(a, false)).complete);
       for (const i of [2, 3, 4]) {
         w.kill(hosts[i - 1]!, 'power');
         w.start(hosts[i - 1]!);
         await boot(i);
       }
-      await wait(us.s(3));
+      await wait(duration.s(3));
       await a.regs.change('warm', put(1));
-      await a.regs.change('new', append('a'), us.s(2), fresh);
+      await a.regs.change('new', append('a'), duration.s(2), fresh);
       assert.is(a.regs.counts().opened, 3);
       assert.equal(await (await edge(3)).regs.readMany(['k', 'l', 'new']), [['a'], ['a'], ['a']]);
     });
@@ -787,19 +791,19 @@
       const { w, hosts, edge, pass, wait, boot } = s;
       const a = await edge(1);
       // The floor rises with a key that was changed many times.
-      for (let i = 0; i < 9; i++) await a.regs.change('other', put(i, us.s(1)));
+      for (let i = 0; i < 9; i++) await a.regs.change('other', put(i, duration.s(1)));
       w.kill(hosts[2]!, 'power');
       await a.regs.change('k', put('was there'));
       w.start(hosts[2]!);
       await boot(3);
-      await wait(us.s(60));
+      await wait(duration.s(60));
       // As the sweep does, but without mending 'k' at store 3.
       const drop = async (): Promise<void> => {
         const group = s.stores.get(1)!.group()!;
         for (const i of [1, 2, 3]) {
           const ask = <T>(kind: string, body: object): Promise<T> =>
-            a.rpc.ask<T>(at(i), kind, { to: `k${i}`, group, ...body }, us.s(1));
-          const due = await ask<{ keys: [string, Ballot][]; wall: Us }>('reg.due', { limit: 9 });
+            a.rpc.request<T>(at(i), kind, { to: `k${i}`, group, ...body }, duration.s(1));
+          const due = await ask<{ keys: [string, Ballot][]; wall: Microseconds }>('reg.due', { limit: 9 });
           await ask('reg.drop', { keys: due.keys, wall: due.wall });
         }
       };
@@ -810,14 +814,14 @@
         [0, 1],
       );
       w.kill(hosts[0]!, 'power');
-      assert.is(await (await edge(2)).regs.read('k', us.s(4)), 'was there');
+      assert.is(await (await edge(2)).regs.read('k', duration.s(4)), 'was there');
       w.start(hosts[0]!);
       await boot(1);
       await pass(a, false);
-      await wait(us.s(1));
+      await wait(duration.s(1));
       assert.is((await pass(a, false)).ranges, 0, 'the opening was not overwritten');
     },
-    { grace: us.s(10) },
+    { grace: duration.s(10) },
   ));
 test('what was opened is like any other at rest: not listed by a sweep, dropped in time, and opened again', () =>
   stage(
@@ -825,52 +829,52 @@
     async ({ edge, pass, wait, stores }) => {
       const a = await edge(1);
       await a.regs.change('warm', put(1));
-      await wait(us.s(1));
-      for (let i = 0; i < 30; i++) await a.regs.change(`k${i}`, put(i, us.s(5)), us.s(2), fresh);
+      await wait(duration.s(1));
+      for (let i = 0; i < 30; i++) await a.regs.change(`k${i}`, put(i, duration.s(5)), duration.s(2), fresh);
       const r = await pass(a, false);
       assert.equal([r.complete, r.ranges, a.regs.counts().opened], [true, 0, 30]);
       assert.equal(await a.regs.extend(['k0', 'k1'], 4e15), []);
-      await wait(us.s(40));
+      await wait(duration.s(40));
       assert.is((await pass(a, false)).purged, 28);
       const group = stores.get(1)!.group()!;
       const late = { to: 'k1', group, key: 'k9', op: 'x.1', ballot: [1, 'x'], next: [2, 'x'] };
       const held = { value: 'late', until: 4e15, ops: ['x.1'] };
-      const q = await a.rpc.ask<{ ok: boolean }>(at(1), 'reg.open', { ...late, held }, us.s(1));
+      const q = await a.rpc.request<{ ok: boolean }>(at(1), 'reg.open', { ...late, held }, duration.s(1));
       assert.is(q.ok, false, 'an old opening came back');
       const b = await edge(2);
       await b.regs.change('warm', put(2));
-      await wait(us.s(1));
-      await b.regs.change('k9', put('again'), us.s(2), fresh);
+      await wait(duration.s(1));
+      await b.regs.change('k9', put('again'), duration.s(2), fresh);
       assert.is(b.regs.counts().opened, 1);
       assert.equal(await a.regs.readMany(['k0', 'k1', 'k9', 'k2']), [0, 1, 'again', undefined]);
     },
-    { grace: us.s(10) },
+    { grace: duration.s(10) },
   ));
 
 /** A store of the release before: whole groups only, one key at a time, no extensions; it keeps nothing on disk. */
 const formerStore = async (w: World, host: Host, i: number): Promise<void> => {
   const runtime = w.runtime(host);
   const p = await rpc.open(runtime, at(i));
-  type Copy = { promised: Ballot; accepted: Ballot; held: Held | null; touched: Us };
+  type Copy = { promised: Ballot; accepted: Ballot; held: Held | null; touched: Microseconds };
   type Ask = { to: string; group: Group; key: string; ballot: Ballot; held: Held | null; next: Ballot | null };
   const all = new Map<string, Copy>();
   const none: Copy = { promised: [0, ''], accepted: [0, ''], held: null, touched: 0 };
-  const base = { to: shape.text, group: shape.has({ mark: shape.whole }), key: shape.text };
+  const base = { to: validate.string, group: validate.object({ mark: validate.integer }), key: validate.string };
   const answer = (key: string, copy: Copy): object => {
     all.set(key, copy);
     return { ok: true, copy, wall: runtime.clock.wall() };
   };
-  p.on<Ask>('reg.prepare', shape.has({ ...base, ballot: shape.ballot }), (m) => {
+  p.on<Ask>('reg.prepare', validate.object({ ...base, ballot: validate.ballot }), (m) => {
     const cur = all.get(m.key) ?? none;
     if (ballot.cmp(m.ballot, cur.promised) <= 0) return { ok: false, why: 'ballot', promised: cur.promised };
     return answer(m.key, { ...cur, promised: m.ballot });
   });
-  p.on<Ask>('reg.accept', shape.has({ ...base, ballot: shape.ballot }), (m) => {
+  p.on<Ask>('reg.accept', validate.object({ ...base, ballot: validate.ballot }), (m) => {
     const cur = all.get(m.key) ?? none;
     if (ballot.cmp(m.ballot, cur.promised) < 0) return { ok: false, why: 'ballot', promised: cur.promised };
     return answer(m.key, { promised: m.next ?? m.ballot, accepted: m.ballot, held: m.held, touched: 1 });
   });
-  p.on<Ask>('reg.read', shape.has(base), (m) => answer(m.key, all.get(m.key) ?? none));
+  p.on<Ask>('reg.read', validate.object(base), (m) => answer(m.key, all.get(m.key) ?? none));
 };
 test('stores of the release before take part: changes, reservations, reads of many keys, extensions', () =>
   stage(14, async ({ w, hosts, edge, wait }) => {
@@ -883,10 +887,10 @@
     await a.regs.reserve('x');
     assert.equal(await a.regs.change('x', append('1')), []);
     assert.equal(await b.regs.change('x', append('2')), ['1']);
-    await b.regs.change('y', put('y', us.s(10)));
+    await b.regs.change('y', put('y', duration.s(10)));
     assert.equal(await a.regs.readMany(['x', 'none', 'y']), [['1', '2'], undefined, 'y']);
-    assert.equal(await a.regs.extend(['y', 'none'], wallAt(w, us.s(500))), ['none']);
-    await wait(us.s(100));
+    assert.equal(await a.regs.extend(['y', 'none'], wallAt(w, duration.s(500))), ['none']);
+    await wait(duration.s(100));
     w.kill(hosts[0]!, 'power');
     assert.is(await b.regs.read('y'), 'y');
   }));
@@ -897,36 +901,40 @@
     await formerStore(w, hosts[2]!, 3);
     const [a, b] = [await edge(1), await edge(2)];
     await a.regs.change('warm', put(1));
-    for (let i = 0; i < 5; i++) await a.regs.change(`k${i}`, append('a'), us.s(2), fresh);
+    for (let i = 0; i < 5; i++) await a.regs.change(`k${i}`, append('a'), duration.s(2), fresh);
     assert.equal([a.regs.counts().opened, a.regs.counts().openings], [0, 1]);
-    for (let i = 0; i < 5; i++) assert.equal(await b.regs.change(`k${i}`, append('b'), us.s(2), fresh), ['a']);
+    for (let i = 0; i < 5; i++) assert.equal(await b.regs.change(`k${i}`, append('b'), duration.s(2), fresh), ['a']);
   }));
 test('proposers and sweeps of the release before are answered as they were', () =>
   stage(
     15,
     async ({ w, stores, edge, wait }) => {
       const a = await edge(1);
-      await a.regs.change('k', put('v', us.s(5)));
-      await wait(us.s(1));
+      await a.regs.change('k', put('v', duration.s(5)));
+      await wait(duration.s(1));
       const group = stores.get(1)!.group()!;
       const ask = <T>(kind: string, body: object): Promise<T> =>
-        a.rpc.ask<T>(at(1), kind, { to: 'k1', group, key: 'k', ...body }, us.s(1));
-      type Old = { ok: boolean; copy: { promised: Ballot; accepted: Ballot; held: Held; touched: Us }; wall: Us };
+        a.rpc.request<T>(at(1), kind, { to: 'k1', group, key: 'k', ...body }, duration.s(1));
+      type Old = {
+        ok: boolean;
+        copy: { promised: Ballot; accepted: Ballot; held: Held; touched: Microseconds };
+        wall: Microseconds;
+      };
       const p = await ask<Old>('reg.prepare', { ballot: [50, 'old'] });
       assert.equal([p.copy.promised, p.copy.held.value], [[50, 'old'], 'v']);
-      const held = { value: 'w', until: wallAt(w, us.s(5)), ops: ['old.1'] };
+      const held = { value: 'w', until: wallAt(w, duration.s(5)), ops: ['old.1'] };
       const acc = await ask<Old>('reg.accept', { ballot: [50, 'old'], held, next: [51, 'old'] });
       assert.equal([acc.copy.promised, acc.copy.accepted, acc.copy.held], [[51, 'old'], [50, 'old'], held]);
       assert.equal((await ask<Old>('reg.read', {})).copy, acc.copy);
       const purge = (): Promise<{ ok: boolean }> => ask('reg.purge', { ballot: [50, 'old'], wall: wallAt(w, 0) });
       assert.is((await purge()).ok, false);
-      await wait(us.s(20));
+      await wait(duration.s(20));
       assert.is((await purge()).ok, true);
       type Refused = { ok: boolean; promised: Ballot };
       const low = await ask<Refused>('reg.prepare', { ballot: [51, 'old'] });
       assert.equal([low.ok, low.promised[0]], [false, 51], 'a ballot of what was dropped is used again');
       assert.ok((await ask<Old>('reg.prepare', { ballot: [52, 'old'] })).ok);
     },
-    { grace: us.s(10) },
+    { grace: duration.s(10) },
   ));
 test.run();
--- a/packages/rpc/src/index.ts
+++ b/packages/rpc/src/index.ts
@@ -1,24 +1,24 @@
 // connection: framed devalue between siblings; ask, tell, and polite rejection of foreign protocol marks (§3.1).
 import { parse, stringify } from 'devalue';
-import { fault, us, type Runtime, type Place, type Us } from '@thornsail/runtime';
-import type { Shape } from './shape.js';
+import { fault, duration, type Runtime, type Address, type Microseconds } from '@thornsail/runtime';
+import type { Validator } from './validate.js';
 
-export { shape, type Shape } from './shape.js';
+export { validate, type Validator } from './validate.js';
 
 /** The protocol mark this build speaks, and the oldest it still understands (§3.4). */
 export const protocol = { mark: 1, oldest: 1 };
 
 type Frame = { p: number; k: 'tell' | 'ask' | 'result' | 'fault'; t: string; n: string; b: unknown };
 export type Rpc = {
-  at: Place;
-  tell: (to: Place, kind: string, body: unknown) => void;
+  at: Address;
+  notify: (to: Address, kind: string, body: unknown) => void;
   /** The same to several, encoded once. */
-  tellAll: (tos: readonly Place[], kind: string, body: unknown) => void;
-  ask: <T>(to: Place, kind: string, body: unknown, timeLeft?: Us) => Promise<T>;
+  notifyAll: (tos: readonly Address[], kind: string, body: unknown) => void;
+  request: <T>(to: Address, kind: string, body: unknown, timeLeft?: Microseconds) => Promise<T>;
   /** The same ask to several, encoded once; one result for each, in their order. */
-  askAll: <T>(tos: Place[], kind: string, body: unknown, timeLeft?: Us) => Promise<T>[];
+  requestAll: <T>(tos: Address[], kind: string, body: unknown, timeLeft?: Microseconds) => Promise<T>[];
   /** A body that has not this shape is refused before `fn` sees it. */
-  on: <B>(kind: string, ok: Shape, fn: (body: B, from: Place) => unknown) => void;
+  on: <B>(kind: string, ok: Validator, fn: (body: B, from: Address) => unknown) => void;
   counts: () => { sent: number; got: number };
   close: () => Promise<void>;
 };
@@ -36,27 +36,27 @@
 };
 
 export const rpc = {
-  open: async (runtime: Runtime, at: Place): Promise<Rpc> => {
+  open: async (runtime: Runtime, at: Address): Promise<Rpc> => {
     const log = runtime.log('pipe');
-    const handlers = new Map<string, (body: unknown, from: Place) => unknown>();
+    const handlers = new Map<string, (body: unknown, from: Address) => unknown>();
     // Results come over the sibling's own connection, so one for this place's former process may still be on its way:
     // the numbers of two processes must never meet.
     const self = runtime.rand.id().slice(0, 10);
     /** By the ask's number and the place that was asked: one ask may go to several. */
-    const open = new Map<string, { done: (v: unknown) => void; fail: (e: Error) => void; to: Place; kind: string }>();
+    const open = new Map<string, { done: (v: unknown) => void; fail: (e: Error) => void; to: Address; kind: string }>();
     let n = 0;
     const c = { sent: 0, got: 0 };
     let closed = false;
     const encode = (f: Omit<Frame, 'p'>): string => stringify({ p: protocol.mark, ...f });
-    const sendText = (to: Place, text: string): void => {
+    const sendText = (to: Address, text: string): void => {
       if (closed) return;
       c.sent += 1;
       frames.send(to, text);
     };
-    const send = (to: Place, f: Omit<Frame, 'p'>): void => {
+    const send = (to: Address, f: Omit<Frame, 'p'>): void => {
       if (!closed) sendText(to, encode(f));
     };
-    const settle = (from: Place, f: Frame): void => {
+    const settle = (from: Address, f: Frame): void => {
       const id = `${f.n} ${from}`;
       const w = open.get(id);
       if (!w) return;
@@ -64,10 +64,10 @@
       if (f.k === 'result') w.done(f.b);
       else w.fail(fault.make({ step: w.kind, sibling: from, code: 'remote' }, String(f.b)));
     };
-    const rejectFrame = (from: Place, f: Frame, text: string): void => {
+    const rejectFrame = (from: Address, f: Frame, text: string): void => {
       if (f.k === 'ask') send(from, { k: 'fault', t: f.t, n: f.n, b: text });
     };
-    const serve = (from: Place, f: Frame): void => {
+    const serve = (from: Address, f: Frame): void => {
       const h = handlers.get(f.t);
       if (!h) return rejectFrame(from, f, `no such message: ${f.t}`);
       const run = Promise.resolve().then(() => h(f.b, from));
@@ -78,7 +78,7 @@
       );
     };
     /** False if the frame cannot be read; its connection is broken off then. */
-    const got = (from: Place, text: string): boolean => {
+    const got = (from: Address, text: string): boolean => {
       if (closed) return true;
       c.got += 1;
       const f = read(text);
@@ -90,12 +90,12 @@
       } else serve(from, f);
       return true;
     };
-    const bad = (from: Place, why: string): void => log(`broke off the connection from ${from}: ${why}.`);
+    const bad = (from: Address, why: string): void => log(`broke off the connection from ${from}: ${why}.`);
     /**
      * A broken connection ends the asks that went over it at once, with their outcome unknown, instead of at their
      * limit.
      */
-    const down = (to: Place): void => {
+    const down = (to: Address): void => {
       for (const [id, w] of open)
         if (w.to === to) {
           open.delete(id);
@@ -109,9 +109,9 @@
       if (!h) throw fault.make({ step: kind, sibling: frames.at }, 'no such message');
       return (await h(parse(stringify(body)), frames.at)) as T;
     };
-    const wait = <T>(to: Place, kind: string, id: string, timeLeft: Us): Promise<T> =>
+    const wait = <T>(to: Address, kind: string, id: string, timeLeft: Microseconds): Promise<T> =>
       new Promise((done, fail) => {
-        const stop = runtime.clock.tick(timeLeft, () => {
+        const stop = runtime.clock.schedule(timeLeft, () => {
           open.delete(id);
           fail(fault.make({ step: kind, sibling: to, code: 'late' }, 'no result in time'));
         });
@@ -128,10 +128,15 @@
           },
         });
       });
-    const askAll = <T>(tos: Place[], kind: string, body: unknown, timeLeft: Us = us.ms(500)): Promise<T>[] => {
+    const askAll = <T>(
+      tos: Address[],
+      kind: string,
+      body: unknown,
+      timeLeft: Microseconds = duration.ms(500),
+    ): Promise<T>[] => {
       const id = `${self}.${++n}`;
       let text: string | undefined;
-      const one = async (to: Place): Promise<T> => {
+      const one = async (to: Address): Promise<T> => {
         if (to === frames.at) return askHere<T>(kind, body);
         text ??= encode({ k: 'ask', t: kind, n: id, b: body });
         const result = wait<T>(to, kind, `${id} ${to}`, timeLeft);
@@ -140,7 +145,7 @@
       };
       return tos.map(one);
     };
-    const tellAll = (tos: readonly Place[], kind: string, body: unknown): void => {
+    const tellAll = (tos: readonly Address[], kind: string, body: unknown): void => {
       if (closed) return;
       let text: string | undefined;
       for (const to of tos)
@@ -149,13 +154,14 @@
     };
     return {
       at: frames.at,
-      tell: (to, kind, body) => tellAll([to], kind, body),
-      tellAll,
-      ask: <T>(to: Place, kind: string, body: unknown, timeLeft?: Us) => askAll<T>([to], kind, body, timeLeft)[0]!,
-      askAll,
+      notify: (to, kind, body) => tellAll([to], kind, body),
+      notifyAll: tellAll,
+      request: <T>(to: Address, kind: string, body: unknown, timeLeft?: Microseconds) =>
+        askAll<T>([to], kind, body, timeLeft)[0]!,
+      requestAll: askAll,
       on: (kind, ok, fn) =>
         void handlers.set(kind, (body, from) => {
-          if (ok(body)) return (fn as (body: unknown, from: Place) => unknown)(body, from);
+          if (ok(body)) return (fn as (body: unknown, from: Address) => unknown)(body, from);
           throw fault.make({ step: kind, sibling: from, code: 'malformed' }, 'a message of another shape');
         }),
       counts: () => ({ ...c }),
--- a/packages/rpc/test/connection.test.ts
+++ b/packages/rpc/test/connection.test.ts
@@ -2,7 +2,7 @@
 import net from 'node:net';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { fault, real, us, type Runtime, type Place } from '@thornsail/runtime';
+import { fault, real, duration, type Runtime, type Address } from '@thornsail/runtime';
 import { rpc, type Rpc } from '@thornsail/rpc';
 
 const host = `127.${64 + (process.pid % 150)}.14.1`;
@@ -34,9 +34,9 @@
 
 test('what is written to one connection within a turn of the event loop goes out together', async () => {
   const { a, b } = await pair();
-  await a.ask(b.at, 'double', { n: 1 });
+  await a.request(b.at, 'double', { n: 1 });
   const before = written();
-  const got = await Promise.all(Array.from({ length: 100 }, (_, n) => a.ask<number>(b.at, 'double', { n })));
+  const got = await Promise.all(Array.from({ length: 100 }, (_, n) => a.request<number>(b.at, 'double', { n })));
   assert.equal(
     got,
     [...got.keys()].map((n) => n * 2),
@@ -46,15 +46,15 @@
 });
 test('what was written just before the end of a connection still arrives', async () => {
   const { a, b } = await pair();
-  await a.ask(b.at, 'double', { n: 1 });
+  await a.request(b.at, 'double', { n: 1 });
   const heard = new Promise<string>((done) => b.on<string>('last', () => true, done));
-  a.tell(b.at, 'last', 'words');
+  a.notify(b.at, 'last', 'words');
   await a.close();
   assert.is(await heard, 'words');
   await b.close();
 });
 test('an ask to several is encoded once, and each result, fault and limit is its own', async () => {
-  const sent: { to: Place; text: string }[] = [];
+  const sent: { to: Address; text: string }[] = [];
   const runtime = real.runtime('/nonexistent');
   const spied: Runtime = {
     ...runtime,
@@ -83,7 +83,9 @@
   const silent = net.createServer((s) => s.resume()).listen(0, host);
   await new Promise((up) => silent.once('listening', up));
   const nobody = `${host}:${(silent.address() as net.AddressInfo).port}`;
-  const all = await Promise.allSettled(me.askAll<number>([a.at, b.at, nobody, me.at], 'double', body, us.ms(300)));
+  const all = await Promise.allSettled(
+    me.requestAll<number>([a.at, b.at, nobody, me.at], 'double', body, duration.ms(300)),
+  );
   const codes = all.map((r) => (r.status === 'fulfilled' ? r.value : fault.info(r.reason).code));
   assert.equal(codes, [8, 'remote', 'late', 80]);
   assert.is(new Set(sent.map((s) => s.text)).size, 1);
--- a/packages/rpc/test/damage.test.ts
+++ b/packages/rpc/test/damage.test.ts
@@ -2,7 +2,7 @@
 import net from 'node:net';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { real, seeded, us, type Runtime } from '@thornsail/runtime';
+import { real, seeded, duration, type Runtime } from '@thornsail/runtime';
 import { rpc, type Rpc } from '@thornsail/rpc';
 
 const host = `127.${64 + (process.pid % 150)}.13.1`;
@@ -63,7 +63,7 @@
   for (const [what, bytes, closes] of cases) {
     const how = await throwAt(a.at, bytes);
     if (closes) assert.is(how, 'closed', what);
-    assert.is(await b.ask<number>(a.at, 'double', { n: 21 }, us.s(2)), 42, `after ${what}`);
+    assert.is(await b.request<number>(a.at, 'double', { n: 21 }, duration.s(2)), 42, `after ${what}`);
   }
   assert.ok(
     logs.some((l) => l.includes(`${host}:7777`)),
@@ -83,7 +83,7 @@
     const bytes = r.int(2) ? raw : Buffer.concat([frame(`${host}:7778`), frame(text), frame(raw)]);
     await throwAt(a.at, bytes);
   }
-  assert.is(await b.ask<number>(a.at, 'double', { n: 4 }, us.s(2)), 8);
+  assert.is(await b.request<number>(a.at, 'double', { n: 4 }, duration.s(2)), 8);
   await close();
 });
 test.run();
--- a/packages/rpc/test/identity.test.ts
+++ b/packages/rpc/test/identity.test.ts
@@ -1,25 +1,25 @@
 // An answer belongs to the request whose identity it carries, whatever has become of connections and processes (§3.1).
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { fault, real, seeded, time, us, type Runtime, type Net, type Place } from '@thornsail/runtime';
-import { rpc, shape, type Rpc } from '@thornsail/rpc';
+import { fault, real, seeded, time, duration, type Runtime, type Net, type Address } from '@thornsail/runtime';
+import { rpc, validate, type Rpc } from '@thornsail/rpc';
 
-type Sent = { from: Place; to: Place; text: string };
+type Sent = { from: Address; to: Address; text: string };
 /** Frames are delivered when the test says so, in any order, also twice, also to a process that came later. */
 const postbox = (): {
-  open: (at: Place) => Promise<Rpc>;
+  open: (at: Address) => Promise<Rpc>;
   waiting: Sent[];
   deliver: (sent: Sent) => void;
-  breaks: (at: Place, to: Place) => void;
+  breaks: (at: Address, to: Address) => void;
 } => {
   const waiting: Sent[] = [];
-  const nodes = new Map<Place, { take: (from: Place, text: string) => boolean; down: (to: Place) => void }>();
+  const nodes = new Map<Address, { take: (from: Address, text: string) => boolean; down: (to: Address) => void }>();
   const frames: Net['frames'] = async (at, take, down) => {
     nodes.set(at, { take, down: down ?? (() => undefined) });
     return { at, send: (to, text) => void waiting.push({ from: at, to, text }), close: async () => undefined };
   };
   const base = real.runtime('/nonexistent');
-  const open = (at: Place): Promise<Rpc> => rpc.open({ ...base, net: { ...base.net, frames } } as Runtime, at);
+  const open = (at: Address): Promise<Rpc> => rpc.open({ ...base, net: { ...base.net, frames } } as Runtime, at);
   return {
     open,
     waiting,
@@ -28,11 +28,11 @@
   };
 };
 const [clientAt, serverAt, otherAt] = ['10.0.0.1:1', '10.0.0.2:1', '10.0.0.3:1'];
-const settled = (): Promise<void> => time.sleep(real.runtime('/nonexistent').clock, us.ms(5));
+const settled = (): Promise<void> => time.sleep(real.runtime('/nonexistent').clock, duration.ms(5));
 const codeOf = (work: Promise<unknown>): Promise<unknown> => work.catch((e: unknown) => fault.info(e).code);
-const echoing = async (open: (at: Place) => Promise<Rpc>, at: Place, name: string): Promise<Rpc> => {
+const echoing = async (open: (at: Address) => Promise<Rpc>, at: Address, name: string): Promise<Rpc> => {
   const server = await open(at);
-  server.on<string>('echo', shape.text, (text) => `${name}: ${text}`);
+  server.on<string>('echo', validate.string, (text) => `${name}: ${text}`);
   return server;
 };
 
@@ -40,11 +40,11 @@
   const box = postbox();
   await echoing(box.open, serverAt, 'server');
   const client = await box.open(clientAt);
-  const first = codeOf(client.ask(serverAt, 'echo', 'first', us.ms(10)));
+  const first = codeOf(client.request(serverAt, 'echo', 'first', duration.ms(10)));
   box.deliver(box.waiting.shift()!);
   await settled();
   assert.is(await first, 'late');
-  const second = client.ask<string>(serverAt, 'echo', 'second', us.s(1));
+  const second = client.request<string>(serverAt, 'echo', 'second', duration.s(1));
   const [late, ask] = box.waiting.splice(0);
   box.deliver(late!);
   box.deliver(ask!);
@@ -56,12 +56,12 @@
   const box = postbox();
   await echoing(box.open, serverAt, 'server');
   const client = await box.open(clientAt);
-  const first = codeOf(client.ask(serverAt, 'echo', 'first', us.s(1)));
+  const first = codeOf(client.request(serverAt, 'echo', 'first', duration.s(1)));
   box.deliver(box.waiting.shift()!);
   await settled();
   box.breaks(clientAt, serverAt);
   assert.is(await first, 'down');
-  const second = client.ask<string>(serverAt, 'echo', 'second', us.s(1));
+  const second = client.request<string>(serverAt, 'echo', 'second', duration.s(1));
   const [late, ask] = box.waiting.splice(0);
   box.deliver(late!);
   box.deliver(late!);
@@ -74,12 +74,12 @@
   const box = postbox();
   await echoing(box.open, serverAt, 'server');
   const former = await box.open(clientAt);
-  void codeOf(former.ask(serverAt, 'echo', 'of the former', us.ms(10)));
+  void codeOf(former.request(serverAt, 'echo', 'of the former', duration.ms(10)));
   box.deliver(box.waiting.shift()!);
   await settled();
   await former.close();
   const later = await box.open(clientAt);
-  const mine = later.ask<string>(serverAt, 'echo', 'mine', us.s(1));
+  const mine = later.request<string>(serverAt, 'echo', 'mine', duration.s(1));
   const [late, ask] = box.waiting.splice(0);
   box.deliver(late!);
   box.deliver(ask!);
@@ -92,7 +92,7 @@
   await echoing(box.open, serverAt, 'server');
   await echoing(box.open, otherAt, 'other');
   const client = await box.open(clientAt);
-  const all = client.askAll<string>([serverAt, otherAt], 'echo', 'both', us.s(1));
+  const all = client.requestAll<string>([serverAt, otherAt], 'echo', 'both', duration.s(1));
   for (const sent of box.waiting.splice(0).reverse()) box.deliver(sent);
   await settled();
   for (const sent of box.waiting.splice(0)) box.deliver(sent);
@@ -116,7 +116,7 @@
           answered += 1;
           if (got !== `${name}: ${text}`) wrong.push(`${got} for ${text}`);
         };
-        asked.push(client.ask<string>(to, 'echo', text, us.ms(40)).then(note, () => undefined));
+        asked.push(client.request<string>(to, 'echo', text, duration.ms(40)).then(note, () => undefined));
         await undefined;
         for (let n = random.int(4); n > 0 && box.waiting.length; n--) {
           const at = random.int(box.waiting.length);
--- a/packages/runtime/src/frames.ts
+++ b/packages/runtime/src/frames.ts
@@ -3,7 +3,7 @@
  * of which names the sender.
  */
 import net from 'node:net';
-import { fault, place, type Frames, type Net, type Place } from './index.js';
+import { fault, address, type FrameTransport, type Net, type Address } from './index.js';
 
 /** Bytes. A longer frame breaks its connection off. */
 const maxFrame = 16 << 20;
@@ -66,11 +66,11 @@
 /** Reads the frames of a peer that has connected, until it goes or sends a bad one. */
 const receive = (socket: net.Socket, onFrame: FrameListener, onBad: BadListener): void => {
   socket.setNoDelay(true);
-  let from: Place | undefined;
+  let from: Address | undefined;
   // The first frame names the sender; whatever cannot be one breaks the connection, and nothing else.
   const take = (text: string): boolean => {
     if (from !== undefined) return onFrame(from, text);
-    if (place.ok(text)) from = text;
+    if (address.ok(text)) from = text;
     return from !== undefined;
   };
   const read = frameReader(take, (why) => {
@@ -82,8 +82,8 @@
 };
 
 /** Connects to a peer from `self`; `onClose` is called when that connection is over, however it ended. */
-const connectTo = (to: Place, self: Place, onClose: (socket: net.Socket) => void): net.Socket => {
-  const socket = net.connect({ host: place.host(to), port: place.port(to), localAddress: place.host(self) });
+const connectTo = (to: Address, self: Address, onClose: (socket: net.Socket) => void): net.Socket => {
+  const socket = net.connect({ host: address.host(to), port: address.port(to), localAddress: address.host(self) });
   socket.setNoDelay(true);
   socket.on('error', () => undefined);
   socket.on('close', () => onClose(socket));
@@ -104,17 +104,17 @@
  */
 export const frames: Net['frames'] = (at, onFrame, onDown, onBad) =>
   new Promise((done, fail) => {
-    const outgoing = new Map<Place, net.Socket>();
+    const outgoing = new Map<Address, net.Socket>();
     const incoming = new Set<net.Socket>();
     const write = frameWriter();
-    let self: Place = at;
+    let self: Address = at;
     let closing = false;
     const server = net.createServer((socket) => {
       incoming.add(socket);
       receive(socket, onFrame, onBad);
       socket.on('close', () => incoming.delete(socket));
     });
-    const connect = (to: Place): net.Socket => {
+    const connect = (to: Address): net.Socket => {
       const socket = connectTo(to, self, (closed) => {
         if (outgoing.get(to) === closed) outgoing.delete(to);
         if (!closing) onDown?.(to);
@@ -123,13 +123,13 @@
       write(socket, self);
       return socket;
     };
-    const send: Frames['send'] = (to, text) => {
+    const send: FrameTransport['send'] = (to, text) => {
       const known = outgoing.get(to);
       const socket = !known || known.destroyed ? connect(to) : known;
       if (socket.writableLength < maxBuffered) write(socket, text);
     };
     server.on('error', (error) => fail(fault.make({ step: 'frames.bind', sibling: at }, error.message, error)));
-    server.listen(place.port(at), place.host(at), () => {
+    server.listen(address.port(at), address.host(at), () => {
       const address = server.address() as net.AddressInfo;
       self = `${address.address}:${address.port}`;
       done({
--- a/packages/runtime/src/http-client.ts
+++ b/packages/runtime/src/http-client.ts
@@ -2,7 +2,7 @@
 import { Agent, Client, request, type Dispatcher } from 'undici';
 import { connector } from './connector.js';
 import { flatHeaders } from './headers.js';
-import { fault, us, type HttpCall, type HttpResult, type Us } from './index.js';
+import { fault, duration, type HttpClientRequest, type HttpClientResponse, type Microseconds } from './index.js';
 
 const neverSent = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'EADDRNOTAVAIL', 'UND_ERR_CONNECT_TIMEOUT']);
 const agent = new Agent({
@@ -19,7 +19,7 @@
 const textOf = async function* (
   body: Dispatcher.ResponseData['body'],
   at: string,
-  silence: Us,
+  silence: Microseconds,
   over: () => void,
 ): AsyncIterable<string> {
   const decoder = new TextDecoder();
@@ -52,7 +52,7 @@
  * cannot have reached the peer. The body throws step `http.body` if it breaks off, or after `silence` (microseconds,
  * 30 s if absent) without a piece. With `fresh` the call has a connection of its own, which ends with it.
  */
-export const call = async (options: HttpCall): Promise<HttpResult> => {
+export const call = async (options: HttpClientRequest): Promise<HttpClientResponse> => {
   const own = options.fresh
     ? new Client(`http://${options.at}`, {
         connect: connector.open({ timeout: 800 }),
@@ -84,7 +84,7 @@
   } finally {
     clearTimeout(late);
   }
-  const silence = options.silence ?? us.s(30);
+  const silence = options.silence ?? duration.s(30);
   const cut = (): void => {
     response.body.on('error', () => undefined);
     response.body.destroy();
--- a/packages/runtime/src/http-server.ts
+++ b/packages/runtime/src/http-server.ts
@@ -5,18 +5,18 @@
 import { flatHeaders } from './headers.js';
 import {
   fault,
-  place,
-  type HttpAsk,
+  address,
+  type HttpRequest,
   type HttpHandler,
   type HttpLimits,
-  type HttpSay,
+  type HttpResponseWriter,
   type Net,
-  type Stop,
+  type Cancel,
 } from './index.js';
 
 const closeListeners = new WeakMap<net.Socket, Set<() => void>>();
 /** One listener for each socket, however many requests its client has sent ahead. */
-const onSocketClose = (socket: net.Socket, fn: () => void): Stop => {
+const onSocketClose = (socket: net.Socket, fn: () => void): Cancel => {
   const known = closeListeners.get(socket);
   const listeners = known ?? new Set();
   listeners.add(fn);
@@ -32,7 +32,10 @@
  * When the client has gone or the answer is over. An answer that waits behind another one of its connection has no
  * socket yet, and isn't told of its end by Node: the request's socket is.
  */
-const departure = (req: http.IncomingMessage, res: http.ServerResponse): Pick<HttpSay, 'gone' | 'onGone'> => {
+const departure = (
+  req: http.IncomingMessage,
+  res: http.ServerResponse,
+): Pick<HttpResponseWriter, 'gone' | 'onGone'> => {
   const { socket } = req;
   const gone = (): boolean => res.destroyed || socket.destroyed;
   const onGone = (fn: () => void): void => {
@@ -53,7 +56,7 @@
   const names = Array.isArray(headers) ? headers.filter((_, i) => i % 2 === 0) : Object.keys(headers);
   return names.some((name: string) => name.toLowerCase() === 'content-length');
 };
-const say = (req: http.IncomingMessage, res: http.ServerResponse): HttpSay => {
+const say = (req: http.IncomingMessage, res: http.ServerResponse): HttpResponseWriter => {
   const { gone, onGone } = departure(req, res);
   let framed = false;
   return {
@@ -82,7 +85,7 @@
 /** A handler as Node's own servers and polka call it. */
 export type Listener = (req: http.IncomingMessage, res: http.ServerResponse, next?: () => void) => void;
 /** Most requests are passed on as bytes: their text and query are made only if somebody reads them. */
-const asked = (req: http.IncomingMessage, url: URL, bytes: Buffer, tooBig: boolean): HttpAsk => {
+const asked = (req: http.IncomingMessage, url: URL, bytes: Buffer, tooBig: boolean): HttpRequest => {
   let text: string | undefined;
   let query: Record<string, string> | undefined;
   const ask = {
@@ -97,7 +100,7 @@
   return Object.defineProperties(ask, {
     body: { get: () => (text ??= bytes.toString('utf8')), enumerable: true },
     query: { get: () => (query ??= Object.fromEntries(url.searchParams)), enumerable: true },
-  }) as unknown as HttpAsk;
+  }) as unknown as HttpRequest;
 };
 const addressOf = (req: http.IncomingMessage): URL | undefined => {
   try {
@@ -204,7 +207,7 @@
       onNoMatch: (req, res) => listen(req as unknown as http.IncomingMessage, res as http.ServerResponse),
     });
     server.on('error', (cause) => fail(fault.make({ step: 'http.bind', sibling: at }, cause.message, cause)));
-    app.listen(place.port(at), place.host(at), () => {
+    app.listen(address.port(at), address.host(at), () => {
       const bound = server.address() as net.AddressInfo;
       done({
         at: `${bound.address}:${bound.port}`,
--- a/packages/runtime/src/index.ts
+++ b/packages/runtime/src/index.ts
@@ -3,32 +3,32 @@
 import VError from 'verror';
 
 /** Whole microseconds. */
-export type Us = number;
-export const us = {
-  ms: (n: number): Us => Math.round(n * 1_000),
-  s: (n: number): Us => Math.round(n * 1_000_000),
-  toMs: (t: Us): number => Math.round(t / 1_000),
+export type Microseconds = number;
+export const duration = {
+  ms: (n: number): Microseconds => Math.round(n * 1_000),
+  s: (n: number): Microseconds => Math.round(n * 1_000_000),
+  toMs: (t: Microseconds): number => Math.round(t / 1_000),
 };
 
 /** "ip:port", by number. */
-export type Place = string;
-export const place = {
-  host: (at: Place): string => at.slice(0, at.lastIndexOf(':')),
-  port: (at: Place): number => Number(at.slice(at.lastIndexOf(':') + 1)),
-  ok: (at: unknown): at is Place =>
-    typeof at === 'string' && /^(\d{1,3}\.){3}\d{1,3}:\d{1,5}$/.test(at) && place.port(at) <= 65_535,
+export type Address = string;
+export const address = {
+  host: (at: Address): string => at.slice(0, at.lastIndexOf(':')),
+  port: (at: Address): number => Number(at.slice(at.lastIndexOf(':') + 1)),
+  ok: (at: unknown): at is Address =>
+    typeof at === 'string' && /^(\d{1,3}\.){3}\d{1,3}:\d{1,5}$/.test(at) && address.port(at) <= 65_535,
 };
 
-export type Stop = () => void;
+export type Cancel = () => void;
 export type Clock = {
   /** Monotonic; means nothing outside this process. */
-  now: () => Us;
+  now: () => Microseconds;
   /** Wall time since 1970, for what must be read by others. */
-  wall: () => Us;
-  tick: (after: Us, fn: () => void) => Stop;
+  wall: () => Microseconds;
+  schedule: (after: Microseconds, fn: () => void) => Cancel;
 };
 
-export type Rand = { next: () => number; int: (below: number) => number; id: () => string };
+export type Random = { next: () => number; int: (below: number) => number; id: () => string };
 
 /**
  * One file for one name. `put` resolves once the bytes are synced under their name (§6.1). It fails with code `full`
@@ -50,9 +50,9 @@
   drop: (name: string) => Promise<void>;
 };
 
-export type Frames = { at: Place; send: (to: Place, text: string) => void; close: () => Promise<void> };
+export type FrameTransport = { at: Address; send: (to: Address, text: string) => void; close: () => Promise<void> };
 
-export type HttpAsk = {
+export type HttpRequest = {
   method: string;
   path: string;
   query: Record<string, string>;
@@ -66,7 +66,7 @@
   body: string;
   tooBig: boolean;
 };
-export type HttpSay = {
+export type HttpResponseWriter = {
   head: (status: number, headers: Record<string, string> | readonly string[]) => void;
   /** False when the reader is slow: wait for `drained` before the next piece. */
   write: (piece: string | Uint8Array) => boolean;
@@ -77,21 +77,21 @@
   gone: () => boolean;
   onGone: (fn: () => void) => void;
 };
-export type HttpHandler = (ask: HttpAsk, say: HttpSay) => void | Promise<void>;
-export type HttpCall = {
-  at: Place;
+export type HttpHandler = (ask: HttpRequest, say: HttpResponseWriter) => void | Promise<void>;
+export type HttpClientRequest = {
+  at: Address;
   method: string;
   path: string;
   headers?: Record<string, string>;
   body?: string;
   /** Limit for the head of the result. */
-  timeLeft: Us;
+  timeLeft: Microseconds;
   /** Limit for silence within the body. */
-  silence?: Us;
+  silence?: Microseconds;
   /** Never reuse a kept connection (§5.4). */
   fresh?: boolean;
 };
-export type HttpResult = {
+export type HttpClientResponse = {
   status: number;
   headers: Record<string, string>;
   body: AsyncIterable<string>;
@@ -123,7 +123,7 @@
   close: () => void;
 };
 /** A whole body as text. */
-export const wholeText = async (body: AsyncIterable<string>): Promise<string> => {
+export const readText = async (body: AsyncIterable<string>): Promise<string> => {
   let s = '';
   for await (const p of body) s += p;
   return s;
@@ -133,31 +133,31 @@
   maxBody: () => number;
   /** Fixed at the start. */
   maxHeader?: number;
-  headersWithin?: () => Us;
-  idleFor?: () => Us;
+  headersWithin?: () => Microseconds;
+  idleFor?: () => Microseconds;
 };
-export type HttpServer = { at: Place; close: () => Promise<void> };
+export type HttpServer = { at: Address; close: () => Promise<void> };
 export type Net = {
   /**
    * `onDown` says that the connection to a sibling broke or did not come up: what was sent may or may not have
    * arrived.
    */
   frames: (
-    at: Place,
+    at: Address,
     /** False if the frame could not be read: its connection is broken off. */
-    onFrame: (from: Place, text: string) => boolean,
-    onDown?: (to: Place) => void,
+    onFrame: (from: Address, text: string) => boolean,
+    onDown?: (to: Address) => void,
     /** A connection was broken off for what came over it. */
-    onBad?: (from: Place, why: string) => void,
-  ) => Promise<Frames>;
-  serve: (at: Place, handler: HttpHandler, limits: number | HttpLimits) => Promise<HttpServer>;
-  call: (c: HttpCall) => Promise<HttpResult>;
+    onBad?: (from: Address, why: string) => void,
+  ) => Promise<FrameTransport>;
+  serve: (at: Address, handler: HttpHandler, limits: number | HttpLimits) => Promise<HttpServer>;
+  call: (c: HttpClientRequest) => Promise<HttpClientResponse>;
   /** Not opened before its first exchange; that fails if it does not come up within `connectWithin`. */
-  connect: (at: Place, o: { connectWithin: Us; onClosed?: () => void }) => Connection;
+  connect: (at: Address, o: { connectWithin: Microseconds; onClosed?: () => void }) => Connection;
 };
 
 export type Log = (text: string) => void;
-export type Runtime = { clock: Clock; rand: Rand; disk: Disk; net: Net; log: (part: string) => Log };
+export type Runtime = { clock: Clock; rand: Random; disk: Disk; net: Net; log: (part: string) => Log };
 
 /** Errors carry the step and the sibling at which they arose (§2.4). */
 export type FaultInfo = { step: string; sibling?: string; sent?: boolean; code?: string };
@@ -214,14 +214,14 @@
 };
 
 export const time = {
-  sleep: (clock: Clock, after: Us): Promise<void> => new Promise((done) => void clock.tick(after, done)),
+  sleep: (clock: Clock, after: Microseconds): Promise<void> => new Promise((done) => void clock.schedule(after, done)),
   /** Calls fn every `every`; a slow or failed round delays the next, never overlaps it. */
-  every: (clock: Clock, every: Us, fn: () => void | Promise<void>): Stop => {
+  every: (clock: Clock, every: Microseconds, fn: () => void | Promise<void>): Cancel => {
     let off = false;
-    let stop: Stop = () => undefined;
+    let stop: Cancel = () => undefined;
     const again = (): void => {
       if (!off)
-        stop = clock.tick(
+        stop = clock.schedule(
           every,
           () =>
             void Promise.resolve()
@@ -236,9 +236,9 @@
       stop();
     };
   },
-  limit: <T>(clock: Clock, left: Us, work: Promise<T>, late: () => Error): Promise<T> =>
+  limit: <T>(clock: Clock, left: Microseconds, work: Promise<T>, late: () => Error): Promise<T> =>
     new Promise((done, fail) => {
-      const stop = clock.tick(left, () => fail(late()));
+      const stop = clock.schedule(left, () => fail(late()));
       work.then(
         (v) => {
           stop();
@@ -263,6 +263,7 @@
     return h >>> 0;
   },
 };
+export { errorCatalogue, type ErrorCatalogue, type ErrorDetails, type ErrorEntry } from './errors.js';
 export { seeded } from './seeded.js';
 export { files, type FileCalls } from './data-folder.js';
 export { real } from './real.js';
--- a/packages/runtime/src/real.ts
+++ b/packages/runtime/src/real.ts
@@ -6,14 +6,14 @@
 import { frames } from './frames.js';
 import { call } from './http-client.js';
 import { listener, serve } from './http-server.js';
-import { type Clock, type Runtime, type Rand } from './index.js';
+import { type Clock, type Runtime, type Random } from './index.js';
 
 const clock: Clock = {
   now: () => Number(process.hrtime.bigint() / 1000n),
   // The system's clock as it is now: it follows corrections, which the process's own origin does not.
   // eslint-disable-next-line no-restricted-syntax
   wall: () => Date.now() * 1000,
-  tick: (after, fn) => {
+  schedule: (after, fn) => {
     const t = setTimeout(fn, Math.max(0, after / 1000));
     return () => clearTimeout(t);
   },
@@ -30,7 +30,7 @@
   randomUsed += n;
   return randomUsed - n;
 };
-const rand: Rand = {
+const rand: Random = {
   next: () => randomPool.readUInt32BE(randomAt(4)) / 4_294_967_296,
   int: (below) => Math.floor(rand.next() * below),
   id: () => {
--- a/packages/runtime/src/seeded.ts
+++ b/packages/runtime/src/seeded.ts
@@ -1,7 +1,7 @@
-import type { Rand } from './index.js';
+import type { Random } from './index.js';
 
 /** A seeded random source (sfc32). The same seed gives the same run (§9.2). */
-export const seeded = (seed: number): Rand => {
+export const seeded = (seed: number): Random => {
   let a = 0x9e3779b9 ^ seed,
     b = 0x243f6a88,
     c = 0xb7e15162,
--- a/packages/runtime/test/answers.test.ts
+++ b/packages/runtime/test/answers.test.ts
@@ -3,10 +3,10 @@
 import net from 'node:net';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { real, time, us, wholeText, type Connection } from '@thornsail/runtime';
+import { real, time, duration, readText, type Connection } from '@thornsail/runtime';
 
 const runtime = real.runtime('/nonexistent');
-const connectWithin = us.ms(500);
+const connectWithin = duration.ms(500);
 type Got = { status: number; body: string; how: 'end' | 'fail' | 'silent'; sent: boolean };
 
 const listen = async (onSocket: (socket: net.Socket) => void): Promise<{ at: string; close: () => Promise<void> }> => {
@@ -27,7 +27,7 @@
 const exchange = (connection: Connection, target: string, body: Uint8Array | null = null): Promise<Got> =>
   new Promise((done) => {
     const got: Got = { status: 0, body: '', how: 'end', sent: false };
-    runtime.clock.tick(us.s(1), () => done({ ...got, how: 'silent' }));
+    runtime.clock.schedule(duration.s(1), () => done({ ...got, how: 'silent' }));
     connection.exchange(
       {
         method: body ? 'POST' : 'GET',
@@ -144,7 +144,7 @@
       assert.is(next.how, 'fail');
       assert.not.ok(asked.includes('/second'), 'the second request has left');
     }
-    await time.sleep(runtime.clock, us.ms(60));
+    await time.sleep(runtime.clock, duration.ms(60));
     assert.is(connection.open(), one.again);
     connection.close();
     await server.close();
@@ -159,9 +159,9 @@
           ended(socket, one.ending);
         }),
       );
-      const call = { at: server.at, method: 'GET', path: '/', timeLeft: us.s(1), fresh };
+      const call = { at: server.at, method: 'GET', path: '/', timeLeft: duration.s(1), fresh };
       const text = await runtime.net.call(call).then(
-        (result) => wholeText(result.body).catch(() => null),
+        (result) => readText(result.body).catch(() => null),
         () => null,
       );
       assert.is(text, one.whole ? 'ok' : null, fresh ? 'fresh' : 'kept');
@@ -194,7 +194,7 @@
   const next = await exchange(connection, '/second');
   assert.is(next.how, 'fail');
   assert.not.ok(next.sent);
-  await time.sleep(runtime.clock, us.ms(400));
+  await time.sleep(runtime.clock, duration.ms(400));
   assert.is(strange, 0);
   assert.ok(read < size);
   connection.close();
--- a/packages/runtime/test/clients.test.ts
+++ b/packages/runtime/test/clients.test.ts
@@ -2,15 +2,23 @@
 import net from 'node:net';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { place, real, time, us, type HttpAsk, type HttpSay, type HttpServer } from '@thornsail/runtime';
+import {
+  address,
+  real,
+  time,
+  duration,
+  type HttpRequest,
+  type HttpResponseWriter,
+  type HttpServer,
+} from '@thornsail/runtime';
 
 const runtime = real.runtime('/nonexistent');
-const sleep = (ms: number): Promise<void> => time.sleep(runtime.clock, us.ms(ms));
+const sleep = (ms: number): Promise<void> => time.sleep(runtime.clock, duration.ms(ms));
 type Client = { socket: net.Socket; text: () => string; closed: () => 'no' | 'close' | 'reset' };
 const client = (at: string, text: string): Client => {
   let got = '';
   let closed: 'no' | 'close' | 'reset' = 'no';
-  const socket = net.connect({ host: place.host(at), port: place.port(at) }, () => socket.write(text));
+  const socket = net.connect({ host: address.host(at), port: address.port(at) }, () => socket.write(text));
   socket.on('data', (bytes: Buffer) => void (got += bytes.toString('latin1')));
   socket.on('error', () => void (closed = 'reset'));
   socket.on('close', () => void (closed = closed === 'reset' ? 'reset' : 'close'));
@@ -22,10 +30,13 @@
 };
 const get = (path: string, version = '1.1'): string => `GET ${path} HTTP/${version}\r\nhost: x\r\n\r\n`;
 const serving = async (
-  handler: (request: HttpAsk, say: HttpSay) => void | Promise<void>,
+  handler: (request: HttpRequest, say: HttpResponseWriter) => void | Promise<void>,
   run: (server: HttpServer) => Promise<void>,
 ): Promise<void> => {
-  const server = await runtime.net.serve('127.0.0.1:0', handler, { maxBody: () => 1 << 20, idleFor: () => us.ms(300) });
+  const server = await runtime.net.serve('127.0.0.1:0', handler, {
+    maxBody: () => 1 << 20,
+    idleFor: () => duration.ms(300),
+  });
   try {
     await run(server);
   } finally {
@@ -54,7 +65,7 @@
 });
 test('a second request on a connection whose client leaves is told too', async () => {
   const told: string[] = [];
-  const seen: HttpSay[] = [];
+  const seen: HttpResponseWriter[] = [];
   await serving(
     (request, say) => {
       seen.push(say);
@@ -147,7 +158,7 @@
   );
 });
 test('what is said after the client has gone, or after the end, goes nowhere', async () => {
-  let late: HttpSay | undefined;
+  let late: HttpResponseWriter | undefined;
   await serving(
     (_request, say) => {
       late = say;
--- a/packages/runtime/test/closing.test.ts
+++ b/packages/runtime/test/closing.test.ts
@@ -2,7 +2,7 @@
 import net from 'node:net';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { place, real, time, us, type HttpSay, type Place } from '@thornsail/runtime';
+import { address, real, time, duration, type HttpResponseWriter, type Address } from '@thornsail/runtime';
 
 const runtime = real.runtime('/nonexistent');
 /** More than the system's buffers of a loopback connection take from a server whose client does not read. */
@@ -10,8 +10,8 @@
 const answer = 'x'.repeat(answerBytes);
 
 /** Sends one request and reads nothing before `resume`; `read` gives the bytes received once the connection ended. */
-const slowClient = (at: Place): { resume: () => void; read: Promise<number>; leave: () => void } => {
-  const socket = net.connect({ host: place.host(at), port: place.port(at) });
+const slowClient = (at: Address): { resume: () => void; read: Promise<number>; leave: () => void } => {
+  const socket = net.connect({ host: address.host(at), port: address.port(at) });
   let received = 0;
   socket.pause();
   socket.write('GET / HTTP/1.1\r\nhost: x\r\n\r\n');
@@ -28,12 +28,12 @@
 /** Serves the long answer once and tells when its handler has ended it. */
 const serveOnce = async (
   headers: Record<string, string>,
-): Promise<{ at: Place; close: () => Promise<void>; answered: Promise<void> }> => {
+): Promise<{ at: Address; close: () => Promise<void>; answered: Promise<void> }> => {
   let onAnswered: () => void;
   const answered = new Promise<void>((done) => {
     onAnswered = done;
   });
-  const handler = async (_: unknown, say: HttpSay): Promise<void> => {
+  const handler = async (_: unknown, say: HttpResponseWriter): Promise<void> => {
     say.head(200, headers);
     say.end(answer);
     onAnswered();
@@ -51,7 +51,7 @@
     const client = slowClient(server.at);
     await server.answered;
     const closed = server.close();
-    await time.sleep(runtime.clock, us.ms(100));
+    await time.sleep(runtime.clock, duration.ms(100));
     client.resume();
     assert.ok((await client.read) > answerBytes, 'the whole answer and its head are received');
     await closed;
@@ -63,7 +63,7 @@
   await server.answered;
   const begun = runtime.clock.now();
   await server.close();
-  assert.ok(runtime.clock.now() - begun < us.s(8));
+  assert.ok(runtime.clock.now() - begun < duration.s(8));
   client.leave();
 });
 
@@ -71,10 +71,10 @@
   const server = await runtime.net.serve('127.0.0.1:0', async (_, say) => say.end(''), 1000);
   const client = slowClient(server.at);
   client.resume();
-  await time.sleep(runtime.clock, us.ms(100));
+  await time.sleep(runtime.clock, duration.ms(100));
   const begun = runtime.clock.now();
   await server.close();
-  assert.ok(runtime.clock.now() - begun < us.s(1));
+  assert.ok(runtime.clock.now() - begun < duration.s(1));
   assert.ok((await client.read) > 0);
 });
 
--- a/packages/runtime/test/http.test.ts
+++ b/packages/runtime/test/http.test.ts
@@ -2,12 +2,12 @@
 import net from 'node:net';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { fault, place, real, us } from '@thornsail/runtime';
+import { fault, address, real, duration } from '@thornsail/runtime';
 
 const raw = (at: string, text: string): Promise<string> =>
   new Promise((done) => {
     let got = '';
-    const s = net.connect({ host: place.host(at), port: place.port(at) }, () => s.write(text));
+    const s = net.connect({ host: address.host(at), port: address.port(at) }, () => s.write(text));
     s.on('data', (d: Buffer) => {
       got += d.toString();
     });
@@ -41,7 +41,7 @@
 });
 test('"not sent" is said only when nothing was', async () => {
   const refused = await runtime.net
-    .call({ at: '127.0.0.1:1', method: 'GET', path: '/', timeLeft: us.s(1) })
+    .call({ at: '127.0.0.1:1', method: 'GET', path: '/', timeLeft: duration.s(1) })
     .catch((e: unknown) => e);
   assert.ok(fault.notSent(refused));
   // A server that takes the request and drops the connection: whether it ran is not known.
@@ -54,7 +54,7 @@
   const at = `127.0.0.1:${(server.address() as net.AddressInfo).port}`;
   for (const fresh of [true, false]) {
     const lost = await runtime.net
-      .call({ at, method: 'POST', path: '/', body: '{}', timeLeft: us.s(2), fresh })
+      .call({ at, method: 'POST', path: '/', body: '{}', timeLeft: duration.s(2), fresh })
       .catch((e: unknown) => e);
     assert.ok(lost instanceof Error);
     assert.not.ok(fault.notSent(lost));
--- a/packages/service-catalog/src/index.ts
+++ b/packages/service-catalog/src/index.ts
@@ -1,10 +1,19 @@
 // service catalog: the platform that lists the workers and marks those that are leaving (§3.8).
-import { fault, place, time, us, wholeText, type Runtime, type Place, type Us } from '@thornsail/runtime';
+import {
+  fault,
+  address,
+  time,
+  duration,
+  readText,
+  type Runtime,
+  type Address,
+  type Microseconds,
+} from '@thornsail/runtime';
 
 /** What is left out is not known from the list: the configuration says it, or the worker itself. */
 export type PlatformWorker = {
   id: string;
-  at: Place;
+  at: Address;
   kind: 'model' | 'app';
   leaving: boolean;
   service?: string;
@@ -14,7 +23,7 @@
 };
 
 /** How long an empty list has to stand before it is believed. */
-const emptyFor = us.s(30);
+const emptyFor = duration.s(30);
 
 /** Application workers may go by a deployment's own name for them (table, intake). */
 const parse = (raw: string): PlatformWorker[] => {
@@ -25,7 +34,7 @@
     const w = u as Record<string, unknown>;
     if (typeof u !== 'object' || u === null) return [];
     const at = typeof w['address'] === 'string' ? w['address'].replace(/^http:\/\//, '').replace(/\/$/, '') : '';
-    if (typeof w['id'] !== 'string' || w['id'] === '' || !place.ok(at)) return [];
+    if (typeof w['id'] !== 'string' || w['id'] === '' || !address.ok(at)) return [];
     return [
       {
         id: w['id'],
@@ -37,10 +46,10 @@
   });
 };
 
-const ownFormat = async (runtime: Runtime, platform: Place): Promise<PlatformWorker[]> => {
-  const limit = us.ms(700);
+const ownFormat = async (runtime: Runtime, platform: Address): Promise<PlatformWorker[]> => {
+  const limit = duration.ms(700);
   const r = await runtime.net.call({ at: platform, method: 'GET', path: '/workers', timeLeft: limit, silence: limit });
-  const list = parse(await wholeText(r.body));
+  const list = parse(await readText(r.body));
   if (r.status !== 200) throw new Error(`status ${r.status}`);
   return list;
 };
@@ -50,14 +59,14 @@
     runtime: Runtime;
     /** How the list is read; left out: by our own format, at `platform`. */
     read?: () => Promise<PlatformWorker[]>;
-    platform?: Place;
-    every?: Us;
+    platform?: Address;
+    every?: Microseconds;
     /** Whether the list is to be read now: one reader of many is enough (§3.8). */
     due?: () => boolean;
     onList: (list: PlatformWorker[]) => void;
-  }): { okAt: () => Us | undefined; close: () => void } => {
+  }): { okAt: () => Microseconds | undefined; close: () => void } => {
     const log = o.runtime.log('service catalog');
-    let okAt: Us | undefined;
+    let okAt: Microseconds | undefined;
     let failed = false;
     let lastNamed = -Infinity;
     let notBefore = -Infinity;
@@ -78,12 +87,12 @@
         o.onList(list);
       } catch (e) {
         // An ill platform is not asked by everybody all the time.
-        notBefore = o.runtime.clock.now() + us.ms(400 + o.runtime.rand.int(400));
+        notBefore = o.runtime.clock.now() + duration.ms(400 + o.runtime.rand.int(400));
         if (!failed) log(`no list of workers: ${fault.text(e)}.`);
         failed = true;
       }
     };
     void poll();
-    return { okAt: () => okAt, close: time.every(o.runtime.clock, o.every ?? us.ms(500), poll) };
+    return { okAt: () => okAt, close: time.every(o.runtime.clock, o.every ?? duration.ms(500), poll) };
   },
 };
--- a/packages/token-budget/src/index.ts
+++ b/packages/token-budget/src/index.ts
@@ -1,7 +1,7 @@
 // token budget: a program's token budget across all nodes, as pure changes of its register (§5.3).
-import { invariant, type Us } from '@thornsail/runtime';
+import { invariant, type Microseconds } from '@thornsail/runtime';
 
-export type OpenTurn = { turn: string; by: string; reserved: number; at: Us };
+export type OpenTurn = { turn: string; by: string; reserved: number; at: Microseconds };
 export type BudgetRecord = {
   budget: number;
   spent: number;
@@ -46,7 +46,7 @@
    */
   charge: (
     was: BudgetRecord | undefined,
-    t: { turn: string; by: string; reserve: number; budget: number; at: Us; gone: (o: OpenTurn) => boolean },
+    t: { turn: string; by: string; reserve: number; budget: number; at: Microseconds; gone: (o: OpenTurn) => boolean },
   ): Charge => {
     const p = { ...(was ?? tokenBudget.fresh(t.budget)), budget: t.budget };
     const all = opensOf(p);
--- a/packages/thornsail/src/bin.ts
+++ b/programs/thornsail/src/bin.ts
@@ -19,7 +19,7 @@
   ] ?? '0';
 
 const lists = new Set(['seeds', 'founders']);
-const numbers = new Set(['beatMs', 'tolerates', 'leastKeepers']);
+const numbers = new Set(['beatMs', 'tolerates', 'leastStores']);
 /** A flag's text as its key wants it; what is no number is left for the check to name. */
 const fromFlag = (key: string, v: unknown): unknown => {
   if (lists.has(key)) return String(v).split(',').filter(Boolean);
@@ -186,7 +186,7 @@
   const rl = createInterface({
     input: process.stdin,
     ...(process.stdin.isTTY ? { output: process.stdout } : {}),
-    prompt: 'glass> ',
+    prompt: 'thornsail> ',
   });
   let code = 0;
   rl.prompt();
@@ -245,8 +245,8 @@
         patch: operatorCommand('patch', 'change a part (JSON Merge Patch)', pushArgs, pushed('PATCH')),
       },
     }),
-    queryShell: operatorCommand(
-      'glass',
+    query: operatorCommand(
+      'query',
       "query the fleet's state: one query, or a shell without one",
       { query: { type: 'positional', description: 'a query, quoted', required: false } },
       (a) => shell(String(a['at']), a['query'] as string | undefined, a['json'] === true),
--- a/packages/thornsail/src/operator.ts
+++ b/programs/thornsail/src/operator.ts
@@ -1,5 +1,5 @@
 // Operator commands (§7.3): thin callers of any node's HTTP.
-import { fault, time, us, wholeText, type HttpCall, type Runtime } from '@thornsail/runtime';
+import { fault, time, duration, readText, type HttpClientRequest, type Runtime } from '@thornsail/runtime';
 import { queryShell } from '@thornsail/query-shell';
 import { root } from '@thornsail/admin-api';
 import { patience, survey } from './survey.js';
@@ -56,9 +56,9 @@
 export const operator = {
   open: (o: { runtime: Runtime; out: (t: string) => void; err: (t: string) => void }): Operator => {
     const { runtime, out, err } = o;
-    const call = async (c: Omit<HttpCall, 'timeLeft'>, timeLeft = us.s(8)): Promise<Reply> => {
+    const call = async (c: Omit<HttpClientRequest, 'timeLeft'>, timeLeft = duration.s(8)): Promise<Reply> => {
       const r = await runtime.net.call({ ...c, timeLeft });
-      const text = await wholeText(r.body);
+      const text = await readText(r.body);
       try {
         return { status: r.status, body: JSON.parse(text) as Record<string, unknown> };
       } catch {
@@ -290,7 +290,7 @@
             );
             if (done) return 0;
             method = 'GET';
-            await time.sleep(runtime.clock, us.s(1));
+            await time.sleep(runtime.clock, duration.s(1));
           }
         }),
     };
--- a/packages/thornsail/src/roles.ts
+++ b/programs/thornsail/src/roles.ts
@@ -4,7 +4,16 @@
 import type { GatewayOptions, StoreOptions, AgentOptions, CoordinatorOptions } from '@thornsail/config-schema';
 import { serviceCatalog, type PlatformWorker } from '@thornsail/service-catalog';
 import { registers, store, type Registers } from '@thornsail/register-store';
-import { fault, invariant, time, us, type HttpHandler, type Runtime, type Place, type Us } from '@thornsail/runtime';
+import {
+  fault,
+  invariant,
+  time,
+  duration,
+  type HttpHandler,
+  type Runtime,
+  type Address,
+  type Microseconds,
+} from '@thornsail/runtime';
 import type { WorkerEntry } from '@thornsail/load-balancer';
 import { durableStore } from '@thornsail/durable-files';
 import { membership, type Membership } from '@thornsail/membership';
@@ -18,8 +27,8 @@
 export type Node = {
   id: string;
   role: string;
-  http: Place;
-  place: Place;
+  http: Address;
+  place: Address;
   membership: Membership;
   registers: Registers;
   /** What an operator may ask of this node, for interfaces of one's own. */
@@ -63,7 +72,7 @@
   drain: (o?: Drain) => Promise<void>;
   /** Waits, once the leave is told, until another node has this one's place in its group. */
   replaced?: () => Promise<void>;
-  http: Place;
+  http: Address;
   stop: () => void;
   onFailed?: Node['onFailed'];
   callers?: HttpHandler;
@@ -72,8 +81,8 @@
 };
 
 /** How long a member of a group that ends in order waits for a spare to take its place (§3.3, §6.5). */
-const replacedWithin = us.ms(2500);
-const replacedEvery = us.ms(50);
+const replacedWithin = duration.ms(2500);
+const replacedEvery = duration.ms(50);
 /** Resolves once this node is no member any more, at once if no spare could replace it. */
 const untilReplaced = async (
   runtime: Runtime,
@@ -138,13 +147,13 @@
  * One agent's reading of the list serves all: the first of those that live reads it when the newest list is old enough,
  * the next ones only if nothing came for a while longer (§3.8). Nobody has to be elected, and nobody's loss is felt.
  */
-const listDue = (m: Membership, now: Us): boolean => {
+const listDue = (m: Membership, now: Microseconds): boolean => {
   const read = [...m.dissemination.all('workers/'), ...m.dissemination.all('read/')];
   const newest = Math.max(-Infinity, ...read.map((x) => x.item.at));
   const s = m.state();
   const agents = s ? order.live(s, 'agent').map((n) => n.id) : [];
   const rank = Math.max(0, agents.indexOf(m.id));
-  return now - newest >= us.ms(850) + rank * us.ms(200);
+  return now - newest >= duration.ms(850) + rank * duration.ms(200);
 };
 
 export const roles = {
@@ -196,7 +205,7 @@
       http: o.http,
       zone: o.zone,
       seeds: o.seeds,
-      beat: us.ms(o.beatMs),
+      beat: duration.ms(o.beatMs),
       towers: o.founders,
     });
     here.membership = m;
@@ -246,7 +255,7 @@
       http: o.http,
       zone: o.zone,
       seeds: o.seeds,
-      beat: us.ms(o.beatMs),
+      beat: duration.ms(o.beatMs),
     });
     const regs = registers.open({ runtime, rpc: p, by: `${s.id}.${runtime.rand.id()}`, group: () => groupOf(m) });
     const counts: Record<string, number> = {};
@@ -311,7 +320,7 @@
       http: o.http,
       zone: o.zone,
       seeds: o.seeds,
-      beat: us.ms(o.beatMs),
+      beat: duration.ms(o.beatMs),
     });
     const regs = registers.open({ runtime, rpc: p, by: id, group: () => groupOf(m) });
     let mark = 0;
@@ -323,12 +332,12 @@
     const h = serviceCatalog.open({
       runtime,
       platform: o.platform,
-      ...(read ? { read: () => read(known), due: () => listDue(m, runtime.clock.now()), every: us.ms(100) } : {}),
+      ...(read ? { read: () => read(known), due: () => listDue(m, runtime.clock.now()), every: duration.ms(100) } : {}),
       onList: (list) => {
         const text = JSON.stringify(list);
         const now = runtime.clock.now();
         // An unchanged list is not sent again; that it was read is.
-        if (text === last && now - lastPut < us.s(1.5))
+        if (text === last && now - lastPut < duration.s(1.5))
           return read ? m.dissemination.put(`read/${id}`, ++mark, {}) : undefined;
         last = text;
         lastPut = now;
@@ -372,7 +381,7 @@
       http: o.http,
       zone: o.zone,
       seeds: o.seeds,
-      beat: us.ms(o.beatMs),
+      beat: duration.ms(o.beatMs),
       beside: o.agent,
     });
     const f = dataPlane.open({
--- a/packages/thornsail/src/survey.ts
+++ b/programs/thornsail/src/survey.ts
@@ -1,11 +1,19 @@
 // `thornsail check` (§7.4): looks at every node of the fleet from one of them, and says what an operator should know.
-import { us, type Us } from '@thornsail/runtime';
+import { duration, type Microseconds } from '@thornsail/runtime';
 import { root } from '@thornsail/admin-api';
 
 export type Finding = { severity: 'bad' | 'note'; about: string; text: string };
 type Reply = { status: number; body: Record<string, unknown> };
 export type Get = (at: string, path: string) => Promise<Reply | undefined>;
-type NodeRow = { id: string; name: string; role: string; http: string; zone: string; standing: string; since: Us };
+type NodeRow = {
+  id: string;
+  name: string;
+  role: string;
+  http: string;
+  zone: string;
+  standing: string;
+  since: Microseconds;
+};
 type Group = { group: number; swept: number; draining: string[]; members: { id: string; at: string }[] };
 
 const zonesOf = (ids: string[], nodes: NodeRow[]): string[] =>
@@ -113,4 +121,4 @@
     };
   },
 };
-export const patience = us.s(3);
+export const patience = duration.s(3);
--- a/packages/thornsail/src/sweep-duty.ts
+++ b/programs/thornsail/src/sweep-duty.ts
@@ -1,7 +1,7 @@
 // When a store sweeps (§6.5). Now and then one store does, by a lease. After a change of group the first member that
 // lives does at once, without a lease: the lease may be with the very store that was lost, and two sweeps at once do
 // no harm, as every key is settled by a ballot.
-import { time, us, type Runtime, type Place, type Us } from '@thornsail/runtime';
+import { time, duration, type Runtime, type Address, type Microseconds } from '@thornsail/runtime';
 import { watch } from '@thornsail/leases';
 import type { Membership } from '@thornsail/membership';
 import { sweep, type Group, type Registers, type SweepPace, type SweepResult } from '@thornsail/register-store';
@@ -9,13 +9,13 @@
 import type { Rpc } from '@thornsail/rpc';
 
 /** Between two passes while the group stays as it is. */
-const fullEvery = us.s(20);
+const fullEvery = duration.s(20);
 /** How often it is looked at whether a pass is due; a new agreed state is looked at when it comes. */
-const lookEvery = us.ms(100);
+const lookEvery = duration.ms(100);
 /** A change that the first member has not swept in this time is swept by whoever holds the lease as well. */
-const firstWithin = us.s(1);
-const tellWithin = us.s(3);
-const pauseBetweenKeys = us.ms(2);
+const firstWithin = duration.s(1);
+const tellWithin = duration.s(3);
+const pauseBetweenKeys = duration.ms(2);
 
 /** The group of stores as the newest agreed state known here has it; undefined before one is formed. */
 export const groupOf = (membership: Membership): Group | undefined => {
@@ -34,7 +34,7 @@
   /** The identity of this store. */
   id: string;
   /** Where the lease of the sweep is asked for. */
-  voters: () => Place[];
+  voters: () => Address[];
   /** Counters by name; the passes of this store are added. */
   counts: Record<string, number>;
 };
@@ -76,7 +76,7 @@
   const log = runtime.log('store');
   const lease = watch.duty({ runtime, rpc, name: 'sweep', by: id, voters });
   let lastFull = clock.now();
-  let changed: { mark: number; at: Us } = { mark: 0, at: clock.now() };
+  let changed: { mark: number; at: Microseconds } = { mark: 0, at: clock.now() };
   let closed = false;
   const pass = passes(options, () => closed);
 
--- a/packages/simulation/src/disk.ts
+++ b/tools/simulation/src/disk.ts
@@ -1,5 +1,5 @@
 // The simulated disk (§9.2): file calls with unsynced names and bytes, and what is left of them after a loss of power.
-import { files, us, type Disk, type FileCalls, type Rand, type Us } from '@thornsail/runtime';
+import { files, duration, type Disk, type FileCalls, type Random, type Microseconds } from '@thornsail/runtime';
 
 /** A file's text; undefined where there is no file of that name. */
 type Content = string | undefined;
@@ -8,7 +8,7 @@
   /** Stretches the time of a sync. */
   slow: number;
   /** No call ends before this time. */
-  hangsUntil: Us;
+  hangsUntil: Microseconds;
   /** Takes no more bytes. */
   full: boolean;
   /** Chances that a step fails. */
@@ -21,16 +21,16 @@
   /** Files written since their last sync: what that sync covered. */
   unsyncedBytes: Map<string, Content>;
   /** When the syncs that were asked for are over. */
-  busyUntil: Us;
+  busyUntil: Microseconds;
 };
 /** What the disk needs of the process that it belongs to; `inc` counts the starts of this process. */
 export type DiskHost = { inc: number; files: Map<string, string>; disk: DiskState };
 /** What the disk needs of the simulated world; `syncTime` is the longest time of one sync. */
 export type DiskGround<H extends DiskHost> = {
-  rand: Rand;
-  now: () => Us;
-  later: (after: Us, host: H, fn: () => void) => unknown;
-  syncTime: Us;
+  rand: Random;
+  now: () => Microseconds;
+  later: (after: Microseconds, host: H, fn: () => void) => unknown;
+  syncTime: Microseconds;
   onSync: () => void;
 };
 /** What ended: the process alone, the machine's power with it, or the disk with all that it held. */
@@ -106,7 +106,7 @@
   };
   yield* walk(0, new Map(host.files));
 };
-const loseUnsynced = (rand: Rand, host: DiskHost): void => {
+const loseUnsynced = (rand: Random, host: DiskHost): void => {
   // At some losses of power all that was not synced is gone.
   const nothingKept = rand.int(4) === 0;
   for (const [name, { kept, lost }] of possible(host, (length) => rand.int(length + 1))) {
@@ -116,7 +116,7 @@
   }
 };
 /** What the disk holds after its process ended, or the machine lost its power or the disk itself. */
-const end = (rand: Rand, host: DiskHost, how: DiskEnd): void => {
+const end = (rand: Random, host: DiskHost, how: DiskEnd): void => {
   host.disk.busyUntil = 0;
   if (how === 'process') return;
   if (how === 'power') loseUnsynced(rand, host);
@@ -127,10 +127,10 @@
 };
 
 /** Waits for a call that takes `after` (microseconds), and for as long as the disk hangs. */
-type Takes = (after: Us) => Promise<void>;
+type Takes = (after: Microseconds) => Promise<void>;
 const takesOf = <H extends DiskHost>({ now, later }: DiskGround<H>, host: H): Takes => {
   const disk = host.disk;
-  const wait = (after: Us): Promise<void> =>
+  const wait = (after: Microseconds): Promise<void> =>
     new Promise((done) => {
       later(after, host, done);
     });
@@ -261,7 +261,7 @@
 export const simulatedDisk = {
   state,
   /** The longest time of a sync where a world says nothing else. */
-  usualSyncTime: us.ms(1),
+  usualSyncTime: duration.ms(1),
   /** The data folder of one start of a process: what runs on real machines, over the calls of the simulated disk. */
   of: <H extends DiskHost>(ground: DiskGround<H>, host: H): Disk => files(root, calls(ground, host)),
   end,
--- a/packages/simulation/src/fleet.ts
+++ b/tools/simulation/src/fleet.ts
@@ -1,6 +1,6 @@
 // A whole deployment in the simulator (§9.2): its machines, roles, workers, platform and callers, with faults by name.
 import { configSchema } from '@thornsail/config-schema';
-import { invariant, us, wholeText, type Runtime, type Place, type Us } from '@thornsail/runtime';
+import { invariant, duration, readText, type Runtime, type Address, type Microseconds } from '@thornsail/runtime';
 import {
   audit,
   callers,
@@ -30,7 +30,7 @@
   host: Host;
   node: Node | null;
   options: Record<string, unknown>;
-  seeds: Place[];
+  seeds: Address[];
 };
 export type Fleet = {
   w: World;
@@ -54,22 +54,25 @@
   addStore: (name: string, ip: string) => void;
   /** A worker of its own machine, not yet on the platform's list. */
   addWorker: (w: Listed) => Promise<StandIn>;
-  freeze: (name: string, forUs: Us) => void;
+  freeze: (name: string, forUs: Microseconds) => void;
   cut: (a: string[], b: string[]) => () => void;
   /** Cuts a machine that is not one of the fleet's own (a worker, the platform) off from some hosts. */
   cutMachine: (ip: string, from: Host[]) => () => void;
   http: (
-    at: Place,
+    at: Address,
     method: string,
     path: string,
     body?: unknown,
     headers?: Record<string, string>,
   ) => Promise<{ status: number; body: Record<string, unknown>; headers: Record<string, string> }>;
-  push: (config: unknown, base: number, id?: string, at?: Place) => Promise<{ status: number; mark: number }>;
+  push: (config: unknown, base: number, id?: string, at?: Address) => Promise<{ status: number; mark: number }>;
   ready: () => number;
   /** Runs until the condition holds, or breaches. */
-  until: (what: string, ok: () => boolean, limit: Us) => Promise<Us>;
-  load: (o: { chats: number; kept: number; jobs: number; over: Us }) => { all: Promise<unknown>; done: () => boolean };
+  until: (what: string, ok: () => boolean, limit: Microseconds) => Promise<Microseconds>;
+  load: (o: { chats: number; kept: number; jobs: number; over: Microseconds }) => {
+    all: Promise<unknown>;
+    done: () => boolean;
+  };
   breaches: () => string[];
   expectBreach: string[];
 };
@@ -81,15 +84,15 @@
     models?: number;
     config?: (c: Record<string, unknown>) => Record<string, unknown>;
     capacity?: number;
-    gap?: Us;
+    gap?: Microseconds;
     /** Places at each worker; else as many as the configuration has slots. */
     places?: { model: number; app: number };
     /** Workers that are slow or stall on purpose: silence within a stream is theirs, not the system's. */
     stalls?: boolean;
     noConfig?: boolean;
     log?: (line: string) => void;
-    perToken?: Us;
-    firstToken?: Us;
+    perToken?: Microseconds;
+    firstToken?: Microseconds;
     plain?: boolean;
     callAt?: number;
   }): Promise<Fleet> => {
@@ -120,14 +123,14 @@
     shape.config = o.config ? o.config(structuredClone(shape.config)) : shape.config;
     const places = o.places ?? { model: 16, app: 16, ...(shape.config['slots'] as object) };
     /** When a fault had hold of a machine: what its own callers bear meanwhile is no breach (§9.3). */
-    const trouble = new Map<Host, { from: Us; to: Us }[]>();
-    const strike = (h: Host, from: Us = w.now()): { from: Us; to: Us } => {
+    const trouble = new Map<Host, { from: Microseconds; to: Microseconds }[]>();
+    const strike = (h: Host, from: Microseconds = w.now()): { from: Microseconds; to: Microseconds } => {
       const t = { from, to: Infinity };
       trouble.set(h, [...(trouble.get(h) ?? []), t]);
       return t;
     };
-    const troubled = (h: Host, since: Us): boolean =>
-      !h.alive || (trouble.get(h) ?? []).some((t) => t.to + us.ms(300) >= since);
+    const troubled = (h: Host, since: Microseconds): boolean =>
+      !h.alive || (trouble.get(h) ?? []).some((t) => t.to + duration.ms(300) >= since);
 
     const models: StandIn[] = [];
     const apps: StandIn[] = [];
@@ -139,7 +142,7 @@
       const s =
         x.kind === 'model'
           ? await standIns.model(runtime, { ...own, ...speed, places: places.model })
-          : await standIns.app(runtime, { ...own, takes: us.ms(15), places: places.app });
+          : await standIns.app(runtime, { ...own, takes: duration.ms(15), places: places.app });
       (x.kind === 'model' ? models : apps).push(s);
       return s;
     };
@@ -285,11 +288,11 @@
           at,
           method,
           path,
-          timeLeft: us.s(8),
+          timeLeft: duration.s(8),
           headers: { 'content-type': 'application/json', ...headers },
           ...(body === undefined ? {} : { body: JSON.stringify(body) }),
         });
-        const text = await wholeText(r.body);
+        const text = await readText(r.body);
         return {
           status: r.status,
           headers: r.headers,
@@ -308,10 +311,10 @@
         const begun = w.now();
         while (!ok()) {
           if (w.now() - begun > limit) {
-            extraBreaches.push(`${what}: not within ${us.toMs(limit)} ms`);
+            extraBreaches.push(`${what}: not within ${duration.toMs(limit)} ms`);
             return w.now() - begun;
           }
-          await w.run(w.now() + us.ms(50));
+          await w.run(w.now() + duration.ms(50));
         }
         return w.now() - begun;
       },
@@ -365,7 +368,7 @@
       classes: classNames[o.shape],
       chatTimeLeft: shape.chatTimeLeft,
       pushTimeLeft: shape.pushTimeLeft,
-      gap: o.gap ?? us.ms(400),
+      gap: o.gap ?? duration.ms(400),
       excused: (at, since) => {
         const p = procs.find((x) => x.options['http'] === at);
         return p === undefined || troubled(p.host, since);
@@ -382,7 +385,7 @@
     await f.until(
       'a view of coordinators',
       () => procs.some((p) => p.role === 'coordinator' && p.node?.counts()['leads'] === 1),
-      us.s(10),
+      duration.s(10),
     );
     let mark = 0;
     void f.push(config, 0, 'first').then(
@@ -391,8 +394,8 @@
       },
       () => undefined,
     );
-    await f.until('the first configuration', () => mark === 1, us.s(8));
-    await f.until('all gateways ready', () => f.ready() === 7, us.s(15));
+    await f.until('the first configuration', () => mark === 1, duration.s(8));
+    await f.until('all gateways ready', () => f.ready() === 7, duration.s(15));
     return f;
   },
 };
--- a/packages/simulation/src/guards.ts
+++ b/tools/simulation/src/guards.ts
@@ -5,6 +5,7 @@
 import { availableParallelism, tmpdir } from 'node:os';
 import path from 'node:path';
 import { fileURLToPath } from 'node:url';
+import { fileOfWorkspace, workspaceFolders, workspacesOf } from '@thornsail/test-harness';
 
 export type Guard = {
   name: string;
@@ -147,8 +148,8 @@
     'what was promised is not cut',
     '6 kept',
     'data-plane/src/turn-records.js',
-    'Math.max(promised, w.max + us.s(secs))',
-    'w.max + us.s(secs)',
+    'Math.max(promised, w.max + duration.s(secs))',
+    'w.max + duration.s(secs)',
     { test: 'simulation/test/keep.test.js' },
   ),
   g(
@@ -565,8 +566,8 @@
     'a silent head is replaced',
     '12 recovery',
     'consensus/src/replica.js',
-    'electionTimeout: us.ms(600)',
-    'electionTimeout: us.s(60)',
+    'electionTimeout: duration.ms(600)',
+    'electionTimeout: duration.s(60)',
     {
       scenario: 'closing',
     },
@@ -866,17 +867,17 @@
 /** A copy of the built packages in which one text is replaced; `missing`: the file that has no such text. */
 const copy = (gd: Guard): { dir: string; missing?: string } => {
   const dir = mkdtempSync(path.join(tmpdir(), 'thornsail-guard-'));
-  for (const d of ['packages', 'platform']) cpSync(path.join(root, d), path.join(dir, d), { recursive: true });
+  for (const d of [...workspaceFolders, 'platform']) cpSync(path.join(root, d), path.join(dir, d), { recursive: true });
   writeFileSync(path.join(dir, 'package.json'), '{"type":"module"}');
   cpSync(path.join(root, 'examples'), path.join(dir, 'examples'), { recursive: true });
   mkdirSync(path.join(dir, 'node_modules', '@thornsail'), { recursive: true });
   for (const e of readdirSync(path.join(root, 'node_modules')))
     if (e !== '@thornsail' && !e.startsWith('.'))
       symlinkSync(path.join(root, 'node_modules', e), path.join(dir, 'node_modules', e));
-  for (const p of [...readdirSync(path.join(dir, 'packages')).map((x) => path.join('packages', x)), 'platform'])
+  for (const p of workspacesOf(dir))
     symlinkSync(path.join(dir, p), path.join(dir, 'node_modules', '@thornsail', path.basename(p)));
   for (const [file, find, put] of [[gd.file, gd.find, gd.put] as const, ...(gd.also ?? [])]) {
-    const f = path.join(dir, 'packages', file);
+    const f = fileOfWorkspace(dir, file);
     const text = readFileSync(f, 'utf8');
     const line = anyLayout(find);
     if (!line.test(text)) {
@@ -896,7 +897,7 @@
   const { scenario, shape = 'granite', from = 1, to = 3 } = by;
   const job = `${scenario}:${shape}:${from}:${to}`;
   return {
-    program: 'packages/simulation/src/sweep-cli.js',
+    program: 'tools/simulation/src/sweep-cli.js',
     args: ['--child', job],
     name: `${scenario} ${shape} (${from}-${to})`,
   };
@@ -909,7 +910,7 @@
     if (missing) return v(false, `its line is not in ${missing}`);
     try {
       if ('test' in gd.by) {
-        const code = await runNode([path.join(dir, 'packages', gd.by.test)], dir, () => false);
+        const code = await runNode([fileOfWorkspace(dir, gd.by.test)], dir, () => false);
         return v(code !== 0, gd.by.test);
       }
       const { program, args, name } = runOf(gd.by);
--- a/packages/simulation/src/link.ts
+++ b/tools/simulation/src/link.ts
@@ -3,15 +3,15 @@
 // server that may misbehave. What a cut holds up arrives after it; what was on its way from a lost power does not.
 import {
   fault,
-  us,
+  duration,
   type Connection,
   type Exchange,
   type ExchangeEvents,
-  type HttpAsk,
+  type HttpRequest,
   type HttpHandler,
-  type Place,
-  type Rand,
-  type Us,
+  type Address,
+  type Random,
+  type Microseconds,
 } from '@thornsail/runtime';
 import type { WireHandler, WireSay } from '@thornsail/test-harness';
 import type { Host } from './world.js';
@@ -20,26 +20,26 @@
 export type Served = {
   handler: HttpHandler;
   wire: WireHandler;
-  idleFor: () => Us;
+  idleFor: () => Microseconds;
   room: (by: 1 | -1) => boolean;
 };
 /** What a link needs of the world it is in. */
 export type Ground = {
-  rand: Rand;
-  later: (after: Us, host: Host | null, fn: () => void) => void;
+  rand: Random;
+  later: (after: Microseconds, host: Host | null, fn: () => void) => void;
   deliver: (a: Host, b: Host, fn: () => void) => void;
-  delay: (a: Host, b: Host) => Us;
+  delay: (a: Host, b: Host) => Microseconds;
   severed: (a: Host, b: Host) => boolean;
-  hostOf: (at: Place) => Host | undefined;
+  hostOf: (at: Address) => Host | undefined;
   /** Called once, when something that was cut is whole again. */
   onHeal: (fn: () => void) => void;
-  askOf: (x: Exchange) => HttpAsk;
+  askOf: (x: Exchange) => HttpRequest;
   tableOf: (raw: readonly string[]) => Record<string, string>;
 };
 
 const window_ = 65_536;
 /** A silent peer is given up after the probes of an idle connection went unanswered. */
-const probes = us.s(11);
+const probes = duration.s(11);
 
 /** One direction: in order, held up by a cut, gone with its sender's power. */
 type Lane = { send: (fn: () => void) => void; lose: () => void };
@@ -54,7 +54,7 @@
   };
   const hold = (fn: () => void): void => {
     held.push(fn);
-    if (held.length === 1) g.onHeal(() => g.later(g.rand.int(us.ms(300)), null, flush));
+    if (held.length === 1) g.onHeal(() => g.later(g.rand.int(duration.ms(300)), null, flush));
   };
   const send = (fn: () => void): void => {
     if (lost) return;
@@ -102,7 +102,7 @@
     host: Host;
     down: Lane;
     client: ClientEnd;
-    idleFor: Us;
+    idleFor: Microseconds;
     up: () => boolean;
     over: (then: Afterwards) => void;
     cut: (code: string) => void;
@@ -147,7 +147,7 @@
       const has = (name: string): boolean => raw.some((n, i) => i % 2 === 0 && n.toLowerCase() === name);
       const close = unframed || g.tableOf(raw)['connection'] === 'close';
       if (close) then = 'closed';
-      const kept = ['connection', 'keep-alive', 'keep-alive', `timeout=${Math.floor(o.idleFor / us.s(1))}`];
+      const kept = ['connection', 'keep-alive', 'keep-alive', `timeout=${Math.floor(o.idleFor / duration.s(1))}`];
       const all = close || has('keep-alive') ? raw : [...raw, ...kept];
       if (!isGone) down.send(() => client.head(status, all));
     },
@@ -257,7 +257,12 @@
 };
 
 /** The client's end, as runtime's `connect` gives it: one exchange at a time, never used after a fault. */
-const clientOf = (g: Ground, h: Host, at: Place, o: { connectWithin: Us; onClosed?: () => void }): Connection => {
+const clientOf = (
+  g: Ground,
+  h: Host,
+  at: Address,
+  o: { connectWithin: Microseconds; onClosed?: () => void },
+): Connection => {
   let state: 'new' | 'connecting' | 'up' | 'closed' = 'new';
   let turn: Turn | null = null;
   let said: Record<string, string> = {};
@@ -311,7 +316,7 @@
     const n = ++used;
     if (!seconds) return;
     if (Number(seconds[1]) === 0) return closed();
-    g.later(us.s(Number(seconds[1])), h, () => {
+    g.later(duration.s(Number(seconds[1])), h, () => {
       if (used === n && !turn) closed();
     });
   };
@@ -367,7 +372,7 @@
     };
     g.later(o.connectWithin, h, unless('UND_ERR_CONNECT_TIMEOUT'));
     const to = g.hostOf(at);
-    if (!to) return g.later(us.ms(1), h, unless('ECONNREFUSED'));
+    if (!to) return g.later(duration.ms(1), h, unless('ECONNREFUSED'));
     if (!to.alive && !to.dark && !g.severed(h, to)) return g.later(2 * g.delay(h, to), h, unless('ECONNREFUSED'));
     const down = laneOf(g, to, h, () => undefined);
     there.up = laneOf(g, h, to, () => broke('ECONNRESET'));
--- a/packages/simulation/src/measurement/capacity/acknowledging.ts
+++ b/tools/simulation/src/measurement/capacity/acknowledging.ts
@@ -2,7 +2,7 @@
 import { type CoreAsk, type CoreClient, type PushResult, core, coreClient } from '@thornsail/consensus';
 import { durableStore } from '@thornsail/durable-files';
 import { rpc } from '@thornsail/rpc';
-import { place, us } from '@thornsail/runtime';
+import { address, duration } from '@thornsail/runtime';
 import { hollowConfig } from '../hollow.js';
 import { newWorld, nodeOf } from './fixtures.js';
 import { type Found, type Part, pick } from './slope.js';
@@ -19,7 +19,7 @@
     const founders = [0, 1, 2].map((i) => nodeOf(i).place);
     const using = new Map<string, number>();
     for (const i of [0, 1, 2]) {
-      const runtime = w.runtime(w.host(place.host(founders[i]!), `z${i}`));
+      const runtime = w.runtime(w.host(address.host(founders[i]!), `z${i}`));
       void rpc.open(runtime, founders[i]!).then(async (p) =>
         core.open({
           runtime,
@@ -36,11 +36,11 @@
     void rpc
       .open(runtime, '10.1.0.1:1')
       .then((p) => (client = coreClient.open({ runtime, rpc: p, towers: () => founders })));
-    await w.run(us.s(3));
+    await w.run(duration.s(3));
     const ask = async <T>(a: CoreAsk): Promise<T> => {
       let got: { value: T } | undefined;
-      void client!.ask<T>(a, us.s(20)).then((r) => (got = r));
-      for (let i = 0; i < 20_000 && !got; i++) await w.run(w.now() + us.ms(1));
+      void client!.ask<T>(a, duration.s(20)).then((r) => (got = r));
+      for (let i = 0; i < 20_000 && !got; i++) await w.run(w.now() + duration.ms(1));
       if (!got) throw new Error(`${a.op}: no answer`);
       return got.value;
     };
@@ -50,7 +50,7 @@
     const left = all.slice(cut.length);
     const by = left.slice(0, 2).map((n) => n.id);
     await ask({ op: 'suspect', list: cut.flatMap((n) => by.map((b) => ({ by: b, id: n.id, inc: 1 }))) });
-    await w.run(w.now() + us.s(8));
+    await w.run(w.now() + duration.s(8));
     for (const n of left) using.set(n.id, 1);
     const body = hollowConfig(1);
     const r = await ask<PushResult>({ op: 'push', push: { id: 'c', base: 0, how: 'whole', body } });
--- a/packages/simulation/src/measurement/capacity/dealing.ts
+++ b/tools/simulation/src/measurement/capacity/dealing.ts
@@ -1,7 +1,7 @@
 // How many turns get the worker that holds their context, by the number of gateways that share the workers.
 import { configSchema } from '@thornsail/config-schema';
 import { type Load, loadBalancer, newsLag } from '@thornsail/load-balancer';
-import type { Us } from '@thornsail/runtime';
+import type { Microseconds } from '@thornsail/runtime';
 import type { Point } from '../fit.js';
 import { hollowConfig, workerList } from '../hollow.js';
 import { type Part, pick, slope } from './slope.js';
@@ -12,7 +12,7 @@
   const out: Point[] = [];
   for (const edges of pick(sizes, [16, 40, 80, 160, 380], [12, 16, 24, 48])) {
     const workers = workerList(24, 1);
-    let now: Us = 0;
+    let now: Microseconds = 0;
     const b = loadBalancer.open(
       () => now,
       'e000',
--- a/packages/simulation/src/measurement/capacity/fixtures.ts
+++ b/tools/simulation/src/measurement/capacity/fixtures.ts
@@ -3,12 +3,12 @@
 import { type Marked, type NodeEntry, type Ordered, order } from '@thornsail/consensus';
 import type { EdgeLoad } from '@thornsail/data-plane';
 import { rpc } from '@thornsail/rpc';
-import { type Runtime, type Us, us } from '@thornsail/runtime';
+import { type Runtime, type Microseconds, duration } from '@thornsail/runtime';
 import { type World, world } from '../../world.js';
 import { workerList } from '../hollow.js';
 
-export const newWorld = (zoneDelay: Us = us.ms(1)): World =>
-  world.open({ seed: 1, zoneDelay, clientDelay: us.ms(1), clientIp: '127.0.9.9' });
+export const newWorld = (zoneDelay: Microseconds = duration.ms(1)): World =>
+  world.open({ seed: 1, zoneDelay, clientDelay: duration.ms(1), clientIp: '127.0.9.9' });
 
 /** The bytes of one frame as `connection` encodes it, with the four of its length. */
 export const frameBytes = async (kind: string, body: unknown): Promise<number> => {
@@ -25,7 +25,7 @@
       }),
   };
   const p = await rpc.open({ ...runtime, net }, '10.0.0.1:7101');
-  p.tell('10.0.0.2:7101', kind, body);
+  p.notify('10.0.0.2:7101', kind, body);
   return sent[0]!;
 };
 
@@ -111,7 +111,7 @@
   );
   const list = workerList(workers).map((w) => ({ id: w.id, capacity: 2_000_000, eligible: true }));
   admissionScheduler.step(s, { kind: 'workers', list }, 0);
-  const limits = { timeLeft: us.s(600), expected: us.s(10), silence: us.s(2) };
+  const limits = { timeLeft: duration.s(600), expected: duration.s(10), silence: duration.s(2) };
   for (let i = 0; i < programs; i++) {
     const known = { tokens: 240_000, worker: list[i % list.length]!.id };
     const e = { kind: 'arrive' as const, turn: `t${i}`, program: `p${i}`, tokens: 240_000, ...limits, known };
--- a/packages/simulation/src/measurement/capacity/keeping.ts
+++ b/tools/simulation/src/measurement/capacity/keeping.ts
@@ -5,7 +5,7 @@
 import { tmpdir } from 'node:os';
 import { type Group, registers } from '@thornsail/register-store';
 import { rpc } from '@thornsail/rpc';
-import { real, us } from '@thornsail/runtime';
+import { real, duration } from '@thornsail/runtime';
 import type { Point } from '../fit.js';
 import { benchAddress, isUp } from '../registers.js';
 import { cpu } from './cost.js';
@@ -27,7 +27,7 @@
     const group: Group = { mark: 1, members: [{ id: 'k11', at }] };
     const regs = registers.open({ runtime, rpc: p, by: 'capacity', group: () => group });
     const used = async (): Promise<number> => {
-      const u = await p.ask<Usage>(at, 'bench.usage', {}, us.s(5));
+      const u = await p.request<Usage>(at, 'bench.usage', {}, duration.s(5));
       return u.cpu.user + u.cpu.system;
     };
     const atStore: Point[] = [];
@@ -37,7 +37,7 @@
       const value = { text: 'say it "so" '.repeat(Math.round((kb * 1000) / 14)) };
       let i = 0;
       const one = async (): Promise<void> => {
-        for (let k = i++; k < n; k = i++) await regs.change(`k${kb}-${k % 100}`, written(value), us.s(5));
+        for (let k = i++; k < n; k = i++) await regs.change(`k${kb}-${k % 100}`, written(value), duration.s(5));
       };
       await Promise.all(Array.from({ length: 16 }, one));
     };
@@ -48,7 +48,7 @@
       atGateway.push([kb, (cpu() - own) / changes]);
       atStore.push([kb, ((await used()) - a) / changes]);
     }
-    p.tell(at, 'bench.end', {});
+    p.notify(at, 'bench.end', {});
     await new Promise((fin) => setTimeout(fin, 100));
     await p.close();
     return {
--- a/packages/simulation/src/measurement/capacity/losses.ts
+++ b/tools/simulation/src/measurement/capacity/losses.ts
@@ -1,6 +1,6 @@
 // Versions for each process that is lost, and how long the coordinators take to rule it dead.
 import type { Ordered } from '@thornsail/consensus';
-import { us } from '@thornsail/runtime';
+import { duration } from '@thornsail/runtime';
 import type { Point } from '../fit.js';
 import { hollow } from '../hollow.js';
 import { type Part, pick, slope } from './slope.js';
@@ -19,9 +19,9 @@
     const begun = h.w.now();
     for (const n of gone) h.kill(n);
     const roster = (): Ordered['roster'] => h.head()?.node?.membership.state()?.roster ?? {};
-    await h.until(() => ids.every((id) => roster()[id]?.standing === 'dead'), us.s(20));
+    await h.until(() => ids.every((id) => roster()[id]?.standing === 'dead'), duration.s(20));
     versions.push([2 * lost, seq() - before]);
-    took.push([2 * lost, us.toMs(h.w.now() - begun)]);
+    took.push([2 * lost, duration.toMs(h.w.now() - begun)]);
   }
   return {
     failed: [],
--- a/packages/simulation/src/measurement/capacity/memory.ts
+++ b/tools/simulation/src/measurement/capacity/memory.ts
@@ -2,7 +2,7 @@
 import { durableStore } from '@thornsail/durable-files';
 import { type Group, store } from '@thornsail/register-store';
 import { rpc } from '@thornsail/rpc';
-import { type Disk, us } from '@thornsail/runtime';
+import { type Disk, duration } from '@thornsail/runtime';
 import { parse, stringify } from 'devalue';
 import type { Point } from '../fit.js';
 import { workerList } from '../hollow.js';
@@ -46,9 +46,9 @@
     for (; have < keys; have++) {
       const once = { by: nodeOf(20).id, at: 1, turn: `turn-${have}`, done: null, sum: `sum-${have}-of-the-request` };
       void regs.change(`once/tenant/k${have}`, written(once)).catch(() => undefined);
-      if (have % 200 === 199) await w.run(w.now() + us.ms(300));
+      if (have % 200 === 199) await w.run(w.now() + duration.ms(300));
     }
-    await w.run(w.now() + us.s(3));
+    await w.run(w.now() + duration.s(3));
     held.push([keys, heap() - empty]);
   }
   const line = (name: string, by: string, p: Point[]): Slope => slope(name, by, 'bytes', 'measured', p);
--- a/packages/simulation/src/measurement/capacity/messages.ts
+++ b/tools/simulation/src/measurement/capacity/messages.ts
@@ -1,5 +1,5 @@
 // Messages of nodes without traffic on the simulated network, by the number of processes.
-import { us } from '@thornsail/runtime';
+import { duration } from '@thornsail/runtime';
 import type { Point } from '../fit.js';
 import { type Hollow, hollow, total } from '../hollow.js';
 import { type Failed, type Part, type Slope, pick, slope } from './slope.js';
@@ -38,7 +38,7 @@
       else void adm.slot('chat', { hint: worker.id, not: new Set(), force: true, limit: 0, service: 'model-0' });
     }
   };
-  for (let i = 0; i * every < stirred * 1000; i++) h.w.at(h.w.now() + i * us.ms(every), () => step(i));
+  for (let i = 0; i * every < stirred * 1000; i++) h.w.at(h.w.now() + i * duration.ms(every), () => step(i));
 };
 
 export const messages: Part = async (sizes) => {
@@ -51,9 +51,9 @@
     if (!h) throw new Error(`${edges} edges did not come up`);
     const processes = h.nodes.length;
     put('a cold start, at the busiest seed', processes, h.started.bytes);
-    await h.run(us.s(2));
+    await h.run(duration.s(2));
     h.clear();
-    await h.run(us.s(span));
+    await h.run(duration.s(span));
     const both = (n: Hollow['nodes'][number], kinds: (k: string) => boolean): number =>
       (total(n.tally.sent, kinds).bytes + total(n.tally.got, kinds).bytes) / span;
     put(
@@ -91,7 +91,7 @@
     );
     h.clear();
     stir(h, sizes === 'small' ? 33 : 100);
-    await h.run(us.s(stirred));
+    await h.run(duration.s(stirred));
     put(
       'load while turns change',
       edges,
@@ -99,24 +99,24 @@
     );
     h.clear();
     const took = await h.push();
-    await h.run(us.s(1));
+    await h.run(duration.s(1));
     const all = h.nodes.map((n) => total(n.tally.got, (k) => k === 'news.uses').bytes);
     put('what gateways say of one change, at a process', processes, all.reduce((a, b) => a + b, 0) / all.length);
-    put('one change in use everywhere', processes, us.toMs(took));
+    put('one change in use everywhere', processes, duration.toMs(took));
     const times = atNode(h, (k) => k === 'news.order').messages;
     put('times that a version goes in and out of a node', processes, times);
   }
   for (const workers of pick(sizes, [50, 200, 800, 3200], [50, 100, 150, 200])) {
     const h = await hollow.open({ edges: sizes === 'small' ? 2 : 4, workers });
     if (!h) throw new Error('the hollow nodes did not come up');
-    await h.run(us.s(2));
+    await h.run(duration.s(2));
     h.clear();
-    await h.run(us.s(span));
+    await h.run(duration.s(span));
     put('the list of workers, at a node', workers, atNode(h, (k) => k === 'news.workers').bytes / span);
   }
   // How far the simulator goes: all of them in one roster, and nothing more.
   for (const edges of pick(sizes, [96], [])) {
-    const h = await hollow.open({ edges, within: us.s(60), bare: true });
+    const h = await hollow.open({ edges, within: duration.s(60), bare: true });
     const what = `hollow nodes: ${2 * edges + 6} processes on the simulated net`;
     const why =
       'not in one roster after a minute of processor time: a round of heartbeats looks at every pair of nodes';
--- a/packages/simulation/src/measurement/capacity/processor.ts
+++ b/tools/simulation/src/measurement/capacity/processor.ts
@@ -6,7 +6,7 @@
 import { failureDetector } from '@thornsail/failure-detector';
 import { loadBalancer } from '@thornsail/load-balancer';
 import { rpc } from '@thornsail/rpc';
-import { type Runtime, us } from '@thornsail/runtime';
+import { type Runtime, duration } from '@thornsail/runtime';
 import { parse, stringify } from 'devalue';
 import { hollow, hollowConfig, workerList } from '../hollow.js';
 import { cpu, cpuOf } from './cost.js';
@@ -45,11 +45,11 @@
   let n = 0;
   return cpuOf(() => {
     const turn = `x${n}`;
-    const limits = { timeLeft: us.s(600), expected: us.s(10), silence: us.s(2) };
+    const limits = { timeLeft: duration.s(600), expected: duration.s(10), silence: duration.s(2) };
     const program = `p${((n++ * 2 + 3) % programs) | 1}`;
-    admissionScheduler.step(s, { kind: 'arrive', turn, program, tokens: 240_000, ...limits }, us.s(1));
-    admissionScheduler.step(s, { kind: 'end', turn, tokens: 240_000, final: false, worker: null }, us.s(1));
-    admissionScheduler.step(s, { kind: 'gone', turn }, us.s(1));
+    admissionScheduler.step(s, { kind: 'arrive', turn, program, tokens: 240_000, ...limits }, duration.s(1));
+    admissionScheduler.step(s, { kind: 'end', turn, tokens: 240_000, final: false, worker: null }, duration.s(1));
+    admissionScheduler.step(s, { kind: 'gone', turn }, duration.s(1));
   }, 100);
 };
 
@@ -62,7 +62,7 @@
     const ticks: (() => void)[] = [];
     const clock: Runtime['clock'] = {
       ...runtime.clock,
-      tick: (_after, fn) => {
+      schedule: (_after, fn) => {
         ticks.push(fn);
         return () => undefined;
       },
--- a/packages/simulation/src/measurement/capacity/regions.ts
+++ b/tools/simulation/src/measurement/capacity/regions.ts
@@ -1,5 +1,5 @@
 // Changes of registers and the election of a leader, by the delay between regions.
-import { us } from '@thornsail/runtime';
+import { duration } from '@thornsail/runtime';
 import type { Point } from '../fit.js';
 import { hollow } from '../hollow.js';
 import { newWorld } from './fixtures.js';
@@ -12,7 +12,7 @@
   const next: Point[] = [];
   const head: Point[] = [];
   for (const ms of pick(sizes, [1, 10, 30, 60], [1, 2, 3, 4])) {
-    const w = newWorld(us.ms(ms));
+    const w = newWorld(duration.ms(ms));
     const regs = await proposerOf(w, w.runtime(w.host('10.1.0.1', 'z0')), storeGroup(w, 3));
     const took: number[][] = [[], []];
     for (let i = 0; i < 40; i++) {
@@ -28,7 +28,7 @@
   }
   const tries = sizes === 'small' ? [1, 2, 3, 4] : [1, 10, 30, 60, 90, 120];
   for (const ms of tries) {
-    const h = await hollow.open({ edges: 1, zoneDelay: us.ms(ms), within: us.s(30) });
+    const h = await hollow.open({ edges: 1, zoneDelay: duration.ms(ms), within: duration.s(30) });
     const lost = h?.head();
     if (!h || !lost) {
       failed.push({ what: `coordinators with ${ms} ms one way between them`, why: 'no head, or no configuration' });
@@ -36,7 +36,7 @@
     }
     const begun = h.w.now();
     h.kill(lost);
-    if (await h.until(() => h.head() !== undefined, us.s(20))) head.push([ms, us.toMs(h.w.now() - begun)]);
+    if (await h.until(() => h.head() !== undefined, duration.s(20))) head.push([ms, duration.toMs(h.w.now() - begun)]);
     else
       failed.push({ what: `a head lost with ${ms} ms one way between coordinators`, why: 'no new head within 20 s' });
   }
--- a/packages/simulation/src/measurement/capacity/registers.ts
+++ b/tools/simulation/src/measurement/capacity/registers.ts
@@ -2,7 +2,7 @@
 import { durableStore } from '@thornsail/durable-files';
 import { type Group, type Registers, registers, store } from '@thornsail/register-store';
 import { rpc } from '@thornsail/rpc';
-import { type Runtime, type Us, us } from '@thornsail/runtime';
+import { type Runtime, type Microseconds, duration } from '@thornsail/runtime';
 import type { World } from '../../world.js';
 
 export const storeGroup = (w: World, n: number): Group => {
@@ -23,12 +23,13 @@
   void rpc
     .open(runtime, '10.1.0.1:1')
     .then((p) => (regs = registers.open({ runtime, rpc: p, by: 'edge', group: () => group })));
-  while (!regs) await w.run(w.now() + us.ms(10));
-  await w.run(w.now() + us.ms(100));
+  while (!regs) await w.run(w.now() + duration.ms(10));
+  await w.run(w.now() + duration.ms(100));
   return regs;
 };
 
-export const written = (value: unknown) => (): { held: { value: unknown; until: Us }; result: undefined } => ({
-  held: { value, until: 9e15 },
-  result: undefined,
-});
+export const written =
+  (value: unknown) => (): { held: { value: unknown; until: Microseconds }; result: undefined } => ({
+    held: { value, until: 9e15 },
+    result: undefined,
+  });
--- a/packages/simulation/src/measurement/day.ts
+++ b/tools/simulation/src/measurement/day.ts
@@ -1,5 +1,5 @@
 // A loaded deployment in the simulator, and what its scheduler did (§4).
-import { us } from '@thornsail/runtime';
+import { duration } from '@thornsail/runtime';
 import type { ShapeName } from '@thornsail/test-harness';
 import { type Fleet, fleet } from '../fleet.js';
 import { sum } from '../scene.js';
@@ -63,15 +63,15 @@
     seed,
     shape,
     capacity: o.capacity,
-    gap: us.ms(900),
+    gap: duration.ms(900),
     ...(o.plain ? { plain: true } : {}),
     ...(o.callAt ? { callAt: o.callAt } : {}),
     config: (c) => ({ ...c, slots: { model: 64, app: 16 }, scheduler: { ...o.scheduler } }),
   });
-  const l = f.load({ chats: o.chats, kept: Math.round(o.chats / 8), jobs: 0, over: us.s(20) });
+  const l = f.load({ chats: o.chats, kept: Math.round(o.chats / 8), jobs: 0, over: duration.s(20) });
   const over = overCapacity();
-  while (!l.done() && f.w.now() < us.s(120)) {
-    await f.w.run(f.w.now() + us.ms(250));
+  while (!l.done() && f.w.now() < duration.s(120)) {
+    await f.w.run(f.w.now() + duration.ms(250));
     over.sample(f, o.capacity);
   }
   const e = f.requestLog.entries.filter((x) => x.program !== null);
--- a/packages/simulation/src/measurement/detection.ts
+++ b/tools/simulation/src/measurement/detection.ts
@@ -1,7 +1,7 @@
 // Failure detection: how fast, against how often it is wrong (§3.2).
 import { failureDetector } from '@thornsail/failure-detector';
 import { rpc } from '@thornsail/rpc';
-import { type Us, us } from '@thornsail/runtime';
+import { type Microseconds, duration } from '@thornsail/runtime';
 import { world } from '../world.js';
 import { head, mean, out, row } from './table.js';
 
@@ -19,14 +19,14 @@
       const took: number[] = [];
       let wrong = 0;
       for (let seed = 1; seed <= 10; seed++) {
-        const w = world.open({ seed, zoneDelay: us.ms(1.5), clientDelay: us.ms(1), clientIp: '127.0.9.9' });
+        const w = world.open({ seed, zoneDelay: duration.ms(1.5), clientDelay: duration.ms(1), clientIp: '127.0.9.9' });
         const all = Array.from({ length: 20 }, (_, i) => ({
           id: `n${i}`,
           place: `127.0.0.${i + 1}:1`,
           inc: 1,
           host: w.host(`127.0.0.${i + 1}`, `z${i % 3}`),
         }));
-        const accused = new Map<string, Map<string, Us>>();
+        const accused = new Map<string, Map<string, Microseconds>>();
         const two = new Set<string>();
         for (const x of all)
           void rpc.open(w.runtime(x.host), x.place).then((p) =>
@@ -35,25 +35,25 @@
               rpc: p,
               self: () => x,
               roster: () => all,
-              times: { silent: us.ms(silent), watchers },
+              times: { silent: duration.ms(silent), watchers },
               report: (list) => {
                 for (const s of list) {
-                  const by = accused.get(s.id) ?? new Map<string, Us>();
+                  const by = accused.get(s.id) ?? new Map<string, Microseconds>();
                   accused.set(s.id, by.set(x.id, w.now()));
-                  if ([...by.values()].filter((t) => w.now() - t < us.ms(1500)).length >= 2) two.add(s.id);
+                  if ([...by.values()].filter((t) => w.now() - t < duration.ms(1500)).length >= 2) two.add(s.id);
                 }
               },
             }),
           );
-        await w.run(us.s(2));
+        await w.run(duration.s(2));
         for (let i = 0; i < 40; i++) {
           const x = all[w.rand.int(20)]!;
           two.clear();
           accused.clear();
           w.freeze(x.host);
-          await w.run(w.now() + us.ms(200 + w.rand.int(700)));
+          await w.run(w.now() + duration.ms(200 + w.rand.int(700)));
           w.wake(x.host);
-          await w.run(w.now() + us.s(1));
+          await w.run(w.now() + duration.s(1));
           if (two.has(x.id)) wrong += 1;
         }
         const victim = all[w.rand.int(20)]!;
@@ -61,8 +61,8 @@
         accused.clear();
         const begun = w.now();
         w.kill(victim.host, 'power');
-        while (!two.has(victim.id) && w.now() - begun < us.s(10)) await w.run(w.now() + us.ms(10));
-        took.push(us.toMs(w.now() - begun));
+        while (!two.has(victim.id) && w.now() - begun < duration.s(10)) await w.run(w.now() + duration.ms(10));
+        took.push(duration.toMs(w.now() - begun));
       }
       row(`${silent} ms`, watchers, Math.round(mean(took)), Math.max(...took), wrong);
     }
--- a/packages/simulation/src/measurement/duties.ts
+++ b/tools/simulation/src/measurement/duties.ts
@@ -1,7 +1,7 @@
 // How long a duty is vacant when its holder goes (§3.6).
 import { type Duty, watch } from '@thornsail/leases';
 import { rpc } from '@thornsail/rpc';
-import { us } from '@thornsail/runtime';
+import { duration } from '@thornsail/runtime';
 import { world } from '../world.js';
 import { head, mean, out, row } from './table.js';
 
@@ -11,7 +11,7 @@
   for (const how of ['it is killed', 'it is frozen', 'it leaves']) {
     const took: number[] = [];
     for (let seed = 1; seed <= 20; seed++) {
-      const w = world.open({ seed, zoneDelay: us.ms(1.5), clientDelay: us.ms(1), clientIp: '127.0.9.9' });
+      const w = world.open({ seed, zoneDelay: duration.ms(1.5), clientDelay: duration.ms(1), clientIp: '127.0.9.9' });
       const voters = [1, 2, 3].map((i) => `127.0.3.${i}:1`);
       for (const [i, at] of voters.entries()) {
         const runtime = w.runtime(w.host(`127.0.3.${i + 1}`, `z${i}`));
@@ -32,8 +32,8 @@
       const holder = (): number =>
         [...duties].find(([i, d]) => d.holds() && hosts[i]!.alive && !hosts[i]!.frozen)?.[0] ?? -1;
       for (let k = 0; k < 5; k++) {
-        while (holder() < 0) await w.run(w.now() + us.ms(10));
-        await w.run(w.now() + us.s(1) + w.rand.int(us.s(1)));
+        while (holder() < 0) await w.run(w.now() + duration.ms(10));
+        await w.run(w.now() + duration.s(1) + w.rand.int(duration.s(1)));
         const h = holder();
         const begun = w.now();
         if (how === 'it is killed') {
@@ -44,9 +44,9 @@
           duties.get(h)!.close();
           duties.delete(h);
         }
-        await w.run(w.now() + us.ms(10));
-        while (holder() < 0 && w.now() - begun < us.s(20)) await w.run(w.now() + us.ms(10));
-        took.push(us.toMs(w.now() - begun));
+        await w.run(w.now() + duration.ms(10));
+        while (holder() < 0 && w.now() - begun < duration.s(20)) await w.run(w.now() + duration.ms(10));
+        took.push(duration.toMs(w.now() - begun));
         if (how === 'it is killed') {
           w.start(hosts[h]!);
           boot(h);
--- a/packages/simulation/src/measurement/hollow.ts
+++ b/tools/simulation/src/measurement/hollow.ts
@@ -5,7 +5,7 @@
 import path from 'node:path';
 import type { WorkerEntry } from '@thornsail/load-balancer';
 import { configSchema } from '@thornsail/config-schema';
-import { invariant, real, us, type Runtime, type Place, type Us } from '@thornsail/runtime';
+import { invariant, real, duration, type Runtime, type Address, type Microseconds } from '@thornsail/runtime';
 import { roles, type Node } from '@thornsail/thornsail';
 import { world, type Host, type World } from '../world.js';
 
@@ -33,7 +33,7 @@
   net: {
     ...runtime.net,
     frames: async (at, onFrame, onDown, onBad) => {
-      const got = (from: Place, text: string): boolean => {
+      const got = (from: Address, text: string): boolean => {
         add(t.got, text);
         return onFrame(from, text);
       };
@@ -87,7 +87,7 @@
 const port = 7101;
 /** Settings as a deployment's files would have them: three seeds, three founders. */
 const optionsOf = (s: Spec, all: Spec[]): Record<string, unknown> => {
-  const at = (x: Spec): Place => `${x.ip}:${port}`;
+  const at = (x: Spec): Address => `${x.ip}:${port}`;
   const towers = all.filter((x) => x.role === 'coordinator').map(at);
   const disk = s.role === 'coordinator' || s.role === 'store' ? { data: 'data' } : {};
   return {
@@ -119,7 +119,7 @@
   nodes.every((n) => n.host?.alive === false || (n.node !== null && n.node.membership.inRoster()));
 const push = (n: HollowNode, base: number): Promise<unknown> => {
   const body = { ...hollowConfig(), limits: { onceKeepSeconds: 1000 + base } };
-  return n.node!.membership.core.ask({ op: 'push', push: { id: `c${base}`, base, how: 'whole', body } }, us.s(8));
+  return n.node!.membership.core.ask({ op: 'push', push: { id: `c${base}`, base, how: 'whole', body } }, duration.s(8));
 };
 const configured = (nodes: HollowNode[], mark: number): boolean =>
   nodes.filter((n) => n.role === 'gateway').every((n) => (n.node?.counts()['config_mark'] ?? 0) >= mark);
@@ -128,16 +128,16 @@
   w: World;
   nodes: HollowNode[];
   of: (role: Role) => HollowNode[];
-  run: (span: Us) => Promise<void>;
+  run: (span: Microseconds) => Promise<void>;
   /** False if it did not come true within the time. */
-  until: (ok: () => boolean, limit: Us) => Promise<boolean>;
+  until: (ok: () => boolean, limit: Microseconds) => Promise<boolean>;
   clear: () => void;
   /** Pushes a configuration and waits until all gateways use it; gives how long that took. */
-  push: () => Promise<Us>;
+  push: () => Promise<Microseconds>;
   kill: (n: HollowNode) => void;
   head: () => HollowNode | undefined;
   /** When all were in the roster, and the bytes that the busiest of them had sent by then. */
-  started: { at: Us; bytes: number };
+  started: { at: Microseconds; bytes: number };
 };
 /** On the simulated net. `within` bounds the processor time in microseconds; one that needs more gives undefined. */
 export const hollow = {
@@ -145,14 +145,14 @@
     edges: number;
     workers?: number;
     seed?: number;
-    zoneDelay?: Us;
-    within?: Us;
+    zoneDelay?: Microseconds;
+    within?: Microseconds;
     /** Without a first configuration. */
     bare?: boolean;
   }): Promise<Hollow | undefined> => {
     invariant.clear();
-    const zoneDelay = o.zoneDelay ?? us.ms(1);
-    const w = world.open({ seed: o.seed ?? 1, zoneDelay, clientDelay: us.ms(1), clientIp: '127.0.9.9' });
+    const zoneDelay = o.zoneDelay ?? duration.ms(1);
+    const w = world.open({ seed: o.seed ?? 1, zoneDelay, clientDelay: duration.ms(1), clientIp: '127.0.9.9' });
     const all = specs(o.edges, '10.7');
     const list = workerList(o.workers ?? 24);
     const spent = process.cpuUsage();
@@ -173,7 +173,7 @@
       run: (span) => w.run(w.now() + span),
       until: async (ok, limit) => {
         const end = w.now() + limit;
-        while (!ok() && w.now() < end && !over()) await w.run(w.now() + us.ms(2));
+        while (!ok() && w.now() < end && !over()) await w.run(w.now() + duration.ms(2));
         return ok();
       },
       clear: () => clear(nodes),
@@ -181,7 +181,7 @@
         const mark = nodes.find((n) => n.node)!.node!.membership.state()!.config.mark;
         const begun = w.now();
         void push(h.of('agent').at(-1)!, mark).catch(() => undefined);
-        await h.until(() => configured(nodes, mark + 1), us.s(10));
+        await h.until(() => configured(nodes, mark + 1), duration.s(10));
         return w.now() - begun;
       },
       kill: (n) => {
@@ -191,7 +191,7 @@
       head: () => h.of('coordinator').find((n) => n.node?.counts()['leads'] === 1),
       started: { at: 0, bytes: 0 },
     };
-    if (!(await h.until(() => inRoster(nodes), us.s(60)))) return undefined;
+    if (!(await h.until(() => inRoster(nodes), duration.s(60)))) return undefined;
     h.started = { at: w.now(), bytes: Math.max(...nodes.map((n) => total(n.tally.sent).bytes)) };
     if (o.bare) return h;
     await h.push();
@@ -201,7 +201,7 @@
 
 export type RealUse = { processes: number; cpu: number; rss: number; sockets: number };
 /** On real sockets of this machine, all in this process: what each of them costs while nothing happens. */
-export const realHollow = async (edges: number, span: Us): Promise<RealUse> => {
+export const realHollow = async (edges: number, span: Microseconds): Promise<RealUse> => {
   const folder = mkdtempSync(path.join(tmpdir(), 'thornsail-hollow-'));
   try {
     const all = specs(edges, `127.${150 + (process.pid % 90)}`);
@@ -212,8 +212,8 @@
         return { name: s.name, role: s.role, tally: newTally(), node, host: null };
       }),
     );
-    const wait = (t: Us): Promise<void> => new Promise((fin) => void setTimeout(fin, t / 1000));
-    for (let i = 0; i < 400 && !inRoster(nodes); i++) await wait(us.ms(50));
+    const wait = (t: Microseconds): Promise<void> => new Promise((fin) => void setTimeout(fin, t / 1000));
+    for (let i = 0; i < 400 && !inRoster(nodes); i++) await wait(duration.ms(50));
     await push(nodes[0]!, 0).catch(() => undefined);
     await wait(span / 3);
     const before = process.cpuUsage();
--- a/packages/simulation/src/measurement/registers-cli.ts
+++ b/tools/simulation/src/measurement/registers-cli.ts
@@ -1,6 +1,6 @@
-// node packages/simulation/src/measurement/registers-cli.js [simulated|bench ...]: what a register change costs.
+// node tools/simulation/src/measurement/registers-cli.js [simulated|bench ...]: what a register change costs.
 import { fileURLToPath } from 'node:url';
-import { us } from '@thornsail/runtime';
+import { duration } from '@thornsail/runtime';
 import { bench, benchHead, benchStore, simulated, simulatedHead } from './registers.js';
 import { head, row } from './table.js';
 
@@ -8,11 +8,13 @@
   simulated: async () => {
     head(...simulatedHead);
     for (const syncTime of [2, 12])
-      for (const rate of [100, 400]) await simulated(row, { syncTime: us.ms(syncTime), rate, span: us.s(10) });
+      for (const rate of [100, 400])
+        await simulated(row, { syncTime: duration.ms(syncTime), rate, span: duration.s(10) });
   },
   bench: async () => {
     head(...benchHead);
-    for (const rate of [400, 800]) await bench(row, { rate, span: us.s(10), cli: fileURLToPath(import.meta.url) });
+    for (const rate of [400, 800])
+      await bench(row, { rate, span: duration.s(10), cli: fileURLToPath(import.meta.url) });
   },
 };
 const args = process.argv.slice(2);
--- a/packages/simulation/src/measurement/registers.ts
+++ b/tools/simulation/src/measurement/registers.ts
@@ -6,30 +6,39 @@
 import path from 'node:path';
 import type { Readable } from 'node:stream';
 import { registers, store, type Group, type Registers } from '@thornsail/register-store';
-import { real, seeded, time, us, type Runtime, type Place, type Rand, type Us } from '@thornsail/runtime';
+import {
+  real,
+  seeded,
+  time,
+  duration,
+  type Runtime,
+  type Address,
+  type Random,
+  type Microseconds,
+} from '@thornsail/runtime';
 import { durableStore } from '@thornsail/durable-files';
-import { rpc, shape, type Rpc } from '@thornsail/rpc';
+import { rpc, validate, type Rpc } from '@thornsail/rpc';
 import { world } from '../world.js';
 
 type Row = (...c: (string | number)[]) => void;
 const ids = [1, 2, 3];
 /** Values of 0.2 to 40 KB, small ones more often. */
-const sizeOf = (r: Rand): number => Math.round(200 * 200 ** r.next());
+const sizeOf = (r: Random): number => Math.round(200 * 200 ** r.next());
 const valueOf = (size: number, n: number): unknown => ({
   messages: [
     { role: 'user', content: `${n} ${'ask '.repeat(Math.ceil(size / 16))}` },
     { role: 'assistant', content: 'say it "so" '.repeat(Math.ceil(size / 18)) },
   ],
 });
-const keep = (value: unknown) => (_v: unknown, w: { max: Us }) => ({
-  held: { value, until: w.max + us.s(60) },
+const keep = (value: unknown) => (_v: unknown, w: { max: Microseconds }) => ({
+  held: { value, until: w.max + duration.s(60) },
   result: undefined,
 });
 type Work = { change: (key: string, value: unknown) => Promise<void> };
 /**
  * One turn: a key claimed and recorded for some, a program's budget record changed twice, one exchange kept for some.
  */
-const turn = async (x: Work, r: Rand, n: number): Promise<number> => {
+const turn = async (x: Work, r: Random, n: number): Promise<number> => {
   const size = sizeOf(r);
   const once = n % 2 === 0;
   const program = `program/p${3 * r.int(100) + (n % 3)}`;
@@ -49,11 +58,14 @@
 };
 
 /** `syncTime` in the mean; a third of the changes are the first of their key. */
-export const simulated = async (row: Row, o: { syncTime: Us; rate: number; span: Us }): Promise<void> => {
+export const simulated = async (
+  row: Row,
+  o: { syncTime: Microseconds; rate: number; span: Microseconds },
+): Promise<void> => {
   const w = world.open({
     seed: 1,
-    zoneDelay: us.ms(1),
-    clientDelay: us.ms(1),
+    zoneDelay: duration.ms(1),
+    clientDelay: duration.ms(1),
     clientIp: '127.0.9.9',
     diskTime: Math.round(o.syncTime / 0.6),
   });
@@ -75,7 +87,7 @@
       .open(runtime, `127.0.1.${e}:7101`)
       .then((p) => (edges[e - 1] = registers.open({ runtime, rpc: p, by: `edge${e}`, group: () => group })));
   }
-  await w.run(us.ms(200));
+  await w.run(duration.ms(200));
   const took: number[] = [];
   let failed = 0;
   let started = 0;
@@ -84,7 +96,7 @@
     change: async (key, value) => {
       const from = w.now();
       started += 1;
-      await e.change(key, keep(value), us.s(2)).then(
+      await e.change(key, keep(value), duration.s(2)).then(
         () => took.push(w.now() - from),
         () => (failed += 1),
       );
@@ -94,7 +106,7 @@
   const turns = Math.round((o.rate / 3) * (o.span / 1e6));
   for (let n = 0; n < turns; n++)
     w.at(w.now() + Math.round((n * o.span) / turns), () => void turn(timed(edges[n % 3]!), r, n));
-  await w.run(w.now() + o.span + us.s(6));
+  await w.run(w.now() + o.span + duration.s(6));
   const all = Math.max(1, started);
   row(
     `${o.syncTime / 1000} ms`,
@@ -123,24 +135,24 @@
 // Real stores, each a process of its own on loopback.
 /** Addresses of this process's own, by its id, so that two runs on one machine don't take each other's. */
 const host = (i: number): string => `127.${160 + ((process.pid >> 8) & 63)}.${process.pid & 255}.${i}`;
-export const benchAddress = (i: number): Place => `${host(i)}:7101`;
+export const benchAddress = (i: number): Address => `${host(i)}:7101`;
 /** A store that listens at `at`, writes to `folder`, and ends when it is told so; it prints a line once it is up. */
-export const benchStore = async (i: number, folder: string, at: Place): Promise<void> => {
+export const benchStore = async (i: number, folder: string, at: Address): Promise<void> => {
   const runtime = real.runtime(folder);
   const p = await rpc.open(runtime, at);
   const durable = await durableStore.open(runtime.disk);
   await store.open({ runtime, rpc: p, durable, freshId: `k${i}` });
-  p.on('bench.usage', shape.any, () => ({
+  p.on('bench.usage', validate.anything, () => ({
     cpu: process.cpuUsage(),
     rss: process.memoryUsage().rss,
     syncs: durable.counts().syncs,
   }));
-  p.on('bench.end', shape.any, () => void setTimeout(() => process.exit(0), 20));
+  p.on('bench.end', validate.anything, () => void setTimeout(() => process.exit(0), 20));
   process.stdout.write('up\n');
 };
 type Usage = { cpu: { user: number; system: number }; rss: number; syncs: number };
 const usage = (p: Rpc): Promise<Usage[]> =>
-  Promise.all(ids.map((i) => p.ask<Usage>(benchAddress(i), 'bench.usage', {}, us.s(5))));
+  Promise.all(ids.map((i) => p.request<Usage>(benchAddress(i), 'bench.usage', {}, duration.s(5))));
 
 /** Resolves when the child says that it is up; a child that ends before is an error. */
 export const isUp = (child: ChildProcessByStdio<null, Readable, Readable | null>): Promise<void> =>
@@ -161,7 +173,7 @@
   'p99 ms',
   'store RSS, MB',
 ];
-export const bench = async (row: Row, o: { rate: number; span: Us; cli: string }): Promise<void> => {
+export const bench = async (row: Row, o: { rate: number; span: Microseconds; cli: string }): Promise<void> => {
   const folder = mkdtempSync(path.join(tmpdir(), 'thornsail-bench-'));
   const children = ids.map((i) =>
     spawn(process.execPath, [o.cli, '--store', String(i), path.join(folder, `k${i}`), benchAddress(i)], {
@@ -181,14 +193,14 @@
       change: async (key, value) => {
         const from = runtime.clock.now();
         started += 1;
-        await regs.change(key, keep(value), us.s(2)).then(
+        await regs.change(key, keep(value), duration.s(2)).then(
           () => took.push(runtime.clock.now() - from),
           () => (failed += 1),
         );
       },
     };
     const r = seeded(5);
-    const run = async (span: Us): Promise<void> => {
+    const run = async (span: Microseconds): Promise<void> => {
       const begun = runtime.clock.now();
       const turns = Math.round((o.rate / 3) * (span / 1e6));
       const open: Promise<unknown>[] = [];
@@ -199,7 +211,7 @@
       }
       await Promise.all(open);
     };
-    await run(us.s(2));
+    await run(duration.s(2));
     const [a, own] = [await usage(p), process.cpuUsage()];
     failed = 0;
     took.length = 0;
@@ -222,8 +234,8 @@
       pct(took, 0.99).toFixed(1),
       Math.round(Math.max(...b.map((x) => x.rss)) / 1e6),
     );
-    for (const i of ids) p.tell(benchAddress(i), 'bench.end', {});
-    await time.sleep(runtime.clock, us.ms(100));
+    for (const i of ids) p.notify(benchAddress(i), 'bench.end', {});
+    await time.sleep(runtime.clock, duration.ms(100));
     await p.close();
   } finally {
     for (const c of children) c.kill();
--- a/packages/simulation/src/measurement/relay-node.ts
+++ b/tools/simulation/src/measurement/relay-node.ts
@@ -1,9 +1,9 @@
 // A relay of news on the simulated network, without the roles around it.
 import { dissemination, type Dissemination } from '@thornsail/dissemination';
 import { rpc } from '@thornsail/rpc';
-import type { Runtime, Place } from '@thornsail/runtime';
+import type { Runtime, Address } from '@thornsail/runtime';
 
-type RelayNode = { id: string; place: Place };
+type RelayNode = { id: string; place: Address };
 
 /** Opens the relay `self` among `relays`; `arity` is the number of children of each in the tree. */
 export const openRelay = async (
--- a/packages/simulation/src/measurement/relays.ts
+++ b/tools/simulation/src/measurement/relays.ts
@@ -1,6 +1,6 @@
 // The tree of relays by its number of children (§3.5).
 import type { Dissemination } from '@thornsail/dissemination';
-import { us } from '@thornsail/runtime';
+import { duration } from '@thornsail/runtime';
 import { world } from '../world.js';
 import { openRelay } from './relay-node.js';
 import { head, mean, out, row } from './table.js';
@@ -14,7 +14,7 @@
     let frames = 0;
     for (let seed = 1; seed <= 10; seed++)
       for (const kill of [false, true]) {
-        const w = world.open({ seed, zoneDelay: us.ms(1.5), clientDelay: us.ms(1), clientIp: '127.0.9.9' });
+        const w = world.open({ seed, zoneDelay: duration.ms(1.5), clientDelay: duration.ms(1), clientIp: '127.0.9.9' });
         const list = Array.from({ length: 20 }, (_, i) => ({
           id: `n${i}`,
           place: `127.0.0.${i + 1}:1`,
@@ -25,18 +25,18 @@
           const runtime = w.runtime(x.host);
           void openRelay(runtime, x, list, arity).then((b) => bs.push({ host: x.host, b }));
         }
-        await w.run(us.s(1));
+        await w.run(duration.s(1));
         if (kill) w.kill(list[1 + w.rand.int(6)]!.host, 'power');
         const live = bs.filter((x) => x.host.alive);
         for (let m = 1; m <= 10; m++) {
           const begun = w.now();
           const before = live.reduce((a, x) => a + x.b.counts().relayed, 0);
           live[w.rand.int(live.length)]!.b.put('order', m, m);
-          while (live.some((x) => (x.b.get('order')?.mark ?? 0) < m) && w.now() - begun < us.s(10))
+          while (live.some((x) => (x.b.get('order')?.mark ?? 0) < m) && w.now() - begun < duration.s(10))
             await w.run(w.now() + 200);
           (kill ? dead : took).push((w.now() - begun) / 1000);
           if (!kill) frames += live.reduce((a, x) => a + x.b.counts().relayed, 0) - before;
-          await w.run(w.now() + us.ms(300));
+          await w.run(w.now() + duration.ms(300));
         }
       }
     row(
--- a/packages/simulation/src/measurement/scheduler.ts
+++ b/tools/simulation/src/measurement/scheduler.ts
@@ -1,5 +1,5 @@
 // The scheduler against a plain least-loaded choice of worker (§4), and several edges against one (§4.4).
-import { us } from '@thornsail/runtime';
+import { duration } from '@thornsail/runtime';
 import type { ShapeName } from '@thornsail/test-harness';
 import { days, load, moderate, seeds } from './day.js';
 import { head, out, pct, row } from './table.js';
@@ -47,8 +47,8 @@
         d.forced,
         d.rejected,
         d.gaveUp,
-        us.toMs(pct(d.waits, 0.5)),
-        us.toMs(pct(d.waits, 0.95)),
+        duration.toMs(pct(d.waits, 0.5)),
+        duration.toMs(pct(d.waits, 0.95)),
         'plain' in o ? 'not counted' : `${(100 * d.over).toFixed(2)}%`,
       );
     }
--- a/packages/simulation/src/measurement/spread.ts
+++ b/tools/simulation/src/measurement/spread.ts
@@ -1,5 +1,5 @@
 // Changes of the configuration: from the acknowledgement to their use, and past the loss of the leader (§7.2).
-import { us } from '@thornsail/runtime';
+import { duration } from '@thornsail/runtime';
 import { type Fleet, fleet } from '../fleet.js';
 import { head, mean, out, pct, row } from './table.js';
 
@@ -43,14 +43,14 @@
               got = 0;
             },
           );
-        while (got < 0) await f.w.run(f.w.now() + us.ms(1));
+        while (got < 0) await f.w.run(f.w.now() + duration.ms(1));
         const at = f.w.now();
-        acks.push(us.toMs(at - begun));
+        acks.push(duration.toMs(at - begun));
         mark = got;
         while (f.procs.some((p) => p.role === 'gateway' && (p.node?.counts()['config_mark'] ?? 0) < mark))
-          await f.w.run(f.w.now() + us.ms(1));
-        (kill ? dead : used).push(us.toMs(f.w.now() - at));
-        await f.w.run(f.w.now() + us.ms(400));
+          await f.w.run(f.w.now() + duration.ms(1));
+        (kill ? dead : used).push(duration.toMs(f.w.now() - at));
+        await f.w.run(f.w.now() + duration.ms(400));
       }
     }
     row(shape, pct(acks, 0.5), pct(used, 0.5), Math.max(...used), Math.max(...dead));
@@ -64,7 +64,7 @@
     const took: number[] = [];
     for (let seed = 1; seed <= 20; seed++) {
       const f = await fleet.open({ seed, shape });
-      await f.w.run(f.w.now() + us.ms(w100(f)));
+      await f.w.run(f.w.now() + duration.ms(w100(f)));
       f.kill(f.procs.find((p) => p.role === 'coordinator' && p.node?.counts()['leads'] === 1)!.name, 'power');
       const begun = f.w.now();
       let got = -1;
@@ -76,8 +76,8 @@
           got = 0;
         },
       );
-      while (got < 0) await f.w.run(f.w.now() + us.ms(5));
-      if (got === 200) took.push(us.toMs(f.w.now() - begun));
+      while (got < 0) await f.w.run(f.w.now() + duration.ms(5));
+      if (got === 200) took.push(duration.toMs(f.w.now() - begun));
       else out(`seed ${seed}: ${got}`);
     }
     row(shape, Math.round(mean(took)), Math.max(...took));
--- a/packages/simulation/src/measurement/turns.ts
+++ b/tools/simulation/src/measurement/turns.ts
@@ -1,5 +1,5 @@
 // What a turn costs in syncs, frames and ballots.
-import { us } from '@thornsail/runtime';
+import { duration } from '@thornsail/runtime';
 import { fleet } from '../fleet.js';
 import { sum } from '../scene.js';
 import { head, out, row } from './table.js';
@@ -23,9 +23,9 @@
     ] as const) {
       const f = await fleet.open({ seed: 1, shape });
       const idle = await fleet.open({ seed: 1, shape });
-      const l = f.load({ ...o, over: us.s(5) });
+      const l = f.load({ ...o, over: duration.s(5) });
       const [s0, fr0] = [f.w.syncs(), f.w.frames()];
-      await f.until('the load', l.done, us.s(60));
+      await f.until('the load', l.done, duration.s(60));
       const span = f.w.now();
       const [si, fi] = [idle.w.syncs(), idle.w.frames()];
       await idle.w.run(span);
--- a/packages/simulation/src/operator-calls.ts
+++ b/tools/simulation/src/operator-calls.ts
@@ -1,12 +1,12 @@
 // Operators' calls that the scenarios share (§9.4): changes of the configuration, and whether those that were
 // acknowledged are in use.
 import { root } from '@thornsail/admin-api';
-import { type Place, type Us, us } from '@thornsail/runtime';
+import { type Address, type Microseconds, duration } from '@thornsail/runtime';
 import type { Fleet } from './fleet.js';
 import { gatewayAt } from './scene.js';
 
 /** Runs `fn` once `after` microseconds of simulated time have passed. */
-export const later = (f: Fleet, after: Us, fn: () => void): void => f.w.at(f.w.now() + after, fn);
+export const later = (f: Fleet, after: Microseconds, fn: () => void): void => f.w.at(f.w.now() + after, fn);
 
 /** The coordinator that leads now; `coordinator1` while none does. */
 export const headOf = (f: Fleet): string =>
@@ -19,10 +19,10 @@
 });
 
 /** An acknowledged change: its number, the mark it got, and when it was acknowledged in simulated time. */
-export type Pushed = { n: number; mark: number; ackedAt: Us };
+export type Pushed = { n: number; mark: number; ackedAt: Microseconds };
 
 /** An operator at one node: reads, pushes, and writes down what was acknowledged, and when. */
-export const operator = (f: Fleet, acked: Pushed[]): ((at: Place) => Promise<void>) => {
+export const operator = (f: Fleet, acked: Pushed[]): ((at: Address) => Promise<void>) => {
   let n = 0;
   return async (at) => {
     const mine = ++n;
@@ -40,15 +40,15 @@
 /** The newest acknowledged configuration is in use, or a newer one, two seconds later, wherever a gateway serves. */
 export const inUse = async (f: Fleet, acked: Pushed[], gateway: string): Promise<void> => {
   const sent = f.w.now();
-  const due = acked.filter((a) => sent - a.ackedAt > us.s(2)).sort((a, b) => b.mark - a.mark)[0];
+  const due = acked.filter((a) => sent - a.ackedAt > duration.s(2)).sort((a, b) => b.mark - a.mark)[0];
   const older = acked.filter((a) => due && a.mark < due.mark);
   if (!due || older.length === 0) return;
   const old = older[older.length - 1]!;
-  const at = f.proc(gateway).options['http'] as Place;
+  const at = f.proc(gateway).options['http'] as Address;
   const r = await f.http(at, 'POST', '/v1/jobs', {}, { 'x-thornsail-class': `only-${old.n}` }).catch(() => undefined);
   if (r?.status === 200)
     f.expectBreach.push(
-      `${gateway} served by configuration ${old.mark}, ${us.toMs(sent - due.ackedAt)} ms after ${due.mark}`,
+      `${gateway} served by configuration ${old.mark}, ${duration.toMs(sent - due.ackedAt)} ms after ${due.mark}`,
     );
 };
 
@@ -59,6 +59,6 @@
     (x) => (got.mark = Number(x.body['mark'])),
     () => (got.mark = -1),
   );
-  await f.until('a read of the configuration', () => got.mark !== undefined, us.s(10));
+  await f.until('a read of the configuration', () => got.mark !== undefined, duration.s(10));
   return { mark: got.mark ?? -1 };
 };
--- a/packages/simulation/src/repair-load.ts
+++ b/tools/simulation/src/repair-load.ts
@@ -1,8 +1,8 @@
 // The load of a repair run, and what was acknowledged to it read back at the end (§6.5).
-import { us, type Us } from '@thornsail/runtime';
+import { duration, type Microseconds } from '@thornsail/runtime';
 import { runUntil, type RepairStage } from './repair-stage.js';
 
-const loadEvery = us.ms(40);
+const loadEvery = duration.ms(40);
 const pushEvery = 5 * loadEvery;
 /** Wall time, microseconds: beyond the end of every run. */
 const keptUntil = 9e15;
@@ -16,10 +16,10 @@
   write: (key: string) => Promise<boolean>;
   /** What was acknowledged: value by key. */
   acknowledged: Map<string, string>;
-  every: (end: Us) => void;
+  every: (end: Microseconds) => void;
 };
 /** Changes of configuration; `newest` is the highest mark that was acknowledged, 0 if none. */
-export type ConfigurationLoad = { every: (end: Us) => void; newest: () => number };
+export type ConfigurationLoad = { every: (end: Microseconds) => void; newest: () => number };
 
 /** Writes registers one after another through any live store, and notes those that were acknowledged. */
 export const openLoad = (stage: RepairStage): RegisterLoad => {
@@ -29,9 +29,14 @@
     const node = nodes[stage.world.rand.int(Math.max(1, nodes.length))];
     if (!node) return false;
     try {
-      await node.registers.change(key, () => ({ held: { value: key, until: keptUntil }, result: true }), us.s(2), {
-        fresh: true,
-      });
+      await node.registers.change(
+        key,
+        () => ({ held: { value: key, until: keptUntil }, result: true }),
+        duration.s(2),
+        {
+          fresh: true,
+        },
+      );
       acknowledged.set(key, key);
       return true;
     } catch {
@@ -39,7 +44,7 @@
     }
   };
   let n = 0;
-  const every = (end: Us): void => {
+  const every = (end: Microseconds): void => {
     void write(`load/${++n}`);
     if (stage.world.now() + loadEvery < end) stage.world.at(stage.world.now() + loadEvery, () => every(end));
   };
@@ -63,7 +68,7 @@
       // Not acknowledged: nothing to hold it to.
     }
   };
-  const every = (end: Us): void => {
+  const every = (end: Microseconds): void => {
     void push();
     if (stage.world.now() + pushEvery < end) stage.world.at(stage.world.now() + pushEvery, () => every(end));
   };
@@ -79,7 +84,7 @@
   const work = async (): Promise<void> => {
     for (let i = 0; i < keys.length; i += 64) {
       const some = keys.slice(i, i + 64);
-      const got = await node.registers.readMany(some, us.s(3)).catch((error: unknown) => String(error));
+      const got = await node.registers.readMany(some, duration.s(3)).catch((error: unknown) => String(error));
       if (typeof got === 'string') out.push(`${some.length} registers could not be read: ${got}`);
       else for (const [j, value] of got.entries()) if (value !== some[j]) out.push(`register ${some[j]!} is gone`);
     }
@@ -90,6 +95,6 @@
     done = true;
   };
   void work();
-  if ((await runUntil(stage, () => done, us.s(60))) === Infinity) out.push('reading back did not end');
+  if ((await runUntil(stage, () => done, duration.s(60))) === Infinity) out.push('reading back did not end');
   return out.slice(0, 5);
 };
--- a/packages/simulation/src/repair-run.ts
+++ b/tools/simulation/src/repair-run.ts
@@ -1,6 +1,6 @@
 // Timed runs of repair (§3.3, §6.5): coordinators and stores in the simulated world, under load, with losses one after
 // another. Shows how long a group bears less than it should, and whether anything acknowledged is lost.
-import { invariant, us, type Us } from '@thornsail/runtime';
+import { invariant, duration, type Microseconds } from '@thornsail/runtime';
 import { openLoad, openPushes, readBack, type RegisterLoad } from './repair-load.js';
 import { lose } from './repair-losses.js';
 import { openStage, runUntil, type Loss, type RepairPlan, type RepairStage } from './repair-stage.js';
@@ -10,12 +10,12 @@
   /** Acknowledged registers and configurations that were not read back, invariants broken, groups not full. */
   breaches: string[];
   /** For each loss: microseconds from the newcomers' start until the group is full and swept; Infinity if never. */
-  fullAfter: Us[];
+  fullAfter: Microseconds[];
   acknowledged: number;
 };
 
-const formWithin = us.s(12);
-const step = us.ms(10);
+const formWithin = duration.s(12);
+const step = duration.ms(10);
 /** Registers that are written at once before the losses. */
 const batch = 50;
 
@@ -25,14 +25,19 @@
   for (let i = 0; i < count; i += batch) {
     const end = Math.min(count, i + batch);
     for (let j = i; j < end; j++) void load.write(`state/${j}`).then(() => (written += 1));
-    await runUntil(stage, () => written >= end, us.s(10));
+    await runUntil(stage, () => written >= end, duration.s(10));
   }
 };
 /** Plays the losses until `end`; for each, the time from the return until its group is full. */
-const playLosses = async (stage: RepairStage, losses: Loss[], begun: Us, end: Us): Promise<Us[]> => {
+const playLosses = async (
+  stage: RepairStage,
+  losses: Loss[],
+  begun: Microseconds,
+  end: Microseconds,
+): Promise<Microseconds[]> => {
   const { world } = stage;
-  const fullAfter: Us[] = losses.map(() => Infinity);
-  const returned: { loss: Loss; i: number; at: Us }[] = [];
+  const fullAfter: Microseconds[] = losses.map(() => Infinity);
+  const returned: { loss: Loss; i: number; at: Microseconds }[] = [];
   for (const [i, loss] of losses.entries())
     world.at(begun + loss.at, () => lose(stage, loss, () => void returned.push({ loss, i, at: world.now() })));
   while (world.now() < end) {
@@ -54,8 +59,8 @@
   await writeState(stage, load, plan.registers);
   const begun = stage.world.now();
   const last = Math.max(0, ...plan.losses.map((loss) => loss.at + loss.backAfter));
-  load.every(begun + last + us.s(1));
-  pushes.every(begun + last + us.s(1));
+  load.every(begun + last + duration.s(1));
+  pushes.every(begun + last + duration.s(1));
   const fullAfter = await playLosses(stage, plan.losses, begun, begun + last + plan.settleFor);
   const breaches: string[] = [];
   for (const role of ['coordinator', 'store'] as const)
