--- a/packages/simulation/src/repair-stage.ts
+++ b/tools/simulation/src/repair-stage.ts
@@ -1,6 +1,6 @@
 // The processes of a repair run (§3.3, §6.5): coordinators and stores in the simulated world, without edges.
 import { configSchema } from '@thornsail/config-schema';
-import { place, us, type Runtime, type Place, type Us } from '@thornsail/runtime';
+import { address, duration, type Runtime, type Address, type Microseconds } from '@thornsail/runtime';
 import { roles, type Node } from '@thornsail/thornsail';
 import { world, type Host, type World } from './world.js';
 
@@ -9,7 +9,7 @@
 /** A loss of some processes of a role, and their return. */
 export type Loss = {
   /** Microseconds after the load began. */
-  at: Us;
+  at: Microseconds;
   role: GroupRole;
   /** So many members of the role at once. */
   count: number;
@@ -18,7 +18,7 @@
   /** `planned`: another one starts first, and after `backAfter` this one is told to end. */
   how: 'disk' | 'power' | 'process' | 'planned';
   /** Microseconds until a process starts again; `elsewhere`: an empty one at another address. */
-  backAfter: Us;
+  backAfter: Microseconds;
   elsewhere?: boolean;
 };
 /** One run: sizes of the groups, disks, and the losses. */
@@ -29,26 +29,26 @@
   /** How many losses at once the groups bear. */
   tolerates: number;
   /** Microseconds for a usual sync, and how many times slower the disks are. */
-  diskTime: Us;
+  diskTime: Microseconds;
   slow?: number;
   /** Registers that are there before the first loss. */
   registers: number;
   losses: Loss[];
   /** Microseconds after the last return until what was acknowledged is read back. */
-  settleFor: Us;
+  settleFor: Microseconds;
   log?: (line: string) => void;
 };
 /** One address and what runs there. */
 export type Process = {
   role: GroupRole;
-  at: Place;
+  at: Address;
   host: Host;
   /** Undefined while it starts, and once it was lost. */
   node: Node | undefined;
   /** When its disk was last empty. */
-  diskSince: Us;
+  diskSince: Microseconds;
   firstStart: boolean;
-  seeds: Place[];
+  seeds: Address[];
 };
 
 /** The processes of one run and the world that they are in. */
@@ -62,21 +62,21 @@
   /** Starts the process with what its disk holds. */
   start: (process: Process) => void;
   /** Starts an empty process at a new address; `seeds` are the founders if absent. */
-  add: (role: GroupRole, seeds?: Place[]) => Process;
+  add: (role: GroupRole, seeds?: Address[]) => Process;
   /** Whether the group has its full size, all of it alive, and every change of it is complete. */
   full: (role: GroupRole) => boolean;
 };
 
-const step = us.ms(10);
+const step = duration.ms(10);
 /** Addresses of a role, but for their last byte. */
 const networks: Record<GroupRole, string> = { coordinator: '127.0.3', store: '127.0.2' };
-const founders: readonly Place[] = [1, 2, 3].map((i) => `${networks.coordinator}.${i}:7101`);
+const founders: readonly Address[] = [1, 2, 3].map((i) => `${networks.coordinator}.${i}:7101`);
 
 const openWorld = (plan: RepairPlan): World => {
   const simulated = world.open({
     seed: plan.seed,
-    zoneDelay: us.ms(1),
-    clientDelay: us.ms(1),
+    zoneDelay: duration.ms(1),
+    clientDelay: duration.ms(1),
     clientIp: '127.0.9.9',
     diskTime: plan.diskTime,
   });
@@ -87,9 +87,9 @@
 const optionsOf = (plan: RepairPlan, { role, at, host, seeds, firstStart }: Process): unknown => {
   const founding = firstStart && founders.includes(at);
   return {
-    name: `${role}-${place.host(at).replaceAll('.', '-')}`,
+    name: `${role}-${address.host(at).replaceAll('.', '-')}`,
     place: at,
-    http: `${place.host(at)}:7100`,
+    http: `${address.host(at)}:7100`,
     zone: host.zone,
     seeds,
     beatMs: 400,
@@ -159,7 +159,7 @@
 };
 
 /** Runs the world until `ok` holds; microseconds that it took, Infinity if more than `limit`. */
-export const runUntil = async (stage: RepairStage, ok: () => boolean, limit: Us): Promise<Us> => {
+export const runUntil = async (stage: RepairStage, ok: () => boolean, limit: Microseconds): Promise<Microseconds> => {
   const begun = stage.world.now();
   while (!ok()) {
     if (stage.world.now() - begun > limit) return Infinity;
--- a/packages/simulation/src/scenarios/budget.ts
+++ b/tools/simulation/src/scenarios/budget.ts
@@ -1,5 +1,5 @@
 // Scenario `budget` (§9.4).
-import { us } from '@thornsail/runtime';
+import { duration } from '@thornsail/runtime';
 import { fleet } from '../fleet.js';
 import { type Scenario, finish, gatewayAt, gateways, keepers, ofLive, patch, pause, run, sum } from '../scene.js';
 
@@ -26,32 +26,33 @@
             { 'x-thornsail-program': program, 'x-thornsail-class': cls },
           )
           .catch(() => undefined);
-        await pause(f, us.ms(r.int(300)));
+        await pause(f, duration.ms(r.int(300)));
       }
       busy -= 1;
     };
     for (let p = 0; p < 6; p++) for (let k = 0; k < 3; k++) void drive(`p-${p}`);
     const bring = async (): Promise<void> => {
       for (let i = 0; i < 6; i++) {
-        await pause(f, us.ms(400 + r.int(500)));
+        await pause(f, duration.ms(400 + r.int(500)));
         const e = gateways[r.int(7)]!;
         const k = r.int(4);
         if (k === 0 && f.proc(e).host.alive) {
           f.kill(e);
-          f.w.at(f.w.now() + us.ms(300 + r.int(1500)), () => f.start(e));
-        } else if (k === 1 && f.proc(e).host.alive && !f.proc(e).host.frozen) f.freeze(e, us.ms(800 + r.int(3000)));
+          f.w.at(f.w.now() + duration.ms(300 + r.int(1500)), () => f.start(e));
+        } else if (k === 1 && f.proc(e).host.alive && !f.proc(e).host.frozen)
+          f.freeze(e, duration.ms(800 + r.int(3000)));
         else if (k === 2) {
           const n = keepers[r.int(3)]!;
           if (f.proc(n).host.alive && ofLive(f, 'store').length === 3) {
             f.kill(n, 'power');
-            f.w.at(f.w.now() + us.ms(500 + r.int(1500)), () => f.start(n));
+            f.w.at(f.w.now() + duration.ms(500 + r.int(1500)), () => f.start(n));
           }
         } else f.models[r.int(f.models.length)]!.faults.dieMidStream = 0.5;
       }
     };
     void bring();
-    await f.until('the drivers to end', () => busy === 0, us.s(120));
-    await run(f, us.s(3));
+    await f.until('the drivers to end', () => busy === 0, duration.s(120));
+    await run(f, duration.s(3));
     return finish(f, { budget_rejected: sum(f, 'budget_rejected') });
   },
 };
--- a/packages/simulation/src/scenarios/burst.ts
+++ b/tools/simulation/src/scenarios/burst.ts
@@ -1,5 +1,5 @@
 // Scenario `burst` (§9.4).
-import { type Us, us } from '@thornsail/runtime';
+import { type Microseconds, duration } from '@thornsail/runtime';
 import { classNames } from '@thornsail/test-harness';
 import { fleet } from '../fleet.js';
 import { later } from '../operator-calls.js';
@@ -15,11 +15,11 @@
     for (const k of keepers) f.proc(k).host.disk.slow = 4;
     const names = classNames[shape];
     const limit = shape === 'lautoka' ? 2000 : 1500;
-    const l = f.load({ chats: 160, kept: 10, jobs: 0, over: us.s(6) });
+    const l = f.load({ chats: 160, kept: 10, jobs: 0, over: duration.s(6) });
     // A crowd of refreshes takes all slots that urgent work lends.
     let crowd = 0;
     for (let i = 0; i < 1800; i++)
-      later(f, r.int(us.s(6)), () => {
+      later(f, r.int(duration.s(6)), () => {
         const at = gatewayAt(f, r.int(7));
         const head = { 'x-thornsail-class': names.ping, 'x-thornsail-time-left-ms': '2500' };
         void f.http(at, 'POST', '/v1/jobs', { i }, head).then(
@@ -27,7 +27,7 @@
           () => undefined,
         );
       });
-    const waits: Us[] = [];
+    const waits: Microseconds[] = [];
     let bad = 0;
     let open = 0;
     const urgent = async (edge: number, id: string): Promise<void> => {
@@ -44,20 +44,20 @@
       else bad += 1;
       open -= 1;
     };
-    for (const [b, at] of [us.s(1.5), us.s(3), us.s(4.5)].entries())
+    for (const [b, at] of [duration.s(1.5), duration.s(3), duration.s(4.5)].entries())
       later(f, at, () => {
         for (let e = 0; e < 7; e++) for (let i = 0; i < 8; i++) void urgent(e, `u-${b}-${e}-${i}`);
       });
-    await run(f, us.s(6));
-    await f.until('the urgent callers to end', () => open === 0, us.s(10));
+    await run(f, duration.s(6));
+    await f.until('the urgent callers to end', () => open === 0, duration.s(10));
     await settleLoad(f, l);
     const sorted = waits.sort((a, b) => a - b);
-    const worst = us.toMs(sorted[sorted.length - 1] ?? 0);
+    const worst = duration.toMs(sorted[sorted.length - 1] ?? 0);
     const lines = Math.max(...f.apps.map((a) => a.peak().line));
     const out = finish(f, {
       urgent_served: waits.length,
       urgent_refused: bad,
-      urgent_p50_ms: us.toMs(sorted[Math.floor(sorted.length / 2)] ?? 0),
+      urgent_p50_ms: duration.toMs(sorted[Math.floor(sorted.length / 2)] ?? 0),
       urgent_worst_ms: worst,
       crowd_served: crowd,
       worst_app_line: lines,
--- a/packages/simulation/src/scenarios/clocks.ts
+++ b/tools/simulation/src/scenarios/clocks.ts
@@ -1,5 +1,5 @@
 // Scenario `clocks` (§9.4).
-import { us } from '@thornsail/runtime';
+import { duration } from '@thornsail/runtime';
 import { fleet } from '../fleet.js';
 import { type Pushed, later, operator } from '../operator-calls.js';
 import { type Scenario, finish, gatewayAt, gateways, keepers, run, serving, settleLoad, towers } from '../scene.js';
@@ -12,8 +12,8 @@
     const f = await fleet.open({ seed, shape, log, config: (c) => ({ ...c, slots: small }) });
     const r = f.w.rand;
     for (const a of f.apps) a.faults.slow = 6;
-    const l = f.load({ chats: 60, kept: 14, jobs: 250, over: us.s(14) });
-    const day = us.s(86_400);
+    const l = f.load({ chats: 60, kept: 14, jobs: 250, over: duration.s(14) });
+    const day = duration.s(86_400);
     const jump = (name: string): void => {
       // Of the stores one clock at a time is wrong, by up to 400 days either way.
       const role = f.proc(name).role;
@@ -21,20 +21,20 @@
       f.proc(name).host.skew = (r.int(2) ? 1 : -1) * r.int(400) * day;
     };
     const all = [...keepers, ...keepers, ...towers, ...gateways];
-    for (let i = 0; i < 24; i++) later(f, r.int(us.s(16)), () => jump(all[r.int(all.length)]!));
-    later(f, us.s(3), () => f.kill(keepers[r.int(3)]!, 'power'));
-    later(f, us.s(5), () => keepers.forEach((k) => f.proc(k).host.alive || f.start(k)));
-    later(f, us.s(6), () => f.kill(gateways[r.int(7)]!));
+    for (let i = 0; i < 24; i++) later(f, r.int(duration.s(16)), () => jump(all[r.int(all.length)]!));
+    later(f, duration.s(3), () => f.kill(keepers[r.int(3)]!, 'power'));
+    later(f, duration.s(5), () => keepers.forEach((k) => f.proc(k).host.alive || f.start(k)));
+    later(f, duration.s(6), () => f.kill(gateways[r.int(7)]!));
     const acked: Pushed[] = [];
     const push = operator(f, acked);
-    for (let i = 0; i < 8; i++) later(f, r.int(us.s(14)), () => void push(gatewayAt(f, r.int(7))));
-    await run(f, us.s(17));
-    const back = await serving(f, us.s(12));
+    for (let i = 0; i < 8; i++) later(f, r.int(duration.s(14)), () => void push(gatewayAt(f, r.int(7))));
+    await run(f, duration.s(17));
+    const back = await serving(f, duration.s(12));
     await settleLoad(f, l);
     const out = finish(f, {
       acknowledged: acked.length,
       recalled: f.callers.summary.recalled,
-      back_ms: us.toMs(back),
+      back_ms: duration.toMs(back),
     });
     if (f.callers.summary.recalled < 10) out.breaches.push('too few conversations were read back');
     return out;
--- a/packages/simulation/src/scenarios/closing.ts
+++ b/tools/simulation/src/scenarios/closing.ts
@@ -1,5 +1,5 @@
 // Scenario `closing` (§9.4).
-import { type Us, us } from '@thornsail/runtime';
+import { type Microseconds, duration } from '@thornsail/runtime';
 import { fleet } from '../fleet.js';
 import { type Scenario, finish, keepers, run, serving, settleLoad, towers } from '../scene.js';
 
@@ -8,22 +8,22 @@
   rule: 'after a closing fault, serving is back within twelve seconds',
   run: async (seed, shape, log) => {
     const f = await fleet.open({ seed, shape, log });
-    const l = f.load({ chats: 70, kept: 10, jobs: 80, over: us.s(26) });
+    const l = f.load({ chats: 70, kept: 10, jobs: 80, over: duration.s(26) });
     const figures: Record<string, number> = {};
-    const time = async (name: string, fault: () => (() => void) | void, lasts: Us): Promise<void> => {
+    const time = async (name: string, fault: () => (() => void) | void, lasts: Microseconds): Promise<void> => {
       const heal = fault();
       await run(f, lasts);
       heal?.();
-      figures[`${name}_ms`] = us.toMs(await serving(f, us.s(12)));
+      figures[`${name}_ms`] = duration.toMs(await serving(f, duration.s(12)));
     };
-    await run(f, us.s(2));
+    await run(f, duration.s(2));
     await time(
       'towers_restarted',
       () => {
         for (const t of towers) f.kill(t);
         return () => towers.forEach((t) => f.start(t));
       },
-      us.s(1),
+      duration.s(1),
     );
     await time(
       'stores_power_cycled',
@@ -31,9 +31,9 @@
         for (const k of keepers) f.kill(k, 'power');
         return () => keepers.forEach((k) => f.start(k));
       },
-      us.s(1),
+      duration.s(1),
     );
-    await time('core_cut_in_two', () => f.cut(['coordinator1'], ['coordinator2', 'coordinator3']), us.s(4));
+    await time('core_cut_in_two', () => f.cut(['coordinator1'], ['coordinator2', 'coordinator3']), duration.s(4));
     await time(
       'core_cut_off',
       () =>
@@ -41,7 +41,7 @@
           towers,
           f.procs.filter((p) => p.role !== 'coordinator').map((p) => p.name),
         ),
-      us.s(5),
+      duration.s(5),
     );
     const zone = f.procs.filter((p) => p.host.zone === 'z2');
     await time(
@@ -49,14 +49,14 @@
       () => {
         for (const p of zone) f.kill(p.name, 'power');
       },
-      us.s(0.1),
+      duration.s(0.1),
     );
     await time(
       'zone_back',
       () => {
         for (const p of zone) f.start(p.name);
       },
-      us.s(0.1),
+      duration.s(0.1),
     );
     await time(
       'all_at_once',
@@ -64,7 +64,7 @@
         for (const p of f.procs) f.kill(p.name, 'power');
         return () => f.procs.forEach((p) => f.start(p.name));
       },
-      us.s(1),
+      duration.s(1),
     );
     await settleLoad(f, l);
     return finish(f, figures);
--- a/packages/simulation/src/scenarios/config.ts
+++ b/tools/simulation/src/scenarios/config.ts
@@ -1,6 +1,6 @@
 // Scenario `config` (§9.4).
 import { root } from '@thornsail/admin-api';
-import { type Place, type Us, us } from '@thornsail/runtime';
+import { type Address, type Microseconds, duration } from '@thornsail/runtime';
 import { fleet } from '../fleet.js';
 import { type Scenario, finish, gateways, ofLive, run, towers } from '../scene.js';
 
@@ -12,17 +12,17 @@
     const r = f.w.rand;
     const base = f.shape.config;
     const nth = (n: number): Record<string, unknown> => ({ ...base, limits: { onceKeepSeconds: 1000 + n } });
-    const acked = new Map<number, { at: Us; n: number }>();
+    const acked = new Map<number, { at: Microseconds; n: number }>();
     const losers = new Set<number>();
     const seen = new Map<string, number>();
-    const frozenUntil = new Map<string, Us>();
+    const frozenUntil = new Map<string, Microseconds>();
     let n = 0;
     let open = 0;
     const push = async (): Promise<void> => {
       open += 1;
       const mine = ++n;
       const agents = ofLive(f, 'agent');
-      const at = f.proc(agents[r.int(agents.length)]!).options['http'] as Place;
+      const at = f.proc(agents[r.int(agents.length)]!).options['http'] as Address;
       try {
         const now = await f.http(at, 'GET', `${root}/config`);
         if (now.status === 200) {
@@ -47,39 +47,39 @@
     };
     // Two operators at once, and quick succession.
     for (let i = 0; i < 14; i++)
-      f.w.at(f.w.now() + r.int(us.s(12)), () => {
+      f.w.at(f.w.now() + r.int(duration.s(12)), () => {
         void push();
         if (r.int(2)) void push();
       });
-    const later = (at: Us, fn: () => void): void => f.w.at(f.w.now() + at, fn);
+    const later = (at: Microseconds, fn: () => void): void => f.w.at(f.w.now() + at, fn);
     const head = (): string =>
       f.procs.find((p) => p.role === 'coordinator' && p.node?.counts()['leads'] === 1)?.name ?? 'coordinator1';
-    later(us.s(1) + r.int(us.s(2)), () => {
+    later(duration.s(1) + r.int(duration.s(2)), () => {
       const t = head();
       f.kill(t, 'power');
-      later(us.s(1) + r.int(us.s(1)), () => f.start(t));
+      later(duration.s(1) + r.int(duration.s(1)), () => f.start(t));
     });
-    later(us.s(5) + r.int(us.s(1)), () => {
+    later(duration.s(5) + r.int(duration.s(1)), () => {
       const t = head();
       const heal = f.cut([t], [...towers.filter((x) => x !== t)]);
-      later(us.s(2), heal);
+      later(duration.s(2), heal);
     });
-    later(us.s(4), () => {
+    later(duration.s(4), () => {
       const p = `agent-edge${1 + r.int(7)}`;
       f.kill(p);
-      later(us.s(3), () => f.start(p));
+      later(duration.s(3), () => f.start(p));
     });
-    later(us.s(8), () => {
+    later(duration.s(8), () => {
       const e = gateways[r.int(7)]!;
-      f.freeze(e, us.s(2));
-      frozenUntil.set(e, f.w.now() + us.s(2));
+      f.freeze(e, duration.s(2));
+      frozenUntil.set(e, f.w.now() + duration.s(2));
     });
-    const end = f.w.now() + us.s(16);
+    const end = f.w.now() + duration.s(16);
     let slowest = 0;
-    const arrived = new Map<string, Us>();
+    const arrived = new Map<string, Microseconds>();
     while (f.w.now() < end || open > 0) {
-      await run(f, us.ms(50));
-      if (f.w.now() > end + us.s(30)) {
+      await run(f, duration.ms(50));
+      if (f.w.now() > end + duration.s(30)) {
         f.expectBreach.push('an operator was never answered');
         break;
       }
@@ -95,8 +95,8 @@
         for (const [m, a] of acked)
           if (mark < m) {
             const late = f.w.now() - Math.max(a.at, frozenUntil.get(name) ?? 0);
-            if (late > us.s(2))
-              f.expectBreach.push(`${name} is at ${mark}, ${us.toMs(late)} ms after ${m} was acknowledged`);
+            if (late > duration.s(2))
+              f.expectBreach.push(`${name} is at ${mark}, ${duration.toMs(late)} ms after ${m} was acknowledged`);
           } else if (!arrived.has(`${name}.${m}`)) {
             arrived.set(`${name}.${m}`, f.w.now() - a.at);
             slowest = Math.max(slowest, f.w.now() - a.at);
@@ -104,6 +104,6 @@
       }
     }
     if (acked.size < 3) f.expectBreach.push(`only ${acked.size} configurations were acknowledged`);
-    return finish(f, { acknowledged: acked.size, losers: losers.size, slowest_spread_ms: us.toMs(slowest) });
+    return finish(f, { acknowledged: acked.size, losers: losers.size, slowest_spread_ms: duration.toMs(slowest) });
   },
 };
--- a/packages/simulation/src/scenarios/durable.ts
+++ b/tools/simulation/src/scenarios/durable.ts
@@ -1,6 +1,6 @@
 // Scenario `durable` (§9.4).
 import { root } from '@thornsail/admin-api';
-import { us } from '@thornsail/runtime';
+import { duration } from '@thornsail/runtime';
 import { fleet } from '../fleet.js';
 import { type Scenario, finish, gatewayAt, ofLive, run } from '../scene.js';
 
@@ -22,7 +22,7 @@
           res = { status: 0, mark };
         },
       );
-      await f.until('the acknowledgement', () => res !== undefined, us.s(10));
+      await f.until('the acknowledgement', () => res !== undefined, duration.s(10));
       if (res!.status === 200) mark = res!.mark;
       // Right after the acknowledgement: power or disk of one machine, the head more often than not.
       const head = f.procs.find((p) => p.role === 'coordinator' && p.node?.counts()['leads'] === 1)?.name;
@@ -30,7 +30,7 @@
       const t = head && r.int(3) > 0 ? head : live[r.int(live.length)]!;
       if (r.int(2) === 0) {
         f.kill(t, 'power');
-        await run(f, us.ms(200 + r.int(1500)));
+        await run(f, duration.ms(200 + r.int(1500)));
         f.start(t);
       } else f.replace(t, `coordinator${9 - i}`, `127.77.3.${9 - i}`);
       await f.until(
@@ -44,7 +44,7 @@
             v.members.every((m) => f.procs.some((x) => x.role === 'coordinator' && x.host.alive && x.node?.id === m.id))
           );
         },
-        us.s(25),
+        duration.s(25),
       );
       let got: { status: number; body: Record<string, unknown> } | undefined;
       void f.http(gatewayAt(f, r.int(7)), 'GET', `${root}/config`).then(
@@ -55,7 +55,7 @@
           got = { status: 0, body: {} };
         },
       );
-      await f.until('a read of the configuration', () => got !== undefined, us.s(10));
+      await f.until('a read of the configuration', () => got !== undefined, duration.s(10));
       const value = (got!.body['config'] as { limits?: { onceKeepSeconds?: number } } | undefined)?.limits
         ?.onceKeepSeconds;
       if (got!.status !== 200) f.expectBreach.push(`round ${i}: no agreed configuration (${got!.status})`);
--- a/packages/simulation/src/scenarios/hold.ts
+++ b/tools/simulation/src/scenarios/hold.ts
@@ -1,5 +1,5 @@
 // Scenario `hold` (§9.4).
-import { us } from '@thornsail/runtime';
+import { duration } from '@thornsail/runtime';
 import { fleet } from '../fleet.js';
 import { type Scenario, finish, gateways, keepers, settleLoad, sum } from '../scene.js';
 
@@ -12,21 +12,21 @@
       shape,
       log,
       capacity: 900,
-      gap: us.ms(700),
+      gap: duration.ms(700),
       // On even seeds the workers are slow to their first token: a hold must leave room for it.
-      ...(seed % 2 === 0 ? { firstToken: us.ms(500) } : {}),
+      ...(seed % 2 === 0 ? { firstToken: duration.ms(500) } : {}),
       config: (c) => ({ ...c, scheduler: { intervalSeconds: 2 }, slots: { model: 64, app: 16 } }),
     });
-    const l = f.load({ chats: 150, kept: 20, jobs: 20, over: us.s(12) });
+    const l = f.load({ chats: 150, kept: 20, jobs: 20, over: duration.s(12) });
     // On every third seed the stores' disks are slow, and one store is lost on top of that.
     if (seed % 3 === 0) {
       for (const k of keepers) f.proc(k).host.disk.slow = 25;
-      f.w.at(f.w.now() + us.s(5), () => f.kill(keepers[f.w.rand.int(3)]!, 'power'));
+      f.w.at(f.w.now() + duration.s(5), () => f.kill(keepers[f.w.rand.int(3)]!, 'power'));
     }
     // The news between edges goes missing for a while.
-    f.w.at(f.w.now() + us.s(3), () => {
+    f.w.at(f.w.now() + duration.s(3), () => {
       const heal = f.cut(gateways, ['agent-edge1', 'agent-edge2', 'agent-edge3']);
-      f.w.at(f.w.now() + us.s(4), heal);
+      f.w.at(f.w.now() + duration.s(4), heal);
     });
     await settleLoad(f, l);
     const out = finish(f, { paused: sum(f, 'paused'), marked: sum(f, 'marked') });
--- a/packages/simulation/src/scenarios/kept.ts
+++ b/tools/simulation/src/scenarios/kept.ts
@@ -1,5 +1,5 @@
 // Scenario `kept` (§9.4).
-import { type Place, type Us, us } from '@thornsail/runtime';
+import { type Address, type Microseconds, duration } from '@thornsail/runtime';
 import { fleet } from '../fleet.js';
 import { type Scenario, finish, gateways, keepers, ofLive, settleLoad } from '../scene.js';
 
@@ -9,15 +9,15 @@
   run: async (seed, shape, log) => {
     const f = await fleet.open({ seed, shape, log });
     const r = f.w.rand;
-    const l = f.load({ chats: 5, kept: 16, jobs: 0, over: us.s(4) });
-    const later = (at: Us, fn: () => void): void => f.w.at(f.w.now() + at, fn);
+    const l = f.load({ chats: 5, kept: 16, jobs: 0, over: duration.s(4) });
+    const later = (at: Microseconds, fn: () => void): void => f.w.at(f.w.now() + at, fn);
     const k = keepers[r.int(3)]!;
     const other = keepers.find((x) => x !== k)!;
-    later(us.s(2), () => {
-      f.proc(other).host.skew = (r.int(2) === 0 ? 1 : -1) * us.s(400 * 86_400);
+    later(duration.s(2), () => {
+      f.proc(other).host.skew = (r.int(2) === 0 ? 1 : -1) * duration.s(400 * 86_400);
     });
-    later(us.s(2) + r.int(us.s(2)), () => f.kill(gateways[r.int(7)]!));
-    later(us.s(3), () => f.replace(k, 'store9', '127.77.2.9'));
+    later(duration.s(2) + r.int(duration.s(2)), () => f.kill(gateways[r.int(7)]!));
+    later(duration.s(3), () => f.replace(k, 'store9', '127.77.2.9'));
     await settleLoad(f, l);
     await f.until(
       'the group to be whole again',
@@ -30,7 +30,7 @@
           s.members.some((m) => m.at.startsWith('127.77.2.9'))
         );
       },
-      us.s(30),
+      duration.s(30),
     );
     // Now the oldest of the remaining stores goes too: what was kept must be on the newcomer.
     const last = ofLive(f, 'store').find((x) => x !== 'store9' && x !== other) ?? other;
@@ -42,7 +42,7 @@
       open += 1;
       const alive = f.procs.filter((x) => x.role === 'gateway' && x.host.alive);
       void f
-        .http(alive[r.int(alive.length)]!.options['http'] as Place, 'GET', `/v1/conversations/c-${p}`)
+        .http(alive[r.int(alive.length)]!.options['http'] as Address, 'GET', `/v1/conversations/c-${p}`)
         .then((x) => {
           if (x.status === 404)
             f.expectBreach.push(`conversation c-${p} reported missing after its stores were replaced`);
@@ -52,7 +52,7 @@
           open -= 1;
         });
     }
-    await f.until('the readers to end', () => open === 0, us.s(20));
+    await f.until('the readers to end', () => open === 0, duration.s(20));
     return finish(f, { recalled: f.callers.summary.recalled });
   },
 };
--- a/packages/simulation/src/scenarios/notrun.ts
+++ b/tools/simulation/src/scenarios/notrun.ts
@@ -1,5 +1,5 @@
 // Scenario `notrun` (§9.4).
-import { us } from '@thornsail/runtime';
+import { duration } from '@thornsail/runtime';
 import { fleet } from '../fleet.js';
 import { type Scenario, finish, gatewayAt, gateways, patch, run } from '../scene.js';
 
@@ -61,15 +61,15 @@
       if (res?.status === 200) story.ok = true;
       open -= 1;
     };
-    for (let i = 0; i < 900; i++) f.w.at(f.w.now() + r.int(us.s(3)), () => void one(`n-${i}`, i % 2 === 0));
+    for (let i = 0; i < 900; i++) f.w.at(f.w.now() + r.int(duration.s(3)), () => void one(`n-${i}`, i % 2 === 0));
     for (let i = 0; i < 3; i++)
-      f.w.at(f.w.now() + r.int(us.s(4)), () => {
+      f.w.at(f.w.now() + r.int(duration.s(4)), () => {
         const e = gateways[r.int(7)]!;
-        if (!f.proc(e).host.frozen) f.freeze(e, us.ms(700 + r.int(2500)));
+        if (!f.proc(e).host.frozen) f.freeze(e, duration.ms(700 + r.int(2500)));
       });
-    await run(f, us.s(5));
-    await f.until('the callers to end', () => open === 0, us.s(30));
-    await run(f, us.s(5));
+    await run(f, duration.s(5));
+    await f.until('the callers to end', () => open === 0, duration.s(30));
+    await run(f, duration.s(5));
     const out = finish(f, { promised: said.length });
     const ran = requestLogKeys();
     for (const k of said) if (ran.has(k) && !mixed.has(k)) out.breaches.push(`${k} ran after "not run"`);
--- a/packages/simulation/src/scenarios/once.ts
+++ b/tools/simulation/src/scenarios/once.ts
@@ -1,5 +1,5 @@
 // Scenario `once` (§9.4).
-import { us } from '@thornsail/runtime';
+import { duration } from '@thornsail/runtime';
 import { fleet } from '../fleet.js';
 import { type Scenario, finish, gateways, run } from '../scene.js';
 
@@ -21,18 +21,18 @@
       await f.callers.job({ urgent: true, once: true, key });
       open -= 1;
     };
-    for (let i = 0; i < 60; i++) f.w.at(f.w.now() + r.int(us.s(6)), () => void one(`once-${i}`));
+    for (let i = 0; i < 60; i++) f.w.at(f.w.now() + r.int(duration.s(6)), () => void one(`once-${i}`));
     for (let i = 0; i < 4; i++)
-      f.w.at(f.w.now() + us.s(0.5) + r.int(us.s(5)), () => {
+      f.w.at(f.w.now() + duration.s(0.5) + r.int(duration.s(5)), () => {
         const e = gateways[r.int(7)]!;
         if (!f.proc(e).host.alive || f.proc(e).host.frozen) return;
         if (r.int(2) === 0) {
           f.kill(e);
-          f.w.at(f.w.now() + us.s(1), () => f.start(e));
-        } else f.freeze(e, us.ms(900 + r.int(2000)));
+          f.w.at(f.w.now() + duration.s(1), () => f.start(e));
+        } else f.freeze(e, duration.ms(900 + r.int(2000)));
       });
-    await run(f, us.s(8));
-    await f.until('the callers to end', () => open === 0, us.s(60));
+    await run(f, duration.s(8));
+    await f.until('the callers to end', () => open === 0, duration.s(60));
     return finish(f);
   },
 };
--- a/packages/simulation/src/scenarios/rolling.ts
+++ b/tools/simulation/src/scenarios/rolling.ts
@@ -1,6 +1,6 @@
 // Scenario `rolling` (§9.4).
 import { root } from '@thornsail/admin-api';
-import { type Place, us } from '@thornsail/runtime';
+import { type Address, duration } from '@thornsail/runtime';
 import { fleet } from '../fleet.js';
 import { type Scenario, finish, gatewayAt, oneToLeave, replaceWorker, run, serving, settleLoad } from '../scene.js';
 
@@ -9,11 +9,11 @@
   rule: 'workers replaced one after another, machines added, seeds swapped, a store machine emptied',
   run: async (seed, shape, log) => {
     const f = await fleet.open({ seed, shape, log });
-    const l = f.load({ chats: 60, kept: 8, jobs: 40, over: us.s(16) });
+    const l = f.load({ chats: 60, kept: 8, jobs: 40, over: duration.s(16) });
     // The three seed machines go, one by one, and an empty one takes each place at a new address.
     f.kill('agent-edge1');
     f.kill('gateway-edge1');
-    await run(f, us.s(2));
+    await run(f, duration.s(2));
     f.replace('store1', 'store8', '127.77.2.8');
     await f.until(
       'the new store in the group',
@@ -26,11 +26,11 @@
           k.members.some((m) => m.at.startsWith('127.77.2.8'))
         );
       },
-      us.s(30),
+      duration.s(30),
     );
     for (const p of f.procs)
       p.seeds = [f.proc('agent-edge2'), f.proc('store8'), f.proc('coordinator1')].map(
-        (x) => x.options['place'] as Place,
+        (x) => x.options['place'] as Address,
       );
     f.replace('coordinator1', 'coordinator8', '127.77.3.8');
     await f.until(
@@ -39,11 +39,11 @@
         const v = f.proc('agent-edge2').node?.membership.marked();
         return v !== undefined && v.members.length === 3 && v.members.some((m) => m.at.startsWith('127.77.3.8'));
       },
-      us.s(30),
+      duration.s(30),
     );
     // None of the first seeds is left; a node that restarts finds the fleet by the new ones.
     const seeds = [f.proc('agent-edge2'), f.proc('store8'), f.proc('coordinator8')].map(
-      (p) => p.options['place'] as Place,
+      (p) => p.options['place'] as Address,
     );
     for (const p of f.procs) p.seeds = seeds;
     f.kill('agent-edge5');
@@ -52,7 +52,11 @@
     f.start('gateway-edge5');
     // An edge machine is added, and serves.
     f.addEdge(8);
-    await f.until('the added gateway to serve', () => f.proc('gateway-edge8').node?.ready().ok === true, us.s(10));
+    await f.until(
+      'the added gateway to serve',
+      () => f.proc('gateway-edge8').node?.ready().ok === true,
+      duration.s(10),
+    );
     // A store machine is emptied: with a spare its records move, without one the group shrinks to two.
     let safe = false;
     const ask = async (method: string): Promise<void> => {
@@ -66,18 +70,18 @@
         void ask('GET');
         return safe;
       },
-      us.s(30),
+      duration.s(30),
     );
     f.kill('store2', 'disk');
-    await run(f, us.s(1));
+    await run(f, duration.s(1));
     const unserved = (): number => f.callers.summary.rejected['no_worker'] ?? 0;
     const before = unserved();
-    const meanwhile = f.load({ chats: 20, kept: 2, jobs: 30, over: us.s(4) });
+    const meanwhile = f.load({ chats: 20, kept: 2, jobs: 30, over: duration.s(4) });
     for (let i = 0; i < 3; i++) {
       await replaceWorker(f, oneToLeave(f, true), i);
-      await run(f, us.s(1));
+      await run(f, duration.s(1));
     }
-    await serving(f, us.s(12));
+    await serving(f, duration.s(12));
     await settleLoad(f, l);
     await settleLoad(f, meanwhile);
     const none = unserved() - before;
--- a/packages/simulation/src/scenarios/split.ts
+++ b/tools/simulation/src/scenarios/split.ts
@@ -1,5 +1,5 @@
 // Scenario `split` (§9.4).
-import { type Place, us } from '@thornsail/runtime';
+import { type Address, duration } from '@thornsail/runtime';
 import { fleet } from '../fleet.js';
 import { type Pushed, inUse, later, operator } from '../operator-calls.js';
 import {
@@ -21,16 +21,16 @@
   run: async (seed, shape, log) => {
     const f = await fleet.open({ seed, shape, log });
     const r = f.w.rand;
-    const l = f.load({ chats: 50, kept: 8, jobs: 50, over: us.s(26) });
+    const l = f.load({ chats: 50, kept: 8, jobs: 50, over: duration.s(26) });
     const acked: Pushed[] = [];
     const push = operator(f, acked);
     void push(gatewayAt(f, 1));
-    await run(f, us.s(1));
+    await run(f, duration.s(1));
     let rounds = 0;
     let probing = true;
     const probe = (): void => {
       for (const name of gateways) void inUse(f, acked, name);
-      if (probing) later(f, us.ms(200), probe);
+      if (probing) later(f, duration.ms(200), probe);
     };
     probe();
     for (; rounds < 4; rounds++) {
@@ -42,15 +42,15 @@
       const [a, b] = [0, 1].map((k) => names.filter((n) => side.get(machine(n)) === k));
       const heal = f.cut(a!, b!);
       for (let i = 0; i < 6; i++)
-        later(f, r.int(us.s(3)), () => void push(f.proc(names[r.int(names.length)]!).options['http'] as Place));
-      await run(f, us.s(4));
+        later(f, r.int(duration.s(3)), () => void push(f.proc(names[r.int(names.length)]!).options['http'] as Address));
+      await run(f, duration.s(4));
       heal();
-      later(f, us.ms(r.int(500)), () => void push(gatewayAt(f, r.int(7))));
-      await run(f, us.s(2));
+      later(f, duration.ms(r.int(500)), () => void push(gatewayAt(f, r.int(7))));
+      await run(f, duration.s(2));
     }
     probing = false;
-    const back = await serving(f, us.s(12));
+    const back = await serving(f, duration.s(12));
     await settleLoad(f, l);
-    return finish(f, { acknowledged: acked.length, back_ms: us.toMs(back) });
+    return finish(f, { acknowledged: acked.length, back_ms: duration.toMs(back) });
   },
 };
--- a/packages/simulation/src/scenarios/storm.ts
+++ b/tools/simulation/src/scenarios/storm.ts
@@ -1,5 +1,5 @@
 // Scenario `storm` (§9.4).
-import { us } from '@thornsail/runtime';
+import { duration } from '@thornsail/runtime';
 import { fleet } from '../fleet.js';
 import { type Scenario, finish, gatewayAt, patch, run, serving, settleLoad } from '../scene.js';
 
@@ -15,17 +15,17 @@
       config: patch({ '*model': { budgetTokens: 1500 } }),
     });
     const r = f.w.rand;
-    f.w.rough(0.01 + r.next() * 0.04, us.ms(5));
+    f.w.rough(0.01 + r.next() * 0.04, duration.ms(5));
     for (const m of f.models) {
       m.faults.dieMidStream = 0.03;
       m.faults.loseResult = 0.02;
     }
     for (const a of f.apps) a.faults.loseResult = 0.05;
-    const l = f.load({ chats: 150, kept: 20, jobs: 150, over: us.s(24) });
-    const until = f.w.now() + us.s(24);
+    const l = f.load({ chats: 150, kept: 20, jobs: 150, over: duration.s(24) });
+    const until = f.w.now() + duration.s(24);
     let lostDisk = false;
     while (f.w.now() < until) {
-      await run(f, us.ms(300) + r.int(us.ms(1200)));
+      await run(f, duration.ms(300) + r.int(duration.ms(1200)));
       const all = f.procs.map((p) => p.name);
       const p = f.proc(all[r.int(all.length)]!);
       const k = r.int(6);
@@ -36,19 +36,19 @@
       if (isCore && !calm) continue;
       if (k <= 1 && p.host.alive) {
         f.kill(p.name, 'power');
-        f.w.at(f.w.now() + r.int(us.s(2)), () => f.start(p.name));
-      } else if (k === 2 && p.host.alive && !p.host.frozen) f.freeze(p.name, us.ms(200) + r.int(us.s(3)));
+        f.w.at(f.w.now() + r.int(duration.s(2)), () => f.start(p.name));
+      } else if (k === 2 && p.host.alive && !p.host.frozen) f.freeze(p.name, duration.ms(200) + r.int(duration.s(3)));
       else if (k === 3) {
         const heal = f.cut(
           [p.name],
           all.filter((x) => x !== p.name && r.int(2) === 0),
         );
-        f.w.at(f.w.now() + r.int(us.s(3)), heal);
+        f.w.at(f.w.now() + r.int(duration.s(3)), heal);
       } else if (k === 4 && !lostDisk && calm) {
         lostDisk = true;
         const x = core[r.int(core.length)]!;
         f.kill(x.name, 'disk');
-        f.w.at(f.w.now() + r.int(us.s(1)), () => f.start(x.name));
+        f.w.at(f.w.now() + r.int(duration.s(1)), () => f.start(x.name));
       } else if (k === 5)
         void f
           .push(
@@ -60,9 +60,9 @@
           .catch(() => undefined);
     }
     f.w.rough(0, 0);
-    await run(f, us.s(4));
-    const back = await serving(f, us.s(12));
+    await run(f, duration.s(4));
+    const back = await serving(f, duration.s(12));
     await settleLoad(f, l);
-    return finish(f, { back_ms: us.toMs(back) });
+    return finish(f, { back_ms: duration.toMs(back) });
   },
 };
--- a/packages/simulation/src/scenarios/streams.ts
+++ b/tools/simulation/src/scenarios/streams.ts
@@ -1,5 +1,5 @@
 // Scenario `streams` (§9.4).
-import { us } from '@thornsail/runtime';
+import { duration } from '@thornsail/runtime';
 import { fleet } from '../fleet.js';
 import { type Scenario, finish, gateways, settleLoad } from '../scene.js';
 
@@ -13,13 +13,13 @@
       m.faults.dieMidStream = 0.15;
       m.faults.loseResult = 0.05;
     }
-    const l = f.load({ chats: 80, kept: 10, jobs: 10, over: us.s(6) });
+    const l = f.load({ chats: 80, kept: 10, jobs: 10, over: duration.s(6) });
     for (let i = 0; i < 3; i++)
-      f.w.at(f.w.now() + us.s(1) + r.int(us.s(5)), () => {
+      f.w.at(f.w.now() + duration.s(1) + r.int(duration.s(5)), () => {
         const e = gateways[r.int(7)]!;
         if (f.proc(e).host.alive) {
           f.kill(e);
-          f.w.at(f.w.now() + us.s(1), () => f.start(e));
+          f.w.at(f.w.now() + duration.s(1), () => f.start(e));
         }
       });
     await settleLoad(f, l);
--- a/packages/simulation/src/scenarios/uncut.ts
+++ b/tools/simulation/src/scenarios/uncut.ts
@@ -1,5 +1,5 @@
 // Scenario `uncut` (§9.4).
-import { type Us, us } from '@thornsail/runtime';
+import { type Microseconds, duration } from '@thornsail/runtime';
 import { fleet } from '../fleet.js';
 import { type Scenario, finish, gateways, settleLoad } from '../scene.js';
 
@@ -7,13 +7,13 @@
 export const uncut: Scenario = {
   rule: 'a turn at a worker is never paused or cut off',
   run: async (seed, shape, log) => {
-    const f = await fleet.open({ seed, shape, log, capacity: 1500, perToken: us.ms(40) });
-    const l = f.load({ chats: 60, kept: 8, jobs: 20, over: us.s(8) });
+    const f = await fleet.open({ seed, shape, log, capacity: 1500, perToken: duration.ms(40) });
+    const l = f.load({ chats: 60, kept: 8, jobs: 20, over: duration.s(8) });
     const r = f.w.rand;
-    const later = (at: Us, fn: () => void): void => f.w.at(f.w.now() + at, fn);
-    later(us.s(2), () => f.platform.leave(f.layout.workers[r.int(3)]!.id));
+    const later = (at: Microseconds, fn: () => void): void => f.w.at(f.w.now() + at, fn);
+    later(duration.s(2), () => f.platform.leave(f.layout.workers[r.int(3)]!.id));
     later(
-      us.s(3),
+      duration.s(3),
       () =>
         void f
           .push({ ...f.shape.config, scheduler: { pauseThreshold: 0.5, pauseTarget: 0.3 } }, 1, 'two')
@@ -21,8 +21,8 @@
     );
     // Two gateways leave as on SIGTERM: they drain, then close.
     for (const [i, at] of [
-      [r.int(3), us.s(4)],
-      [3 + r.int(4), us.s(5)],
+      [r.int(3), duration.s(4)],
+      [3 + r.int(4), duration.s(5)],
     ] as const)
       later(at, () => {
         const p = f.proc(gateways[i]!);
--- a/packages/simulation/src/scenarios/urgent.ts
+++ b/tools/simulation/src/scenarios/urgent.ts
@@ -1,5 +1,5 @@
 // Scenario `urgent` (§9.4).
-import { type Us, us } from '@thornsail/runtime';
+import { type Microseconds, duration } from '@thornsail/runtime';
 import { fleet } from '../fleet.js';
 import { type Scenario, finish, gatewayAt, run, settleLoad } from '../scene.js';
 
@@ -20,8 +20,8 @@
       seed,
       shape,
       log,
-      perToken: us.ms(40),
-      gap: us.ms(100),
+      perToken: duration.ms(40),
+      gap: duration.ms(100),
       config: (c) => ({
         ...c,
         classes: { ...(c['classes'] as object), notice: extra },
@@ -30,11 +30,11 @@
       }),
     });
     const r = f.w.rand;
-    const l = f.load({ chats: 400, kept: 0, jobs: 0, over: us.s(8) });
-    const waits: Us[] = [];
+    const l = f.load({ chats: 400, kept: 0, jobs: 0, over: duration.s(8) });
+    const waits: Microseconds[] = [];
     let refused = 0;
     let open = 0;
-    const limit = us.ms(shape === 'lautoka' ? 2000 : 1500);
+    const limit = duration.ms(shape === 'lautoka' ? 2000 : 1500);
     const one = async (i: number): Promise<void> => {
       open += 1;
       const begun = f.w.now();
@@ -51,21 +51,21 @@
       else refused += 1;
       open -= 1;
     };
-    for (let i = 0; i < 60; i++) f.w.at(f.w.now() + us.s(1) + r.int(us.s(7)), () => void one(i));
-    await run(f, us.s(10));
-    await f.until('the urgent callers to end', () => open === 0, us.s(20));
+    for (let i = 0; i < 60; i++) f.w.at(f.w.now() + duration.s(1) + r.int(duration.s(7)), () => void one(i));
+    await run(f, duration.s(10));
+    await f.until('the urgent callers to end', () => open === 0, duration.s(20));
     await settleLoad(f, l);
     const sorted = [...waits].sort((a, b) => a - b);
     const out = finish(f, {
       urgent_served: waits.length,
       urgent_refused: refused,
-      urgent_p50_ms: us.toMs(sorted[Math.floor(sorted.length / 2)] ?? 0),
-      urgent_worst_ms: us.toMs(sorted[sorted.length - 1] ?? 0),
+      urgent_p50_ms: duration.toMs(sorted[Math.floor(sorted.length / 2)] ?? 0),
+      urgent_worst_ms: duration.toMs(sorted[sorted.length - 1] ?? 0),
       crowd_rejected: f.callers.summary.rejected['busy'] ?? 0,
     });
     if (refused > 0) out.breaches.push(`${refused} urgent requests were refused under a crowd`);
     if ((sorted[sorted.length - 1] ?? 0) > limit)
-      out.breaches.push(`an urgent request took ${us.toMs(sorted[sorted.length - 1]!)} ms`);
+      out.breaches.push(`an urgent request took ${duration.toMs(sorted[sorted.length - 1]!)} ms`);
     if (out.figures['crowd_rejected'] === 0) out.breaches.push('there was no crowd: the scenario shows nothing');
     return out;
   },
--- a/packages/simulation/src/scenarios/workers.ts
+++ b/tools/simulation/src/scenarios/workers.ts
@@ -1,5 +1,5 @@
 // Scenario `workers` (§9.4).
-import { us } from '@thornsail/runtime';
+import { duration } from '@thornsail/runtime';
 import type { Listed } from '@thornsail/test-harness';
 import { fleet } from '../fleet.js';
 import { later } from '../operator-calls.js';
@@ -11,31 +11,31 @@
   run: async (seed, shape, log) => {
     const f = await fleet.open({ seed, shape, log, stalls: true });
     const r = f.w.rand;
-    const l = f.load({ chats: 110, kept: 14, jobs: 110, over: us.s(22) });
+    const l = f.load({ chats: 110, kept: 14, jobs: 110, over: duration.s(22) });
     const replace = async (old: Listed, i: number): Promise<void> => {
       const s = await replaceWorker(f, old, i, r.int(4) === 0 ? 'drop' : 'leave');
       if (r.int(3) === 0) s.faults.report = r.int(2) ? 'rubbish' : 'silent';
     };
     for (const [i, x] of f.layout.workers.entries())
-      later(f, us.ms(500) + Math.round((i * us.s(18)) / f.layout.workers.length), () => void replace(x, i));
+      later(f, duration.ms(500) + Math.round((i * duration.s(18)) / f.layout.workers.length), () => void replace(x, i));
     // Two workers freeze for a while; another is cut off from the edges.
     for (let i = 0; i < 2; i++)
-      later(f, us.s(3) + r.int(us.s(10)), () => {
+      later(f, duration.s(3) + r.int(duration.s(10)), () => {
         const h = f.hostOf(f.layout.workers[r.int(f.layout.workers.length)]!.at.split(':')[0]!);
         f.w.freeze(h);
-        later(f, us.s(2), () => f.w.wake(h));
+        later(f, duration.s(2), () => f.w.wake(h));
       });
     const moods = ['slow', 'failing', 'silent', 'rubbish', 'empty'] as const;
     for (const [i, m] of moods.entries()) {
-      later(f, us.s(2 + i * 4), () => (f.platform.mood.now = m));
-      later(f, us.s(4 + i * 4), () => (f.platform.mood.now = 'ok'));
+      later(f, duration.s(2 + i * 4), () => (f.platform.mood.now = m));
+      later(f, duration.s(4 + i * 4), () => (f.platform.mood.now = 'ok'));
     }
-    await run(f, us.s(23));
-    const back = await serving(f, us.s(12));
+    await run(f, duration.s(23));
+    const back = await serving(f, duration.s(12));
     await settleLoad(f, l);
     const s = f.callers.summary;
     const none = s.rejected['no_worker'] ?? 0;
-    const out = finish(f, { no_worker: none, gave_up_of: s.chats + s.kept + s.jobs, back_ms: us.toMs(back) });
+    const out = finish(f, { no_worker: none, gave_up_of: s.chats + s.kept + s.jobs, back_ms: duration.toMs(back) });
     if (none > 0) out.breaches.push(`${none} requests found no worker though there always were some`);
     if (s.gaveUp * 20 > s.chats + s.kept + s.jobs) out.breaches.push(`${s.gaveUp} callers gave up`);
     return out;
--- a/packages/simulation/src/world.ts
+++ b/tools/simulation/src/world.ts
@@ -2,26 +2,26 @@
 // The same seed gives the same events in the same order, folded into a trace hash.
 import {
   fault,
-  place,
+  address,
   seeded,
-  us,
-  type Frames,
-  type HttpAsk,
-  type HttpCall,
+  duration,
+  type FrameTransport,
+  type HttpRequest,
+  type HttpClientRequest,
   type HttpHandler,
-  type HttpResult,
-  type HttpSay,
+  type HttpClientResponse,
+  type HttpResponseWriter,
   type Runtime,
   type Net,
-  type Place,
-  type Rand,
-  type Us,
+  type Address,
+  type Random,
+  type Microseconds,
 } from '@thornsail/runtime';
 import type { Wire, WireHandler } from '@thornsail/test-harness';
 import { simulatedDisk, type DiskGround, type DiskState } from './disk.js';
 import { link, type Ground, type Served } from './link.js';
 
-type Ev = { at: Us; n: number; host: Host | null; inc: number; fn: () => void };
+type Ev = { at: Microseconds; n: number; host: Host | null; inc: number; fn: () => void };
 export type Host = {
   ip: string;
   zone: string;
@@ -32,15 +32,18 @@
   late: Ev[];
   files: Map<string, string>;
   disk: DiskState;
-  skew: Us;
-  frames: Map<Place, { got: (from: Place, text: string) => boolean; down: (to: Place) => void; to: Set<Place> }>;
-  http: Map<Place, Served>;
+  skew: Microseconds;
+  frames: Map<
+    Address,
+    { got: (from: Address, text: string) => boolean; down: (to: Address) => void; to: Set<Address> }
+  >;
+  http: Map<Address, Served>;
   /** Connections that this host has a part in; told when its process ends, or that it fell silent. */
   open: Set<(silent: boolean) => void>;
 };
 export type World = {
-  rand: Rand;
-  now: () => Us;
+  rand: Random;
+  now: () => Microseconds;
   hash: () => string;
   events: () => number;
   syncs: () => number;
@@ -53,8 +56,8 @@
   runtime: (h: Host) => Runtime;
   /** Servers on this host that may misbehave. */
   wire: (h: Host) => Wire;
-  run: (until: Us) => Promise<void>;
-  at: (at: Us, fn: () => void) => void;
+  run: (until: Microseconds) => Promise<void>;
+  at: (at: Microseconds, fn: () => void) => void;
   kill: (h: Host, how: 'process' | 'power' | 'disk') => void;
   start: (h: Host) => void;
   freeze: (h: Host) => void;
@@ -63,22 +66,22 @@
   cut: (a: Host[], b: Host[]) => () => void;
   /** Cuts what goes from one set of hosts to another, and not what comes back. */
   cutOneWay: (from: Host[], to: Host[]) => () => void;
-  slow: (by: Us) => void;
+  slow: (by: Microseconds) => void;
   /** Frames get lost with this chance, come twice with half of it, and overtake one another by up to `jumble`. */
-  rough: (loss: number, jumble: Us) => void;
+  rough: (loss: number, jumble: Microseconds) => void;
   /** Whether frames that a cut holds up arrive once it is over, as TCP sends them again, instead of being lost. */
   holdFrames: (on: boolean) => void;
-  logs: (fn: (at: Us, ip: string, part: string, text: string) => void) => void;
+  logs: (fn: (at: Microseconds, ip: string, part: string, text: string) => void) => void;
 };
 const base = 1_790_000_000_000_000;
 
 /** A request, its body as bytes. */
-type BytesCall = Omit<HttpCall, 'body' | 'headers'> & {
+type BytesCall = Omit<HttpClientRequest, 'body' | 'headers'> & {
   body?: string | Uint8Array;
   headers?: Record<string, string>;
   rawHeaders?: readonly string[];
 };
-type BytesResult = Omit<HttpResult, 'body'> & { body: AsyncIterable<Uint8Array> };
+type BytesResult = Omit<HttpClientResponse, 'body'> & { body: AsyncIterable<Uint8Array> };
 type CallBytes = (req: BytesCall) => Promise<BytesResult>;
 
 const bytesOf = (piece: string | Uint8Array): Uint8Array =>
@@ -96,7 +99,7 @@
       : Object.entries(headers)
     ).map(([k, v]) => [k.toLowerCase(), v]),
   );
-const askOf = (req: BytesCall): HttpAsk => {
+const askOf = (req: BytesCall): HttpRequest => {
   const u = new URL(req.path, 'http://x');
   const bytes = bytesOf(req.body ?? '');
   const rawHeaders = req.rawHeaders ?? Object.entries(req.headers ?? {}).flat();
@@ -113,11 +116,17 @@
   };
 };
 export const world = {
-  open: (o: { seed: number; zoneDelay: Us; clientDelay: Us; clientIp: string; diskTime?: Us }): World => {
+  open: (o: {
+    seed: number;
+    zoneDelay: Microseconds;
+    clientDelay: Microseconds;
+    clientIp: string;
+    diskTime?: Microseconds;
+  }): World => {
     const rand = seeded(o.seed);
     const heap: Ev[] = [];
     let n = 0;
-    let now: Us = 0;
+    let now: Microseconds = 0;
     let trace = 0x811c9dc5;
     let events = 0;
     const c = { syncs: 0, frames: 0, bytes: 0, http: 0 };
@@ -125,11 +134,11 @@
     let loss = 0;
     let jumble = 0;
     let holding = false;
-    let logger: (at: Us, ip: string, part: string, text: string) => void = () => undefined;
+    let logger: (at: Microseconds, ip: string, part: string, text: string) => void = () => undefined;
     const hosts = new Map<string, Host>();
     const processes = new Set<Host>();
     /** By place, once something has listened there. */
-    const bound = new Map<Place, Host>();
+    const bound = new Map<Address, Host>();
     const cuts = new Set<{ a: Set<Host>; b: Set<Host>; oneWay: boolean }>();
     let heals: (() => void)[] = [];
     const fold = (s: string): void => {
@@ -163,7 +172,7 @@
       }
       return top;
     };
-    const later = (after: Us, host: Host | null, fn: () => void): Ev => {
+    const later = (after: Microseconds, host: Host | null, fn: () => void): Ev => {
       const e = { at: now + Math.max(0, Math.round(after)), n: n++, host, inc: host?.inc ?? 0, fn };
       push(e);
       return e;
@@ -188,12 +197,12 @@
         for (const fn of all) fn();
       };
     };
-    const delay = (a: Host, b: Host): Us => {
+    const delay = (a: Host, b: Host): Microseconds => {
       if (a === b) return 20;
       const d = a.ip === o.clientIp || b.ip === o.clientIp ? o.clientDelay : a.zone === b.zone ? 120 : o.zoneDelay;
       return d + rand.int(Math.max(1, Math.round(d * 0.3))) + extra;
     };
-    const order = new Map<string, Us>();
+    const order = new Map<string, Microseconds>();
     /** Delivery in order between two hosts, as over one TCP connection. */
     const deliver = (a: Host, b: Host, fn: () => void): void => {
       const key = `${a.ip}>${b.ip}`;
@@ -201,13 +210,13 @@
       order.set(key, at);
       later(at - now, b, fn);
     };
-    const hostOf = (p: Place): Host | undefined => bound.get(p) ?? hosts.get(place.host(p));
+    const hostOf = (p: Address): Host | undefined => bound.get(p) ?? hosts.get(address.host(p));
     const listens = (
       h: Host,
-      at: Place,
+      at: Address,
       x: Omit<Served, 'room'>,
       most = Infinity,
-    ): { at: Place; close: () => Promise<void> } => {
+    ): { at: Address; close: () => Promise<void> } => {
       if (h.http.has(at)) throw fault.make({ step: 'http.bind', sibling: at }, 'address in use');
       let open = 0;
       const room = (by: 1 | -1): boolean => (open += by) <= most;
@@ -245,9 +254,9 @@
     };
 
     const netOf = (h: Host, callBytes: CallBytes): Net => ({
-      frames: async (at, onFrame, onDown): Promise<Frames> => {
+      frames: async (at, onFrame, onDown): Promise<FrameTransport> => {
         if (h.frames.has(at)) throw fault.make({ step: 'frames.bind', sibling: at }, 'address in use');
-        const mine = { got: onFrame, down: onDown ?? ((): void => undefined), to: new Set<Place>() };
+        const mine = { got: onFrame, down: onDown ?? ((): void => undefined), to: new Set<Address>() };
         h.frames.set(at, mine);
         bound.set(at, h);
         const inc = h.inc;
@@ -270,7 +279,7 @@
                 ? (fn: () => void): void => void later(delay(h, t) + rand.int(jumble), t, fn)
                 : (fn: () => void): void => deliver(h, t, fn);
             const resend = (): void => {
-              if (h.inc === inc) later(rand.int(us.ms(300)), null, () => send(arrive));
+              if (h.inc === inc) later(rand.int(duration.ms(300)), null, () => send(arrive));
             };
             const arrive = (): void => {
               if (severed(h, t)) return holding ? void heals.push(resend) : undefined;
@@ -287,10 +296,11 @@
         };
       },
       serve: async (at, handler, limits) => {
-        const idleFor = (): Us => (typeof limits === 'number' ? undefined : limits.idleFor?.()) ?? us.s(5);
+        const idleFor = (): Microseconds =>
+          (typeof limits === 'number' ? undefined : limits.idleFor?.()) ?? duration.s(5);
         return listens(h, at, { handler, wire: handler, idleFor });
       },
-      call: async (req: HttpCall) => {
+      call: async (req: HttpClientRequest) => {
         const r = await callBytes(req);
         return { ...r, body: textOf(r.body) };
       },
@@ -312,10 +322,10 @@
             }
           };
           if (!t) {
-            later(us.ms(1), h, rejectCall);
+            later(duration.ms(1), h, rejectCall);
             return;
           }
-          later(us.ms(800), h, () => {
+          later(duration.ms(800), h, () => {
             if (phase === 'connect') {
               phase = 'end';
               fail(err(false, 'UND_ERR_CONNECT_TIMEOUT'));
@@ -390,7 +400,7 @@
               });
           };
           h.open.add(mine);
-          const say: HttpSay = {
+          const say: HttpResponseWriter = {
             head: (status, headers) =>
               toCaller(() => {
                 if (phase !== 'sent') return;
@@ -459,7 +469,7 @@
               if (!severed(t, h) && h.inc === hInc && !powerLost) fn();
             });
           };
-          const silence = req.silence ?? us.s(30);
+          const silence = req.silence ?? duration.s(30);
           const body = async function* (): AsyncIterable<Uint8Array> {
             try {
               for (;;) {
@@ -565,7 +575,7 @@
           clock: {
             now: () => now,
             wall: () => base + now + h.skew,
-            tick: (after, fn) => {
+            schedule: (after, fn) => {
               let off = false;
               later(after, h, () => {
                 if (!off) fn();
--- a/packages/simulation/test/capacity.test.ts
+++ b/tools/simulation/test/capacity.test.ts
@@ -1,7 +1,7 @@
 // The measuring code of docs/CAPACITY.md at small sizes, and that the page has the form of what it gives.
 import { readFileSync } from 'node:fs';
 import { fileURLToPath } from 'node:url';
-import { us } from '@thornsail/runtime';
+import { duration } from '@thornsail/runtime';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { failures } from '../src/measurement/capacity/failures.js';
@@ -62,7 +62,7 @@
   assert.is(kindOf('[{"p":1,"k":2,"t":3,"n":4,"b":5},1,"tell","beat","",{"id":6,"inc":7},"beat-1",1]'), 'beat');
   const h = await hollow.open({ edges: 2 });
   // They may be up before the first heartbeat is due.
-  await h!.run(us.s(1));
+  await h!.run(duration.s(1));
   const kinds = new Set(h!.nodes.flatMap((n) => [...n.tally.sent.keys()]));
   for (const k of ['beat', 'beam.sum', 'news.order', 'news.workers', 'news.uses', 'load', 'view.order', 'core'])
     assert.ok(kinds.has(k), `no ${k}`);
--- a/packages/simulation/test/config.test.ts
+++ b/tools/simulation/test/config.test.ts
@@ -1,18 +1,18 @@
 // A configuration is in use two seconds after its acknowledgement (§7.2), by what callers get at each gateway.
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { us, type Place, type Us } from '@thornsail/runtime';
+import { duration, type Address, type Microseconds } from '@thornsail/runtime';
 import { fleet, type Fleet } from '@thornsail/simulation';
 
 const edges = [1, 2, 3, 4, 5, 6, 7];
 const towers = ['coordinator1', 'coordinator2', 'coordinator3'];
-const at = (f: Fleet, name: string): Place => f.proc(name).options['http'] as Place;
+const at = (f: Fleet, name: string): Address => f.proc(name).options['http'] as Address;
 /** The configuration in which a class of this name stands, and no other test class. */
 const only = (f: Fleet, name: string): unknown => ({
   ...f.shape.config,
   classes: { ...(f.shape.config['classes'] as object), [name]: { kind: 'app', weight: 1 } },
 });
-const settled = async <T>(f: Fleet, work: Promise<T>, limit: Us = us.s(12)): Promise<T> => {
+const settled = async <T>(f: Fleet, work: Promise<T>, limit: Microseconds = duration.s(12)): Promise<T> => {
   const got: { v?: T; e?: unknown } = {};
   work.then(
     (v) => (got.v = v),
@@ -62,13 +62,13 @@
     );
     assert.equal([r.status, r.body['error'], r.body['mark']], [503, 'unconfirmed', 3]);
     assert.is((r.body['gateways'] as string[]).length, 7);
-    await f.w.run(f.w.now() + us.s(4));
+    await f.w.run(f.w.now() + duration.s(4));
     assert.equal(
       await served(f, 'old'),
       edges.map(() => 200),
     );
     heal();
-    await f.w.run(f.w.now() + us.s(3));
+    await f.w.run(f.w.now() + duration.s(3));
     assert.equal(
       await served(f, 'new'),
       edges.map(() => 200),
@@ -86,7 +86,7 @@
       far,
       f.procs.filter((p) => !far.includes(p.name)).map((p) => p.name),
     );
-    await f.w.run(f.w.now() + us.s(4));
+    await f.w.run(f.w.now() + duration.s(4));
     const r = await settled(
       f,
       f.http(at(f, 'coordinator2'), 'PUT', '/thornsail/v1/config', only(f, 'new'), {
@@ -98,7 +98,7 @@
       [r.status, r.body['error'], r.body['gateways']],
       [503, 'unconfirmed', far.slice(0, 8).filter((n) => n.startsWith('gateway'))],
     );
-    await f.w.run(f.w.now() + us.s(3));
+    await f.w.run(f.w.now() + duration.s(3));
     assert.equal(await served(f, 'old'), [400, 400, 400, 200, 200, 200, 200]);
     assert.equal(f.breaches(), []);
   });
@@ -112,11 +112,11 @@
     );
     const r = await settled(f, f.push(only(f, 'new'), 2, 'new'));
     assert.is(r.status, 200);
-    await f.w.run(f.w.now() + us.s(2));
+    await f.w.run(f.w.now() + duration.s(2));
     const old = await served(f, 'old');
     assert.equal(old, [400, 400, 503, 400, 400, 400, 400]);
     heal();
-    await f.w.run(f.w.now() + us.s(4));
+    await f.w.run(f.w.now() + duration.s(4));
     assert.equal(
       await served(f, 'new'),
       edges.map(() => 200),
@@ -126,10 +126,10 @@
 
   test(`${shape}: a gateway whose agent hangs gets its news from others`, async () => {
     const f = await start(shape);
-    f.freeze('agent-edge4', us.s(20));
+    f.freeze('agent-edge4', duration.s(20));
     const r = await settled(f, f.push(only(f, 'new'), 2, 'new'));
     assert.is(r.status, 200);
-    await f.w.run(f.w.now() + us.s(1));
+    await f.w.run(f.w.now() + duration.s(1));
     assert.equal(
       await served(f, 'new'),
       edges.map(() => 200),
--- a/packages/simulation/test/disk-trouble.test.ts
+++ b/tools/simulation/test/disk-trouble.test.ts
@@ -1,7 +1,7 @@
 // What callers meet while a member's disk hangs, is slow or full (§3.3, §6.1).
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { fault, invariant, us, type Us } from '@thornsail/runtime';
+import { fault, invariant, duration, type Microseconds } from '@thornsail/runtime';
 import { durableStore } from '@thornsail/durable-files';
 import { rpc } from '@thornsail/rpc';
 import { views, type Views } from '@thornsail/consensus';
@@ -10,9 +10,15 @@
 type List = { list: string[] };
 type Member = { at: string; host: Host; views?: Views<List> };
 type Group = { world: World; members: Member[]; leader: () => Member | undefined };
-const group = async (seed: number, diskTime: Us): Promise<Group> => {
+const group = async (seed: number, diskTime: Microseconds): Promise<Group> => {
   invariant.clear();
-  const w = world.open({ seed, zoneDelay: us.ms(1.5), clientDelay: us.ms(1), clientIp: '127.0.9.9', diskTime });
+  const w = world.open({
+    seed,
+    zoneDelay: duration.ms(1.5),
+    clientDelay: duration.ms(1),
+    clientIp: '127.0.9.9',
+    diskTime,
+  });
   const founders = [1, 2, 3].map((i) => `127.0.3.${i}:7101`);
   const members: Member[] = founders.map((at, i) => ({ at, host: w.host(`127.0.3.${i + 1}`, `z${i + 1}`) }));
   const boot = async (member: Member): Promise<void> => {
@@ -27,13 +33,16 @@
     });
   };
   for (const member of members) void boot(member);
-  await w.run(us.s(4));
+  await w.run(duration.s(4));
   return { world: w, members, leader: () => members.find((m) => m.views?.standing() === 'lead') };
 };
-type Calls = { acknowledged: { at: Us; id: string }[]; longestGap: (from: Us, to: Us) => Us };
+type Calls = {
+  acknowledged: { at: Microseconds; id: string }[];
+  longestGap: (from: Microseconds, to: Microseconds) => Microseconds;
+};
 /** A caller that asks every 20 ms whoever leads, as it would by asking one member after the other. */
-const calls = (g: Group, until: Us): Calls => {
-  const acknowledged: { at: Us; id: string }[] = [];
+const calls = (g: Group, until: Microseconds): Calls => {
+  const acknowledged: { at: Microseconds; id: string }[] = [];
   let n = 0;
   const ask = (): void => {
     const id = `change ${n++}`;
@@ -46,7 +55,7 @@
             () => acknowledged.push({ at: g.world.now(), id }),
             () => undefined,
           );
-    if (g.world.now() < until) g.world.at(g.world.now() + us.ms(20), ask);
+    if (g.world.now() < until) g.world.at(g.world.now() + duration.ms(20), ask);
   };
   ask();
   return {
@@ -61,16 +70,16 @@
 test('a leader whose disk hangs for 5 s hands over: callers wait for about a second at most', async () => {
   let worst = 0;
   for (let seed = 1; seed <= 20; seed++) {
-    const g = await group(seed, us.ms(2));
+    const g = await group(seed, duration.ms(2));
     const from = g.world.now();
-    const made = calls(g, from + us.s(8));
+    const made = calls(g, from + duration.s(8));
     const stalled = g.leader()!;
-    g.world.at(from + us.s(1), () => (stalled.host.disk.hangsUntil = from + us.s(6)));
-    await g.world.run(from + us.s(8));
-    const gap = made.longestGap(from, from + us.s(8));
+    g.world.at(from + duration.s(1), () => (stalled.host.disk.hangsUntil = from + duration.s(6)));
+    await g.world.run(from + duration.s(8));
+    const gap = made.longestGap(from, from + duration.s(8));
     worst = Math.max(worst, gap);
-    assert.ok(gap <= us.s(1), `seed ${seed}: nothing was acknowledged for ${gap / 1000} ms`);
-    await g.world.run(from + us.s(10));
+    assert.ok(gap <= duration.s(1), `seed ${seed}: nothing was acknowledged for ${gap / 1000} ms`);
+    await g.world.run(from + duration.s(10));
     assert.equal(invariant.breaches(), []);
     // The one that was stalled has what the others have.
     const newest = g.members.map((m) => m.views!.done()!.seq);
@@ -80,38 +89,38 @@
 });
 test('a follower whose disk hangs is not noticed by callers', async () => {
   for (let seed = 1; seed <= 10; seed++) {
-    const g = await group(seed, us.ms(2));
+    const g = await group(seed, duration.ms(2));
     const from = g.world.now();
-    const made = calls(g, from + us.s(8));
+    const made = calls(g, from + duration.s(8));
     const stalled = g.members.find((m) => m !== g.leader())!;
-    g.world.at(from + us.s(1), () => (stalled.host.disk.hangsUntil = from + us.s(6)));
-    await g.world.run(from + us.s(8));
-    assert.ok(made.longestGap(from, from + us.s(8)) < us.ms(150), `seed ${seed}`);
+    g.world.at(from + duration.s(1), () => (stalled.host.disk.hangsUntil = from + duration.s(6)));
+    await g.world.run(from + duration.s(8));
+    assert.ok(made.longestGap(from, from + duration.s(8)) < duration.ms(150), `seed ${seed}`);
   }
 });
 test('disks that are all thirty times slower go on acknowledging', async () => {
   for (let seed = 1; seed <= 20; seed++) {
-    const g = await group(seed, us.ms(seed % 2 ? 12 : 2));
+    const g = await group(seed, duration.ms(seed % 2 ? 12 : 2));
     for (const m of g.members) m.host.disk.slow = 30;
     const from = g.world.now();
-    const made = calls(g, from + us.s(30));
-    await g.world.run(from + us.s(30));
-    const late = made.acknowledged.filter((a) => a.at > from + us.s(10));
+    const made = calls(g, from + duration.s(30));
+    await g.world.run(from + duration.s(30));
+    const late = made.acknowledged.filter((a) => a.at > from + duration.s(10));
     assert.ok(late.length > 10, `seed ${seed}: ${late.length} acknowledged from the tenth second on`);
     assert.equal(invariant.breaches(), []);
   }
 });
 test('a leader whose disk is full hands over, and takes part again when there is room', async () => {
   for (let seed = 1; seed <= 10; seed++) {
-    const g = await group(seed, us.ms(2));
+    const g = await group(seed, duration.ms(2));
     const from = g.world.now();
-    const made = calls(g, from + us.s(8));
+    const made = calls(g, from + duration.s(8));
     const full = g.leader()!;
-    g.world.at(from + us.s(1), () => (full.host.disk.full = true));
-    g.world.at(from + us.s(5), () => (full.host.disk.full = false));
-    await g.world.run(from + us.s(10));
-    const gap = made.longestGap(from, from + us.s(8));
-    assert.ok(gap < us.s(2), `seed ${seed}: nothing was acknowledged for ${gap / 1000} ms`);
+    g.world.at(from + duration.s(1), () => (full.host.disk.full = true));
+    g.world.at(from + duration.s(5), () => (full.host.disk.full = false));
+    await g.world.run(from + duration.s(10));
+    const gap = made.longestGap(from, from + duration.s(8));
+    assert.ok(gap < duration.s(2), `seed ${seed}: nothing was acknowledged for ${gap / 1000} ms`);
     const newest = g.members.map((m) => m.views!.done()!.seq);
     assert.is(Math.max(...newest) - Math.min(...newest), 0, newest.join());
   }
@@ -126,17 +135,17 @@
     const kept = await durable.read<{ state: List }>('state');
     got.list = kept?.value.state.list ?? [];
   });
-  await w.run(us.s(1));
+  await w.run(duration.s(1));
   return got.list!;
 };
 test('what was acknowledged is on a majority in every state that a loss of power of all may leave', async () => {
   let looked = 0;
   for (let seed = 1; seed <= 3; seed++) {
-    const g = await group(seed, us.ms(2));
+    const g = await group(seed, duration.ms(2));
     const from = g.world.now();
-    const made = calls(g, from + us.s(1));
+    const made = calls(g, from + duration.s(1));
     for (let i = 0; i < 60; i++) {
-      await g.world.run(g.world.now() + us.ms(5));
+      await g.world.run(g.world.now() + duration.ms(5));
       const last = made.acknowledged.at(-1)?.id;
       if (last === undefined) continue;
       const holders: boolean[] = [];
@@ -153,12 +162,12 @@
 });
 test('no proposal is said to be refused and in force all the same', async () => {
   for (let seed = 1; seed <= 20; seed++) {
-    const g = await group(seed, us.ms(2));
+    const g = await group(seed, duration.ms(2));
     const refused = new Set<string>();
     const from = g.world.now();
     const leader = g.leader()!;
     for (let i = 0; i < 100; i++)
-      g.world.at(from + i * us.ms(30), () => {
+      g.world.at(from + i * duration.ms(30), () => {
         const id = `x${i}`;
         leader
           .views!.propose((s) => ({ state: { list: [...s.list, id] }, result: id }))
@@ -166,8 +175,8 @@
             if (fault.info(e).code === 'moved') refused.add(id);
           });
       });
-    g.world.at(from + us.s(0.5), () => (leader.host.disk.hangsUntil = from + us.s(2)));
-    await g.world.run(from + us.s(8));
+    g.world.at(from + duration.s(0.5), () => (leader.host.disk.hangsUntil = from + duration.s(2)));
+    await g.world.run(from + duration.s(8));
     for (const m of g.members)
       for (const id of m.views!.done()!.state.list) assert.not.ok(refused.has(id), `seed ${seed}: ${id}`);
   }
--- a/packages/simulation/test/docs.test.ts
+++ b/tools/simulation/test/docs.test.ts
@@ -4,6 +4,7 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { configSchema } from '@thornsail/config-schema';
+import { fileOfWorkspace, workspacesOf } from '@thornsail/test-harness';
 import { scenarios } from '../src/scenarios/index.js';
 import { guards } from '../src/guards.js';
 
@@ -17,9 +18,7 @@
         .map((file) => path.join(folder, file))
     : [];
 const sources = (): string[] =>
-  readdirSync(path.join(root, 'packages')).flatMap((name) =>
-    ['src', 'test'].flatMap((folder) => filesBelow(path.join('packages', name, folder))),
-  );
+  workspacesOf(root).flatMap((name) => ['src', 'test'].flatMap((folder) => filesBelow(path.join(name, folder))));
 
 /** A section of DESIGN.md; one that follows the number of an RFC is a section of that RFC. */
 const sectionReference = /(?<!RFC \d+ )§(\d+(?:\.\d+)?)/g;
@@ -37,8 +36,8 @@
     for (const k of Object.keys(group)) assert.ok(doc.includes(`\`${k}\``), `${k} is not in CONFIG.md`);
   for (const role of ['coordinator', 'store', 'agent', 'gateway'] as const)
     for (const k of configSchema.keys(role)) assert.ok(doc.includes(`\`${k}\``), `${k} is not in CONFIG.md`);
-  for (const p of readdirSync(path.join(root, 'packages')))
-    assert.match(read(`packages/${p}/README.md`), /Standard term: /, p);
+  for (const p of workspacesOf(root).filter((name) => name !== 'platform'))
+    assert.match(read(`${p}/README.md`), /Standard term: /, p);
 });
 test('FAILURES.md has a row for every scenario and guard', () => {
   const doc = read('docs/FAILURES.md');
@@ -53,7 +52,7 @@
   for (const row of rows) {
     const files = [...row.matchAll(/`([a-z-]+\/test\/[a-z-]+\.test\.ts)`/g)].map((m) => m[1]!);
     const named = [...row.matchAll(/scenario `([a-z]+)`/g)].map((m) => m[1]!);
-    for (const f of files) assert.ok(existsSync(path.join(root, 'packages', f)), `${f} does not exist: ${row}`);
+    for (const f of files) assert.ok(existsSync(fileOfWorkspace(root, f)), `${f} does not exist: ${row}`);
     for (const n of named) assert.ok(Object.hasOwn(scenarios, n), `there is no scenario ${n}: ${row}`);
     const said = files.length + named.length > 0 || row.includes('the lint');
     assert.ok(said || !row.endsWith('| proved |'), `proved by nothing: ${row}`);
--- a/packages/simulation/test/input.test.ts
+++ b/tools/simulation/test/input.test.ts
@@ -5,13 +5,13 @@
 import { formats } from '@thornsail/load-balancer';
 import { configSchema } from '@thornsail/config-schema';
 import { plan } from '@thornsail/data-plane';
-import { seeded, us, type HttpAsk, type Place, type Rand } from '@thornsail/runtime';
+import { seeded, duration, type HttpRequest, type Address, type Random } from '@thornsail/runtime';
 import { fleet, type Fleet } from '@thornsail/simulation';
 import { protocol } from '@thornsail/rpc';
 
 const odd: unknown[] = [null, 0, -1, 1e300, '', 'x', '\u0000', [], {}, [null], { a: { b: [] } }, true, 'ü'.repeat(300)];
-const pick = <T>(r: Rand, list: readonly T[]): T => list[r.int(list.length)]!;
-const value = (r: Rand, depth = 2): unknown => {
+const pick = <T>(r: Random, list: readonly T[]): T => list[r.int(list.length)]!;
+const value = (r: Random, depth = 2): unknown => {
   const k = r.int(4);
   if (k === 0 && depth > 0) return Array.from({ length: r.int(3) }, () => value(r, depth - 1));
   if (k === 1 && depth > 0)
@@ -19,7 +19,7 @@
   return pick(r, odd);
 };
 const names = ['messages', 'role', 'content', 'max_tokens', 'stream', 'to', 'key', 'group', 'ballot', 'view', 'list'];
-const headers = (r: Rand): Record<string, string> => {
+const headers = (r: Random): Record<string, string> => {
   const all = ['class', 'program', 'conversation', 'once', 'time-left-ms'].map((h) => `x-thornsail-${h}`);
   const good: Record<string, string> = { 'x-thornsail-class': 'chat', 'x-thornsail-program': 'p1' };
   for (const h of [...all, 'idempotency-key'])
@@ -27,7 +27,7 @@
       good[h] = pick(r, ['', ' ', '__proto__', 'constructor', '%', 'a b', '9'.repeat(300), 'true', '-1']);
   return good;
 };
-const text = (r: Rand): string => {
+const text = (r: Random): string => {
   const body = { messages: value(r), max_tokens: value(r), stream: value(r), [pick(r, names)]: value(r) };
   const s = JSON.stringify(r.int(3) ? body : value(r)) ?? 'undefined';
   return r.int(5) ? s : s.slice(0, r.int(s.length + 1));
@@ -48,7 +48,7 @@
     const method = pick(r, ['POST', 'GET', 'BREW']);
     const h = headers(r);
     const body = text(r);
-    const ask: HttpAsk = {
+    const ask: HttpRequest = {
       method,
       path,
       query: {},
@@ -105,7 +105,7 @@
 });
 
 /** Bodies that come close to what is meant, which random ones seldom do. */
-const near = (r: Rand): unknown => {
+const near = (r: Random): unknown => {
   const any = (): unknown => value(r, 2);
   const news = {
     name: pick(r, ['order', 'workers/x', 'load/x', 'core', 7, null]),
@@ -146,7 +146,7 @@
   const ask = (i: number): Promise<number> =>
     f
       .http(
-        f.proc(`gateway-edge${i}`).options['http'] as Place,
+        f.proc(`gateway-edge${i}`).options['http'] as Address,
         'POST',
         '/v1/chat/completions',
         { messages: [{ role: 'user', content: 'hi [last]' }], max_tokens: 4, stream: false },
@@ -157,7 +157,7 @@
         () => 0,
       );
   void Promise.all([1, 2, 3, 4, 5, 6, 7].map(ask)).then((x) => (got = x));
-  await f.until('results', () => got !== undefined, us.s(10));
+  await f.until('results', () => got !== undefined, duration.s(10));
   return got!;
 };
 
@@ -173,11 +173,11 @@
       if (t === 'node.drain') continue;
       const p = pick(r, f.procs);
       frames.send(
-        p.options['place'] as Place,
+        p.options['place'] as Address,
         stringify({ p: protocol.mark, k: pick(r, ['ask', 'tell']), t, n: `${i}`, b: r.int(3) ? near(r) : value(r, 3) }),
       );
     }
-    await f.w.run(f.w.now() + us.s(3));
+    await f.w.run(f.w.now() + duration.s(3));
     assert.equal(await serves(f), [200, 200, 200, 200, 200, 200, 200], `seed ${seed}`);
     assert.equal(f.breaches(), [], `seed ${seed}`);
   }
--- a/packages/simulation/test/keep.test.ts
+++ b/tools/simulation/test/keep.test.ts
@@ -1,7 +1,7 @@
 // Keys and kept conversations (§5.4, §5.5): another request under a used key, a turn sent again, growth, keeping.
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { us, type Place } from '@thornsail/runtime';
+import { duration, type Address } from '@thornsail/runtime';
 import { fleet, world, type Fleet } from '@thornsail/simulation';
 import { callers, classNames } from '@thornsail/test-harness';
 
@@ -12,11 +12,11 @@
     (v) => (got.v = v),
     (e) => (got.e = e),
   );
-  await f.until('a result', () => 'v' in got || 'e' in got, us.s(12));
+  await f.until('a result', () => 'v' in got || 'e' in got, duration.s(12));
   if ('e' in got) throw got.e;
   return got.v!;
 };
-const at = (f: Fleet, i: number): Place => f.proc(`gateway-edge${i}`).options['http'] as Place;
+const at = (f: Fleet, i: number): Address => f.proc(`gateway-edge${i}`).options['http'] as Address;
 const chat = (f: Fleet, i: number, say: string, headers: Record<string, string>): Promise<Reply> =>
   settled(
     f,
@@ -64,16 +64,16 @@
       .then((r) => r.status)
       .catch(() => 0);
     // Killed at some moment between its sending and its end: most often while its records are being closed.
-    while (!f.requestLog.entries.some((e) => e.ended)) await f.w.run(f.w.now() + us.ms(0.2));
-    await f.w.run(f.w.now() + us.ms(seed - 1));
+    while (!f.requestLog.entries.some((e) => e.ended)) await f.w.run(f.w.now() + duration.ms(0.2));
+    await f.w.run(f.w.now() + duration.ms(seed - 1));
     f.kill('gateway-edge1', 'power');
     let again: Reply | undefined;
-    const end = f.w.now() + us.s(8);
+    const end = f.w.now() + duration.s(8);
     while (again?.status !== 200 && f.w.now() < end) {
       again = await chat(f, 2, 'look at the pump', cls);
       // Not known, and never will be: what is kept says whether to ask anew.
       if (again.body['error'] === 'outcome_unknown') break;
-      await f.w.run(f.w.now() + us.s(1));
+      await f.w.run(f.w.now() + duration.s(1));
     }
     const lost = again!.body['error'] === 'outcome_unknown';
     if (lost) assert.is((await chat(f, 3, 'look at the pump', { ...cls, 'idempotency-key': 'k2' })).status, 200);
@@ -110,22 +110,22 @@
       .then((r) => r.status)
       .catch(() => 0);
     // Its edge sleeps from some moment between its sending and its end, and is taken for dead meanwhile.
-    while (!f.requestLog.entries.some((e) => (seed > 4 ? e.ended : true))) await f.w.run(f.w.now() + us.ms(0.2));
-    await f.w.run(f.w.now() + us.ms(seed % 3));
-    const woke = f.w.now() + us.s(6);
-    f.freeze('gateway-edge1', us.s(6));
+    while (!f.requestLog.entries.some((e) => (seed > 4 ? e.ended : true))) await f.w.run(f.w.now() + duration.ms(0.2));
+    await f.w.run(f.w.now() + duration.ms(seed % 3));
+    const woke = f.w.now() + duration.s(6);
+    f.freeze('gateway-edge1', duration.s(6));
     const heal = f.cut(['gateway-edge1'], others);
     let told: unknown;
-    while (told !== 'outcome_unknown' && f.w.now() < woke - us.s(1)) {
+    while (told !== 'outcome_unknown' && f.w.now() < woke - duration.s(1)) {
       const r = await chat(f, 2, 'look at the pump', { 'idempotency-key': 'k1' });
       told = r.status === 200 ? 'kept' : r.body['error'];
       if (told === 'kept') break;
-      await f.w.run(f.w.now() + us.ms(300));
+      await f.w.run(f.w.now() + duration.ms(300));
     }
     assert.ok(told === 'outcome_unknown' || told === 'kept', `seed ${seed}: ${String(told)}`);
     const was = await settled(f, f.http(at(f, 3), 'GET', '/v1/conversations/c1'));
     assert.is(was.status, told === 'kept' ? 200 : 404, `seed ${seed}`);
-    await f.w.run(woke + us.s(2));
+    await f.w.run(woke + duration.s(2));
     heal();
     if (told === 'outcome_unknown') {
       late += 1;
@@ -143,7 +143,7 @@
 });
 
 test('a caller sends a message under another key only once it is known that it is not kept', async () => {
-  const w = world.open({ seed: 1, zoneDelay: us.ms(2), clientDelay: us.ms(1), clientIp: '10.9.0.1' });
+  const w = world.open({ seed: 1, zoneDelay: duration.ms(2), clientDelay: duration.ms(1), clientIp: '10.9.0.1' });
   const [client, server] = [w.runtime(w.host('10.0.0.1', 'a')), w.runtime(w.host('10.0.0.2', 'b'))];
   const keys: string[] = [];
   let recalls = 0;
@@ -154,7 +154,7 @@
       if (ask.method === 'POST') keys.push(String(ask.headers['idempotency-key']));
       else recalls += 1;
       // Nobody can say for 25 s, then it is known.
-      const known = ask.method === 'GET' && w.now() > us.s(25);
+      const known = ask.method === 'GET' && w.now() > duration.s(25);
       say.head(ask.method === 'POST' ? 409 : known ? 404 : 503, { 'content-type': 'application/json' });
       say.end(JSON.stringify({ error: ask.method === 'POST' ? 'outcome_unknown' : 'none', ran: 'unknown' }));
     },
@@ -167,13 +167,13 @@
     classes: classNames.lautoka,
     chatTimeLeft: 8000,
     pushTimeLeft: 2000,
-    gap: us.ms(400),
+    gap: duration.ms(400),
     excused: () => false,
     stalls: false,
   });
   let over = false;
   void c.chat({ turns: 1, kept: true, program: 'p' }).then(() => (over = true));
-  while (!over && w.now() < us.s(120)) await w.run(w.now() + us.s(1));
+  while (!over && w.now() < duration.s(120)) await w.run(w.now() + duration.s(1));
   assert.ok(over && recalls > 40);
   assert.equal(keys, ['p.0.0', 'p.0.0', 'p.0.0', 'p.0.1', 'p.0.2']);
 });
@@ -208,7 +208,7 @@
   classes['tutor']!['keepSeconds'] = 2;
   assert.is((await settled(f, f.push({ ...f.shape.config, classes }, 1))).status, 200);
   assert.is((await chat(f, 2, 'two', {})).status, 200);
-  await f.w.run(f.w.now() + us.s(6));
+  await f.w.run(f.w.now() + duration.s(6));
   assert.is((await kept(f, 3)).length, 4);
 });
 test.run();
--- a/packages/simulation/test/link.test.ts
+++ b/tools/simulation/test/link.test.ts
@@ -3,11 +3,19 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { world, type Host, type World } from '@thornsail/simulation';
-import { real, time, us, type Connection, type Runtime, type Place, type Us } from '@thornsail/runtime';
+import {
+  real,
+  time,
+  duration,
+  type Connection,
+  type Runtime,
+  type Address,
+  type Microseconds,
+} from '@thornsail/runtime';
 import { wire, type Wire, type WireHandler } from '@thornsail/test-harness';
 
 type Got = { status: number; id: string; body: string; how: 'end' | 'fail'; sent: boolean };
-const ask = (c: Connection, path: string, timeLeft?: { runtime: Runtime; left: Us }): Promise<Got> =>
+const ask = (c: Connection, path: string, timeLeft?: { runtime: Runtime; left: Microseconds }): Promise<Got> =>
   new Promise((done) => {
     const got: Got = { status: 0, id: '', body: '', how: 'end', sent: false };
     const control = c.exchange(
@@ -20,7 +28,7 @@
         fail: () => done({ ...got, how: 'fail' }),
       },
     );
-    if (timeLeft) timeLeft.runtime.clock.tick(timeLeft.left, control.cut);
+    if (timeLeft) timeLeft.runtime.clock.schedule(timeLeft.left, control.cut);
   });
 
 /** Does what the path says. */
@@ -33,19 +41,19 @@
     if (path === '/lose') return say.cut();
     if (path === '/garble') return say.garble();
     if (path === '/hang') return;
-    if (path === '/surplus') say.surplus(us.ms(30), 200, ['x-path', 'surplus'], Buffer.from('more'));
+    if (path === '/surplus') say.surplus(duration.ms(30), 200, ['x-path', 'surplus'], Buffer.from('more'));
     if (path.startsWith('/unframed')) say.unframed();
     if (path === '/forget') say.forget();
-    if (path === '/slow') await time.sleep(runtime.clock, us.ms(150));
+    if (path === '/slow') await time.sleep(runtime.clock, duration.ms(150));
     const noLength = path === '/within' || path.startsWith('/unframed');
     say.head(200, [...head, ...(noLength ? [] : ['content-length', '2'])]);
     say.write(path === '/within' ? 'o' : 'ok');
     if (path === '/within') {
-      await time.sleep(runtime.clock, us.ms(20));
+      await time.sleep(runtime.clock, duration.ms(20));
       return say.cut();
     }
     if (path === '/unframed-reset') {
-      await time.sleep(runtime.clock, us.ms(30));
+      await time.sleep(runtime.clock, duration.ms(30));
       return say.reset();
     }
     say.end();
@@ -53,13 +61,13 @@
 
 type Place_ = {
   runtime: Runtime;
-  at: Place;
-  idleFor: Us;
+  at: Address;
+  idleFor: Microseconds;
   connect: (onClosed?: () => void) => Connection;
-  sleep: (t: Us) => Promise<void>;
+  sleep: (t: Microseconds) => Promise<void>;
 };
-const limits = { idleFor: us.s(1), connections: 4 };
-const connectWithin = us.ms(500);
+const limits = { idleFor: duration.s(1), connections: 4 };
+const connectWithin = duration.ms(500);
 type Bench = (run: (p: Place_) => Promise<void>) => Promise<void>;
 
 const onSockets: Bench = async (run) => {
@@ -80,7 +88,7 @@
 };
 type Sim = Place_ & { w: World; client: Host; server: Host; wire: Wire };
 const simulated = async (seed: number, run: (p: Sim) => Promise<void>): Promise<void> => {
-  const w = world.open({ seed, zoneDelay: us.ms(2), clientDelay: us.ms(1), clientIp: '10.9.0.1' });
+  const w = world.open({ seed, zoneDelay: duration.ms(2), clientDelay: duration.ms(1), clientIp: '10.9.0.1' });
   const [client, server] = [w.host('10.0.0.1', 'a'), w.host('10.0.0.2', 'b')];
   const [runtime, there] = [w.runtime(client), w.runtime(server)];
   const at = '10.0.0.2:80';
@@ -103,7 +111,7 @@
       done = true;
     },
   );
-  for (let i = 0; i < 400 && !done; i++) await w.run(w.now() + us.ms(100));
+  for (let i = 0; i < 400 && !done; i++) await w.run(w.now() + duration.ms(100));
   if (failed) throw failed as Error;
   assert.ok(done, 'it did not end');
 };
@@ -135,7 +143,7 @@
     bench(async (p) => {
       const c = p.connect();
       assert.is((await ask(c, '/close')).how, 'end');
-      await p.sleep(us.ms(50));
+      await p.sleep(duration.ms(50));
       assert.not.ok(c.open());
     }));
   for (const path of ['/reset', '/lose', '/garble', '/within'])
@@ -147,7 +155,7 @@
         assert.is(g.how, 'fail');
         assert.ok(g.sent);
         assert.is(g.status, path === '/within' ? 200 : 0);
-        await p.sleep(us.ms(50));
+        await p.sleep(duration.ms(50));
         assert.not.ok(c.open());
       }));
   test(`${name}: a surplus answer comes in the place of the next one`, () =>
@@ -157,21 +165,21 @@
       const g = await ask(c, '/slow');
       assert.equal(g, { status: 200, id: 'surplus', body: 'more', how: 'end', sent: true });
       // What was due comes when nobody waits: the connection is of no use any more.
-      await p.sleep(us.ms(300));
+      await p.sleep(duration.ms(300));
       assert.not.ok(c.open());
     }));
   test(`${name}: a surplus answer on an idle connection ends it`, () =>
     bench(async (p) => {
       const c = p.connect();
       await ask(c, '/surplus');
-      await p.sleep(us.ms(120));
+      await p.sleep(duration.ms(120));
       assert.not.ok(c.open());
     }));
   test(`${name}: an answer without a length ends with its connection, and a reset is no end`, () =>
     bench(async (p) => {
       const c = p.connect();
       assert.equal(await ask(c, '/unframed'), { status: 200, id: '/unframed', body: 'ok', how: 'end', sent: true });
-      await p.sleep(us.ms(50));
+      await p.sleep(duration.ms(50));
       assert.not.ok(c.open());
       const g = await ask(p.connect(), '/unframed-reset');
       assert.equal(g, { status: 200, id: '/unframed-reset', body: 'ok', how: 'fail', sent: true });
@@ -180,17 +188,17 @@
     bench(async (p) => {
       const c = p.connect();
       assert.is((await ask(c, '/forget')).how, 'end');
-      await p.sleep(us.ms(50));
+      await p.sleep(duration.ms(50));
       assert.ok(c.open());
       const g = await ask(c, '/a');
       assert.equal(g, { status: 0, id: '', body: '', how: 'fail', sent: true });
-      await p.sleep(us.ms(50));
+      await p.sleep(duration.ms(50));
       assert.not.ok(c.open());
     }));
   test(`${name}: one that was cut is not used again`, () =>
     bench(async (p) => {
       const c = p.connect();
-      assert.is((await ask(c, '/hang', { runtime: p.runtime, left: us.ms(50) })).how, 'fail');
+      assert.is((await ask(c, '/hang', { runtime: p.runtime, left: duration.ms(50) })).how, 'fail');
       assert.not.ok(c.open());
       const g = await ask(c, '/a');
       assert.is(g.how, 'fail');
@@ -202,7 +210,7 @@
       assert.ok((await Promise.all(some.map((c) => ask(c, '/a')))).every((g) => g.how === 'end'));
       assert.is((await ask(p.connect(), '/a')).how, 'fail');
       some[0]!.close();
-      await p.sleep(us.ms(50));
+      await p.sleep(duration.ms(50));
       assert.is((await ask(p.connect(), '/a')).how, 'end');
     }));
   test(`${name}: nothing is sent where nobody listens`, () =>
@@ -220,7 +228,7 @@
     await ask(c, '/a');
     const heal = p.w.cutOneWay([p.client], [p.server]);
     const got = ask(c, '/b');
-    await p.sleep(us.ms(200));
+    await p.sleep(duration.ms(200));
     heal();
     assert.is((await got).id, '/b');
   }));
@@ -242,7 +250,7 @@
     await ask(d, '/a');
     const heal = p.w.cutOneWay([p.server], [p.client]);
     const got = ask(d, '/b');
-    await p.sleep(us.ms(200));
+    await p.sleep(duration.ms(200));
     assert.is(ran, 2);
     heal();
     assert.is((await got).how, 'end');
@@ -256,20 +264,20 @@
     const g = await ask(p.connect(), '/a');
     assert.not.ok(g.sent);
     assert.is(p.runtime.clock.now() - begun, connectWithin);
-    const kept = await ask(c, '/b', { runtime: p.runtime, left: us.s(2) });
+    const kept = await ask(c, '/b', { runtime: p.runtime, left: duration.s(2) });
     assert.ok(kept.sent);
     assert.is(kept.how, 'fail');
-    assert.is(p.runtime.clock.now() - begun, connectWithin + us.s(2));
+    assert.is(p.runtime.clock.now() - begun, connectWithin + duration.s(2));
   }));
 test('a process that ends breaks its connections; one that is back knows nothing of them', () =>
   simulated(5, async (p) => {
     const [c, d] = [p.connect(), p.connect()];
     await Promise.all([ask(c, '/a'), ask(d, '/a')]);
     const hung = ask(c, '/hang');
-    await p.sleep(us.ms(50));
+    await p.sleep(duration.ms(50));
     p.w.kill(p.server, 'process');
     assert.is((await hung).how, 'fail');
-    await p.sleep(us.ms(50));
+    await p.sleep(duration.ms(50));
     assert.not.ok(d.open());
   }));
 test('a kept connection to a machine that was off meanwhile is reset when it is used', () =>
@@ -289,8 +297,8 @@
     let gone = false;
     await p.wire.serve('10.0.0.2:81', (_ask, say) => say.onGone(() => (gone = true)), limits);
     const c = p.runtime.net.connect('10.0.0.2:81', { connectWithin });
-    await ask(c, '/a', { runtime: p.runtime, left: us.ms(50) });
-    await p.sleep(us.ms(50));
+    await ask(c, '/a', { runtime: p.runtime, left: duration.ms(50) });
+    await p.sleep(duration.ms(50));
     assert.ok(gone);
   }));
 test('a reader that is held back holds the writer up', () =>
@@ -318,11 +326,11 @@
         fail: () => undefined,
       },
     );
-    await p.sleep(us.ms(100));
+    await p.sleep(duration.ms(100));
     assert.is(size, 0);
     assert.ok(held);
     control.resume();
-    await p.sleep(us.ms(100));
+    await p.sleep(duration.ms(100));
     assert.is(size, 200_000);
     assert.ok(over);
   }));
@@ -342,7 +350,7 @@
       1000,
     );
     try {
-      const call = { at: '10.0.0.2:81', method: 'GET', path: '/', timeLeft: us.s(1), silence: us.s(1) };
+      const call = { at: '10.0.0.2:81', method: 'GET', path: '/', timeLeft: duration.s(1), silence: duration.s(1) };
       const r = await p.runtime.net.call(call);
       for await (const piece of r.body) outcome += piece;
     } catch {
--- a/packages/simulation/test/load.test.ts
+++ b/tools/simulation/test/load.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { loadPaths, type EdgePeer } from '@thornsail/data-plane';
-import { invariant, us } from '@thornsail/runtime';
+import { invariant, duration } from '@thornsail/runtime';
 import { hollow, total, type Hollow, type HollowNode } from '../src/measurement/hollow.js';
 
 const peers = (count: number, zones = 3): EdgePeer[] =>
@@ -46,7 +46,7 @@
 const open = async (): Promise<Hollow> => {
   const h = await hollow.open({ edges, workers: 33 });
   assert.ok(h);
-  await h!.run(us.s(2));
+  await h!.run(duration.s(2));
   return h!;
 };
 const begin = (n: HollowNode): void =>
@@ -60,9 +60,12 @@
   const before = runningSeenBy(at);
   const began = h.w.now();
   begin(at);
-  assert.ok(await h.until(() => gateways.every((f) => runningSeenBy(f) === before + 1), us.s(2)), 'known everywhere');
+  assert.ok(
+    await h.until(() => gateways.every((f) => runningSeenBy(f) === before + 1), duration.s(2)),
+    'known everywhere',
+  );
   const took = h.w.now() - began;
-  await h.run(us.s(1));
+  await h.run(duration.s(1));
   return took;
 };
 
@@ -70,7 +73,7 @@
   const h = await open();
   for (const n of [0, 11, 23]) {
     const took = await untilKnown(h, h.of('gateway')[n]!);
-    assert.ok(took <= us.ms(460), `known everywhere after ${us.toMs(took)} ms`);
+    assert.ok(took <= duration.ms(460), `known everywhere after ${duration.toMs(took)} ms`);
   }
   assert.equal(invariant.breaches(), []);
 });
@@ -79,14 +82,14 @@
   const h = await open();
   const gateways = h.of('gateway');
   for (let slot = 0; slot < 24; slot++) begin(gateways[2]!);
-  await h.run(us.s(1));
+  await h.run(duration.s(1));
   const waiting = gateways[3]!.node!.dataPlane!.admission;
-  waiting.slot('chat', { hint: null, not: new Set(), force: false, limit: us.s(60) });
+  waiting.slot('chat', { hint: null, not: new Set(), force: false, limit: duration.s(60) });
   assert.ok(waiting.waits(), 'a turn waits');
-  await h.run(us.s(2));
+  await h.run(duration.s(2));
   for (const n of [0, 11, 23]) {
     const took = await untilKnown(h, gateways[n]!);
-    assert.ok(took <= us.ms(260), `known everywhere after ${us.toMs(took)} ms`);
+    assert.ok(took <= duration.ms(260), `known everywhere after ${duration.toMs(took)} ms`);
   }
 });
 
@@ -98,7 +101,7 @@
   const before = runningSeenBy(left[0]!);
   begin(left[3]!);
   const known = (): boolean => left.every((f) => runningSeenBy(f) === before + 1);
-  assert.ok(await h.until(known, us.s(4)), 'known everywhere');
+  assert.ok(await h.until(known, duration.s(4)), 'known everywhere');
 });
 
 test('at many edges load takes few messages at an edge, at an agent and at a coordinator', async () => {
@@ -108,7 +111,7 @@
   for (let step = 0; step < span * 10; step++) {
     if (step % 2 === 0) for (const n of h.of('gateway')) begin(n);
     else for (const n of h.of('gateway')) n.node!.dataPlane!.admission.leave(worker, 'chat', null);
-    await h.run(us.ms(100));
+    await h.run(duration.ms(100));
   }
   /** Messages a second at a node of a role, in the mean. */
   const rate = (
--- a/packages/simulation/test/parts.test.ts
+++ b/tools/simulation/test/parts.test.ts
@@ -1,7 +1,7 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { dissemination, tree, type Dissemination } from '@thornsail/dissemination';
-import { invariant, us } from '@thornsail/runtime';
+import { invariant, duration } from '@thornsail/runtime';
 import { durableStore } from '@thornsail/durable-files';
 import { failureDetector, ring } from '@thornsail/failure-detector';
 import { rpc } from '@thornsail/rpc';
@@ -10,7 +10,7 @@
 
 const open = (seed: number): ReturnType<typeof world.open> => {
   invariant.clear();
-  return world.open({ seed, zoneDelay: us.ms(1.5), clientDelay: us.ms(1), clientIp: '127.0.9.9' });
+  return world.open({ seed, zoneDelay: duration.ms(1.5), clientDelay: duration.ms(1), clientIp: '127.0.9.9' });
 };
 
 test('durable store: what was acknowledged survives power loss; torn and half-written files show', async () => {
@@ -27,7 +27,7 @@
         }
     };
     void write();
-    await w.run(us.ms(20 + w.rand.int(60)));
+    await w.run(duration.ms(20 + w.rand.int(60)));
     w.kill(h, 'power');
     w.start(h);
     h.files.set('a%2Fb.000000009999', 'torn');
@@ -40,7 +40,7 @@
         c: (await durable.read<{ m: number }>('c*.d'))?.value.m ?? 0,
       };
     })();
-    await w.run(w.now() + us.s(1));
+    await w.run(w.now() + duration.s(1));
     assert.ok(got!.a >= (acked.get('a/b') ?? 0) && got!.c >= (acked.get('c*.d') ?? 0), `seed ${seed}`);
     assert.is(got!.durable.counts().torn, 1);
     assert.ok([...h.files.keys()].length <= 6, 'old versions pile up');
@@ -68,7 +68,7 @@
   }
 });
 
-test('failure detector: a silent node is suspected within 1.5 s; a frozen watcher accuses nobody on waking', async () => {
+test('failure detector: a silent node is suspected within 1.5 s; a frozen watcher reports none on waking', async () => {
   const w = open(3);
   const all = Array.from({ length: 9 }, (_, i) => ({
     id: `n${i}`,
@@ -89,15 +89,15 @@
         },
       }),
     );
-  await w.run(us.s(3));
+  await w.run(duration.s(3));
   assert.is(accused.size, 0);
   w.freeze(all[4]!.host);
-  await w.run(us.s(4.6));
+  await w.run(duration.s(4.6));
   assert.equal([...accused.keys()], ['n4']);
   assert.is(accused.get('n4')!.size, 3);
   accused.clear();
   w.wake(all[4]!.host);
-  await w.run(us.s(7));
+  await w.run(duration.s(7));
   assert.equal(
     [...accused.values()].flatMap((s) => [...s]).filter((by) => by === 'n4'),
     [],
@@ -136,7 +136,7 @@
       }),
     );
   }
-  await w.run(us.ms(10));
+  await w.run(duration.ms(10));
   return { w, nodes, dead };
 };
 test('dissemination: news reaches all within 2 s past a relay not known to be dead; marks never go back', async () => {
@@ -146,9 +146,9 @@
     const from = nodes.find((x) => x.host.alive)!;
     for (let m = 1; m <= 10; m++) {
       from.b.put('order', m, { m });
-      await w.run(w.now() + us.ms(40));
+      await w.run(w.now() + duration.ms(40));
     }
-    await w.run(w.now() + us.s(2));
+    await w.run(w.now() + duration.s(2));
     for (const x of nodes) if (x.host.alive) assert.is(x.b.get('order')?.mark, 10, `seed ${seed}: ${x.id}`);
     from.b.put('order', 4, { m: 4 });
     assert.is(from.b.get('order')?.mark, 10);
@@ -157,11 +157,11 @@
 test('dissemination: news of a dead node does not come back from siblings that were slower to drop it', async () => {
   const { w, nodes, dead } = await relays(5, 8);
   nodes[0]!.b.put('load/n3', 7, { x: 1 });
-  await w.run(w.now() + us.s(2));
+  await w.run(w.now() + duration.s(2));
   assert.ok(nodes.every((x) => x.b.get('load/n3')));
   dead.add('n3');
   for (const x of nodes.slice(0, 4)) x.b.drop((k) => k !== 'load/n3');
-  await w.run(w.now() + us.s(4));
+  await w.run(w.now() + duration.s(4));
   for (const x of nodes.slice(0, 4)) assert.is(x.b.get('load/n3'), undefined);
 });
 
@@ -195,24 +195,24 @@
     }
     const r = w.rand;
     for (let i = 0; i < 6; i++)
-      w.at(us.s(4) + r.int(us.s(20)), () => {
+      w.at(duration.s(4) + r.int(duration.s(20)), () => {
         const x = duties[r.int(4)]!;
         if (!x.host.frozen) {
           w.freeze(x.host);
-          w.at(w.now() + r.int(us.s(5)), () => w.wake(x.host));
+          w.at(w.now() + r.int(duration.s(5)), () => w.wake(x.host));
         }
       });
-    w.at(us.s(9), () => {
+    w.at(duration.s(9), () => {
       const v = voters[r.int(3)]!;
       w.kill(v.host, 'power');
-      w.at(w.now() + us.ms(300), () => {
+      w.at(w.now() + duration.ms(300), () => {
         w.start(v.host);
         bootVoter(v);
       });
     });
     let held = 0;
-    while (w.now() < us.s(30)) {
-      await w.run(w.now() + us.ms(25));
+    while (w.now() < duration.s(30)) {
+      await w.run(w.now() + duration.ms(25));
       const n = duties.filter((x) => x.d.holds()).length;
       assert.ok(n <= 1, `seed ${seed}: ${n} holders at once`);
       held += n;
--- a/packages/simulation/test/path.test.ts
+++ b/tools/simulation/test/path.test.ts
@@ -1,6 +1,6 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { us } from '@thornsail/runtime';
+import { duration } from '@thornsail/runtime';
 import { fleet } from '@thornsail/simulation';
 
 const day = async (
@@ -8,8 +8,8 @@
   shape: 'lautoka' | 'granite',
 ): Promise<{ hash: string; breaches: string[]; results: number; ready: number }> => {
   const f = await fleet.open({ seed, shape });
-  const l = f.load({ chats: 20, kept: 3, jobs: 30, over: us.s(4) });
-  await f.until('the load', l.done, us.s(60));
+  const l = f.load({ chats: 20, kept: 3, jobs: 30, over: duration.s(4) });
+  await f.until('the load', l.done, duration.s(60));
   return { hash: f.w.hash(), breaches: f.breaches(), results: f.callers.summary.results, ready: f.ready() };
 };
 
--- a/packages/simulation/test/registers.test.ts
+++ b/tools/simulation/test/registers.test.ts
@@ -9,7 +9,7 @@
   type Store,
   type SweepResult,
 } from '@thornsail/register-store';
-import { fault, invariant, time, us } from '@thornsail/runtime';
+import { fault, invariant, time, duration } from '@thornsail/runtime';
 import { durableStore } from '@thornsail/durable-files';
 import { rpc, type Rpc } from '@thornsail/rpc';
 import { world, type Host } from '@thornsail/simulation';
@@ -65,15 +65,15 @@
   /** With `fresh`, new keys that two or three edges come upon at about the same time. */
   const keys = o.fresh ? 24 : 3;
   /** Nothing is opened for a while after a store did not answer. */
-  const span = us.s(o.fresh ? 12 : 3);
+  const span = duration.s(o.fresh ? 12 : 3);
   invariant.clear();
   // With faults the disk is slower than the network, or a missing sync would never show.
   const w = world.open({
     seed,
-    zoneDelay: us.ms(1.5),
-    clientDelay: us.ms(1),
+    zoneDelay: duration.ms(1.5),
+    clientDelay: duration.ms(1),
     clientIp: '127.0.9.9',
-    ...(o.faults ? { diskTime: us.ms(12) } : {}),
+    ...(o.faults ? { diskTime: duration.ms(12) } : {}),
   });
   const places = [1, 2, 3, 4].map((i) => ({
     host: w.host(`127.0.2.${i}`, `z${i}`),
@@ -90,7 +90,7 @@
   let group: Group = { mark: 1, members: members([1, 2, 3]) };
   // An edge hears of a new group late, and meanwhile uses the old one.
   const old = group;
-  const lag = [0, 1, 2].map((e) => (e === 0 || !o.regroup ? 0 : w.rand.int(us.s(3))));
+  const lag = [0, 1, 2].map((e) => (e === 0 || !o.regroup ? 0 : w.rand.int(duration.s(3))));
   const edges: Registers[] = [];
   const hosts: Host[] = [];
   const pipes: Rpc[] = [];
@@ -110,7 +110,7 @@
       });
     });
   }
-  await w.run(us.ms(50));
+  await w.run(duration.ms(50));
   const ops: Op[] = [];
   const r = w.rand;
   let open = 0;
@@ -121,7 +121,7 @@
     for (const k of places.slice(0, 3))
       if (k.host.alive) {
         w.kill(k.host, 'power');
-        w.at(w.now() + us.ms(50), () => {
+        w.at(w.now() + duration.ms(50), () => {
           w.start(k.host);
           void boot(k.host, k.at, k.id);
         });
@@ -130,14 +130,18 @@
   if (o.fresh)
     for (const e of edges)
       void e!
-        .change('warm', (_v, x) => ({ held: { value: 1, until: x.max + us.s(9999) }, result: 0 }), us.ms(40))
+        .change(
+          'warm',
+          (_v, x) => ({ held: { value: 1, until: x.max + duration.s(9999) }, result: 0 }),
+          duration.ms(40),
+        )
         .catch(() => undefined);
   const pace = span / keys;
   for (let i = 0; i < 60; i++) {
     const e = r.int(3);
     const no = o.fresh ? i % keys : r.int(3);
     const key = `key${no}`;
-    w.at(us.ms(50) + (o.fresh ? no * pace + r.int(us.ms(8)) : r.int(span)), () => {
+    w.at(duration.ms(50) + (o.fresh ? no * pace + r.int(duration.ms(8)) : r.int(span)), () => {
       const op: Op = { id: `a${i}`, key, from: w.now(), to: Infinity, saw: null, ok: false };
       ops.push(op);
       open += 1;
@@ -145,9 +149,9 @@
         key,
         (v, x) => {
           const list = (v as string[] | undefined) ?? [];
-          return { held: { value: [...list, op.id], until: x.max + us.s(9999) }, result: list };
+          return { held: { value: [...list, op.id], until: x.max + duration.s(9999) }, result: list };
         },
-        us.ms(700),
+        duration.ms(700),
         { fresh: o.fresh === true },
       )
         .then(
@@ -171,7 +175,7 @@
   const all = Array.from({ length: keys }, (_, k) => `key${k}`);
   const look = (edge: Registers, some: string[]): void => {
     const from = w.now();
-    edge.readMany(some, us.ms(700)).then(
+    edge.readMany(some, duration.ms(700)).then(
       (lists) => {
         for (const [i, key] of some.entries()) {
           const saw = (lists[i] as string[] | undefined) ?? [];
@@ -184,17 +188,18 @@
   if (o.mixed)
     for (let i = 0; i < 60; i++) {
       const [e, what, key] = [r.int(3), r.int(4), all[r.int(keys)]!];
-      w.at(us.ms(50) + r.int(span), () => {
+      w.at(duration.ms(50) + r.int(span), () => {
         const edge = edges[e]!;
-        if (what === 0) void edge.reserve(key, us.ms(500)).catch(() => undefined);
-        else if (what === 1) void edge.extend(all, wall() + us.s(9999 + i), us.ms(500)).catch(() => undefined);
+        if (what === 0) void edge.reserve(key, duration.ms(500)).catch(() => undefined);
+        else if (what === 1)
+          void edge.extend(all, wall() + duration.s(9999 + i), duration.ms(500)).catch(() => undefined);
         else look(edge, what === 2 ? all : [key]);
       });
     }
   // Every other history has a network that loses, doubles and reorders.
   if (o.faults && seed % 2 === 0) {
-    w.rough(0.05, us.ms(10));
-    w.at(span + us.s(2), () => w.rough(0, 0));
+    w.rough(0.05, duration.ms(10));
+    w.at(span + duration.s(2), () => w.rough(0, 0));
   }
   if (o.faults)
     for (let i = 0; i < 5; i++)
@@ -203,11 +208,11 @@
         if (!k.host.alive) return;
         if (r.int(3) === 0) {
           w.freeze(k.host);
-          w.at(w.now() + r.int(us.ms(600)), () => w.wake(k.host));
+          w.at(w.now() + r.int(duration.ms(600)), () => w.wake(k.host));
           return;
         }
         w.kill(k.host, 'power');
-        w.at(w.now() + r.int(us.ms(500)), () => {
+        w.at(w.now() + r.int(duration.ms(500)), () => {
           w.start(k.host);
           void boot(k.host, k.at, k.id);
         });
@@ -229,36 +234,36 @@
       : [];
     const sweeps = async (): Promise<void> => {
       let [mark, swept] = [1, 1];
-      for (let i = 0; w.now() < span + us.s(2); i++) {
+      for (let i = 0; w.now() < span + duration.s(2); i++) {
         const r = await pass(swept !== mark);
         if (r.complete) swept = mark;
         const next = groups[mark - 1];
         if (r.complete && next && i % 3 === 2) group = { mark: ++mark, members: members(next) };
-        await time.sleep(clock, us.ms(60));
+        await time.sleep(clock, duration.ms(60));
       }
     };
-    w.at(us.ms(100), () => void sweeps());
-    if (o.regroup && seed % 3 > 0) w.rough(0.03, us.ms(8));
-    w.at(span + us.s(2), () => w.rough(0, 0));
+    w.at(duration.ms(100), () => void sweeps());
+    if (o.regroup && seed % 3 > 0) w.rough(0.03, duration.ms(8));
+    w.at(span + duration.s(2), () => w.rough(0, 0));
   } else if (o.regroup) {
     // Add k4, settle every key under the new mark, take k1 out, settle again.
     const step = async (): Promise<void> => {
       group = { mark: 2, members: members([1, 2, 3, 4]) };
-      for (const k of all) await edges[0]!.settleKey(k, us.s(3));
+      for (const k of all) await edges[0]!.settleKey(k, duration.s(3));
       group = { mark: 3, members: members([2, 3, 4]) };
-      for (const k of all) await edges[0]!.settleKey(k, us.s(3));
+      for (const k of all) await edges[0]!.settleKey(k, duration.s(3));
       w.kill(places[0]!.host, 'disk');
     };
-    w.at(us.ms(900), () => void step());
+    w.at(duration.ms(900), () => void step());
     // Two edges each miss another store, so that their majorities differ.
     const heal = [w.cut([hosts[1]!], [places[2]!.host]), w.cut([hosts[2]!], [places[1]!.host])];
-    w.at(us.s(5), () => heal.forEach((h) => h()));
+    w.at(duration.s(5), () => heal.forEach((h) => h()));
   }
-  await w.run(span + us.s(3));
+  await w.run(span + duration.s(3));
   const last = new Map<string, string[]>();
   for (const k of all)
-    void edges[r.int(3)]!.read(k, us.s(4)).then((v) => last.set(k, (v as string[] | undefined) ?? []));
-  await w.run(span + us.s(8));
+    void edges[r.int(3)]!.read(k, duration.s(4)).then((v) => last.set(k, (v as string[] | undefined) ?? []));
+  await w.run(span + duration.s(8));
   assert.is(open, 0);
   assert.is(last.size, keys, 'the registers could not be read at the end');
   return {
@@ -364,7 +369,7 @@
   }) => Promise<void>,
 ): Promise<void> => {
   invariant.clear();
-  const w = world.open({ seed, zoneDelay: us.ms(1), clientDelay: us.ms(1), clientIp: '127.0.9.9' });
+  const w = world.open({ seed, zoneDelay: duration.ms(1), clientDelay: duration.ms(1), clientIp: '127.0.9.9' });
   const at = (i: number): string => `127.0.2.${i}:7101`;
   const hosts = [1, 2, 3, 4].map((i) => w.host(`127.0.2.${i}`, 'z1'));
   const boot = async (i: number): Promise<Store> => {
@@ -398,7 +403,7 @@
   story().catch((e) => {
     done = String(e);
   });
-  await w.run(us.s(5000));
+  await w.run(duration.s(5000));
   assert.is(done, 'yes');
   assert.equal(invariant.breaches(), []);
 };
@@ -409,7 +414,7 @@
     for (const i of [1, 2, 4]) await boot(i);
     group(1, [1, 2, 3]);
     for (let i = 0; i < 300; i++)
-      await regs.change(`k${i}`, (_v, x) => ({ held: { value: i, until: x.max + us.s(9999) }, result: 0 }));
+      await regs.change(`k${i}`, (_v, x) => ({ held: { value: i, until: x.max + duration.s(9999) }, result: 0 }));
     await boot(3);
     group(2, [1, 2, 3, 4]);
     const a = await pass(true);
@@ -419,7 +424,7 @@
     assert.ok(a.complete && b.complete && a.seen === 300 && b.seen === 0, JSON.stringify([a, b]));
     w.kill(hosts[0]!, 'disk');
     w.kill(hosts[1]!, 'disk');
-    for (let i = 0; i < 300; i++) assert.is(await regs.read(`k${i}`, us.s(2)), i);
+    for (let i = 0; i < 300; i++) assert.is(await regs.read(`k${i}`, duration.s(2)), i);
   }));
 
 test('a sweep lists only ranges that differ, mends them, and then finds nothing', () =>
@@ -427,9 +432,9 @@
     for (const i of [1, 2, 3]) await boot(i);
     group(1, [1, 2, 3]);
     const write = (k: string): Promise<number> =>
-      regs.change(k, (_v, x) => ({ held: { value: k, until: x.max + us.s(99_999) }, result: 0 }));
+      regs.change(k, (_v, x) => ({ held: { value: k, until: x.max + duration.s(99_999) }, result: 0 }));
     for (let i = 0; i < 200; i++) await write(`k${i}`);
-    await wait(us.s(1));
+    await wait(duration.s(1));
     assert.equal(await pass(false).then((r) => [r.complete, r.ranges, r.seen]), [true, 0, 0]);
     w.kill(hosts[2]!, 'power');
     for (let i = 0; i < 3; i++) await write(`late${i}`);
@@ -437,10 +442,10 @@
     await boot(3);
     const r = await pass(false);
     assert.ok(r.complete && r.ranges >= 1 && r.ranges <= 3 && r.mended === 3, JSON.stringify(r));
-    await wait(us.s(1));
+    await wait(duration.s(1));
     assert.is((await pass(false)).ranges, 0);
     w.kill(hosts[0]!, 'disk');
-    for (let i = 0; i < 3; i++) assert.is(await regs.read(`late${i}`, us.s(2)), `late${i}`);
+    for (let i = 0; i < 3; i++) assert.is(await regs.read(`late${i}`, duration.s(2)), `late${i}`);
   }));
 
 test('an expired register is absent, is dropped only when every store holds the same, and does not come back', () =>
@@ -449,21 +454,21 @@
     group(1, [1, 2, 3]);
     const write = (v: string, keep: number): Promise<number> =>
       regs.change('k', (_v, x) => ({ held: { value: v, until: x.max + keep }, result: 0 }));
-    await write('old', us.s(3000));
-    await wait(us.s(1));
+    await write('old', duration.s(3000));
+    await wait(duration.s(1));
     // store3 misses the last value, which expires first.
     w.kill(hosts[2]!, 'power');
-    await write('new', us.s(10));
-    await wait(us.s(700));
+    await write('new', duration.s(10));
+    await wait(duration.s(700));
     assert.is(await regs.read('k'), undefined);
     assert.is((await pass(false)).purged, 0, 'dropped while a store with an older copy was away');
     w.start(hosts[2]!);
     await boot(3);
-    assert.is(await regs.read('k', us.s(2)), undefined);
+    assert.is(await regs.read('k', duration.s(2)), undefined);
     await pass(false);
-    await wait(us.s(700));
+    await wait(duration.s(700));
     assert.is((await pass(false)).purged, 1);
-    assert.is(await regs.read('k', us.s(2)), undefined);
+    assert.is(await regs.read('k', duration.s(2)), undefined);
     for (const i of [1, 2, 3]) {
       w.kill(hosts[i - 1]!, 'power');
       w.start(hosts[i - 1]!);
--- a/packages/simulation/test/repair.test.ts
+++ b/tools/simulation/test/repair.test.ts
@@ -3,13 +3,13 @@
 // (200 in the long form), REPAIR_ONLY those plans whose names have this in them.
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { us, type Us } from '@thornsail/runtime';
+import { duration, type Microseconds } from '@thornsail/runtime';
 import { repairPlans } from '../src/repair-plans.js';
 import { repairRun } from '../src/repair-run.js';
 
 const seeds = Number(process.env['REPAIR_SEEDS'] ?? 2);
 /** A newcomer's start until its group bears the next loss. */
-const aim: Us = us.s(1.5);
+const aim: Microseconds = duration.s(1.5);
 
 const only = process.env['REPAIR_ONLY'] ?? '';
 for (const { name, plan, within = aim } of repairPlans.filter((x) => x.name.includes(only)))
@@ -21,9 +21,10 @@
       assert.ok(r.acknowledged > 200, `seed ${seed}: only ${r.acknowledged} changes were acknowledged`);
       for (const [i, after] of r.fullAfter.entries()) {
         worst = Math.max(worst, after);
-        assert.ok(after <= within, `seed ${seed}: full again ${us.toMs(after)} ms after return ${i + 1}`);
+        assert.ok(after <= within, `seed ${seed}: full again ${duration.toMs(after)} ms after return ${i + 1}`);
       }
     }
-    if (seeds > 2) process.stdout.write(`${name}: ${seeds} seeds, full again after ${us.toMs(worst)} ms at most\n`);
+    if (seeds > 2)
+      process.stdout.write(`${name}: ${seeds} seeds, full again after ${duration.toMs(worst)} ms at most\n`);
   });
 test.run();
--- a/packages/simulation/test/streams.test.ts
+++ b/tools/simulation/test/streams.test.ts
@@ -1,6 +1,6 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { us, type HttpResult, type Place } from '@thornsail/runtime';
+import { duration, type HttpClientResponse, type Address } from '@thornsail/runtime';
 import { fleet } from '@thornsail/simulation';
 
 const headers = { 'content-type': 'application/json', 'x-thornsail-program': 'p1', 'x-thornsail-class': 'chat' };
@@ -35,12 +35,12 @@
   let ended: 'clean' | 'cut' | null = null;
   const read = async (): Promise<void> => {
     const r = await f.callerRuntime.net.call({
-      at: f.proc('gateway-edge1').options['http'] as Place,
+      at: f.proc('gateway-edge1').options['http'] as Address,
       method: 'POST',
       path: '/v1/chat/completions',
       headers,
       body,
-      timeLeft: us.s(3),
+      timeLeft: duration.s(3),
     });
     try {
       for await (const p of r.body) text += p;
@@ -50,7 +50,7 @@
     }
   };
   void read();
-  await f.until('the stream to end', () => ended !== null, us.s(20));
+  await f.until('the stream to end', () => ended !== null, duration.s(20));
   assert.is(ended, 'cut');
   assert.not.match(text, /DONE/);
 });
@@ -83,23 +83,23 @@
       1 << 20,
     );
   }
-  let r: HttpResult | undefined;
+  let r: HttpClientResponse | undefined;
   void f.callerRuntime.net
     .call({
-      at: f.proc('gateway-edge1').options['http'] as Place,
+      at: f.proc('gateway-edge1').options['http'] as Address,
       method: 'POST',
       path: '/v1/chat/completions',
       headers,
       body,
-      timeLeft: us.s(3),
+      timeLeft: duration.s(3),
     })
     .then((x) => {
       r = x;
     });
-  await f.until('the head of the stream', () => r !== undefined, us.s(5));
-  await f.w.run(f.w.now() + us.s(3));
+  await f.until('the head of the stream', () => r !== undefined, duration.s(5));
+  await f.w.run(f.w.now() + duration.s(3));
   assert.ok(written < 200, `${written} pieces were read ahead of a reader that reads nothing`);
-  await f.until('the worker to finish', () => ended, us.s(20));
+  await f.until('the worker to finish', () => ended, duration.s(20));
   let budgetRecord: { spent: number; open: unknown } | undefined;
   void f
     .proc('gateway-edge2')
@@ -107,19 +107,19 @@
     .then((v) => {
       budgetRecord = v as typeof budgetRecord;
     });
-  await f.w.run(f.w.now() + us.s(2));
+  await f.w.run(f.w.now() + duration.s(2));
   assert.equal([budgetRecord!.spent, budgetRecord!.open], [12, null]);
   assert.is(f.proc('gateway-edge1').node!.counts()['slow_cut'], 1);
 });
 test('an edge killed in the middle of streams costs its own and no others', async () => {
-  const f = await fleet.open({ seed: 6, shape: 'granite', perToken: us.ms(40) });
+  const f = await fleet.open({ seed: 6, shape: 'granite', perToken: duration.ms(40) });
   const ended = new Map<string, 'clean' | 'cut'>();
   for (const [i, name] of ['gateway-edge1', 'gateway-edge2', 'gateway-edge3', 'gateway-edge4'].entries()) {
     const read = async (): Promise<void> => {
       let text = '';
       try {
         const r = await f.callerRuntime.net.call({
-          at: f.proc(name).options['http'] as Place,
+          at: f.proc(name).options['http'] as Address,
           method: 'POST',
           path: '/v1/chat/completions',
           headers: {
@@ -128,7 +128,7 @@
             'x-thornsail-class': 'diagnose',
           },
           body,
-          timeLeft: us.s(4),
+          timeLeft: duration.s(4),
         });
         for await (const p of r.body) text += p;
         ended.set(name, text.includes('[DONE]') ? 'clean' : 'cut');
@@ -138,9 +138,9 @@
     };
     void read();
   }
-  await f.w.run(f.w.now() + us.ms(300));
+  await f.w.run(f.w.now() + duration.ms(300));
   f.kill('gateway-edge2', 'power');
-  await f.until('the streams to end', () => ended.size === 4, us.s(30));
+  await f.until('the streams to end', () => ended.size === 4, duration.s(30));
   assert.equal(Object.fromEntries([...ended].sort()), {
     'gateway-edge1': 'clean',
     'gateway-edge2': 'cut',
@@ -149,12 +149,12 @@
   });
   // The program of the lost turn is served by another edge; its turn stays charged.
   let again: number | undefined;
-  const end = f.w.now() + us.s(10);
+  const end = f.w.now() + duration.s(10);
   while (again !== 200 && f.w.now() < end) {
     let r: { status: number } | undefined;
     void f
       .http(
-        f.proc('gateway-edge5').options['http'] as Place,
+        f.proc('gateway-edge5').options['http'] as Address,
         'POST',
         '/v1/chat/completions',
         { messages: [{ role: 'user', content: 'more [last]' }], max_tokens: 8, stream: false },
@@ -168,7 +168,7 @@
           r = { status: 0 };
         },
       );
-    await f.until('a result', () => r !== undefined, us.s(10));
+    await f.until('a result', () => r !== undefined, duration.s(10));
     again = r!.status;
   }
   assert.is(again, 200);
--- a/packages/simulation/test/sweep.test.ts
+++ b/tools/simulation/test/sweep.test.ts
@@ -1,7 +1,7 @@
 // A sweep after a change of group while a member is lost (§6.5): it takes as long as the others need, and no longer.
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { invariant, us } from '@thornsail/runtime';
+import { invariant, duration } from '@thornsail/runtime';
 import { registers, store, sweep, type Group, type SweepResult } from '@thornsail/register-store';
 import { durableStore } from '@thornsail/durable-files';
 import { rpc } from '@thornsail/rpc';
@@ -16,7 +16,7 @@
 
 test('a member without power is not waited for in each range', async () => {
   invariant.clear();
-  const w = world.open({ seed: 1, zoneDelay: us.ms(1), clientDelay: us.ms(1), clientIp: '127.0.9.9' });
+  const w = world.open({ seed: 1, zoneDelay: duration.ms(1), clientDelay: duration.ms(1), clientIp: '127.0.9.9' });
   const hosts = [1, 2, 3, 4].map((i) => w.host(`127.0.2.${i}`, `z${i % 3}`));
   for (const [i, host] of hosts.entries()) {
     const runtime = w.runtime(host);
@@ -31,12 +31,12 @@
   const p = await rpc.open(runtime, '127.0.1.1:7101');
   const regs = registers.open({ runtime, rpc: p, by: 'e', group: () => group });
   let written = 0;
-  await w.run(us.s(1));
+  await w.run(duration.s(1));
   for (let i = 0; i < count; i++)
     void regs
-      .change(`key/${i}`, () => ({ held: { value: i, until: 9e15 }, result: true }), us.s(3))
+      .change(`key/${i}`, () => ({ held: { value: i, until: 9e15 }, result: true }), duration.s(3))
       .then(() => (written += 1));
-  await w.run(w.now() + us.s(5));
+  await w.run(w.now() + duration.s(5));
   assert.is(written, count);
 
   w.kill(hosts[2]!, 'power');
@@ -50,10 +50,10 @@
       done = r;
       took = w.now() - begun;
     });
-  await w.run(begun + us.s(20));
+  await w.run(begun + duration.s(20));
   assert.ok(done?.complete, 'the sweep is not complete');
   assert.is(done!.seen, count);
-  assert.ok(took < us.ms(500), `the sweep took ${us.toMs(took)} ms`);
+  assert.ok(took < duration.ms(500), `the sweep took ${duration.toMs(took)} ms`);
   assert.equal(invariant.breaches(), []);
 });
 test.run();
--- a/packages/simulation/test/views.test.ts
+++ b/tools/simulation/test/views.test.ts
@@ -1,6 +1,6 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { fault, invariant, us } from '@thornsail/runtime';
+import { fault, invariant, duration } from '@thornsail/runtime';
 import { durableStore } from '@thornsail/durable-files';
 import { rpc } from '@thornsail/rpc';
 import { views, type Marked, type Views } from '@thornsail/consensus';
@@ -21,7 +21,7 @@
   now: number;
 }> => {
   invariant.clear();
-  const w = world.open({ seed, zoneDelay: us.ms(1.5), clientDelay: us.ms(1), clientIp: '127.0.9.9' });
+  const w = world.open({ seed, zoneDelay: duration.ms(1.5), clientDelay: duration.ms(1), clientIp: '127.0.9.9' });
   const at = [1, 2, 3].map((i) => `127.0.3.${i}:7101`);
   const marks = new Map<number, string>();
   const problems: string[] = [];
@@ -54,12 +54,12 @@
     if (t.host.inc === inc) t.v = v;
   };
   for (const t of towers) void boot(t);
-  await w.run(us.s(3));
+  await w.run(duration.s(3));
   const r = w.rand;
   const acked: string[] = [];
   const refused = new Set<string>();
   for (let i = 0; i < 80; i++)
-    w.at(us.s(3) + r.int(us.s(12)), () => {
+    w.at(duration.s(3) + r.int(duration.s(12)), () => {
       const t = towers[r.int(3)]!;
       if (!t.host.alive || !t.v) return;
       const id = `x${i}`;
@@ -73,33 +73,33 @@
         );
     });
   if (faults === 'any' && seed % 2 === 0) {
-    w.at(us.s(3), () => w.rough(0.05, us.ms(10)));
-    w.at(us.s(16), () => w.rough(0, 0));
+    w.at(duration.s(3), () => w.rough(0.05, duration.ms(10)));
+    w.at(duration.s(16), () => w.rough(0, 0));
   }
   if (faults === 'any')
     for (let i = 0; i < 6; i++)
-      w.at(us.s(3) + r.int(us.s(11)), () => {
+      w.at(duration.s(3) + r.int(duration.s(11)), () => {
         const t = towers[r.int(3)]!;
         const k = r.int(3);
         if (k === 0 && t.host.alive) {
           w.kill(t.host, 'power');
           t.v = null;
-          w.at(w.now() + r.int(us.s(2)), () => {
+          w.at(w.now() + r.int(duration.s(2)), () => {
             w.start(t.host);
             void boot(t);
           });
         } else if (k === 1 && t.host.alive && !t.host.frozen) {
           w.freeze(t.host);
-          w.at(w.now() + r.int(us.s(3)), () => w.wake(t.host));
+          w.at(w.now() + r.int(duration.s(3)), () => w.wake(t.host));
         } else {
           const heal = w.cut(
             [t.host],
             towers.filter((x) => x !== t).map((x) => x.host),
           );
-          w.at(w.now() + r.int(us.s(3)), heal);
+          w.at(w.now() + r.int(duration.s(3)), heal);
         }
       });
-  await w.run(us.s(24));
+  await w.run(duration.s(24));
   return { acked, refused, towers, marks, problems: [...problems, ...invariant.breaches()], now: w.now() };
 };
 const final = (towers: Coordinator[]): string[] =>
@@ -134,7 +134,7 @@
 test('a head lost while it adds a newcomer does not leave the coordinators without one for ever', async () => {
   for (let seed = 1; seed <= 6; seed++) {
     invariant.clear();
-    const w = world.open({ seed, zoneDelay: us.ms(1.5), clientDelay: us.ms(1), clientIp: '127.0.9.9' });
+    const w = world.open({ seed, zoneDelay: duration.ms(1.5), clientDelay: duration.ms(1), clientIp: '127.0.9.9' });
     const at = [1, 2, 3, 4].map((i) => `127.0.3.${i}:7101`);
     const hosts = at.map((_, i) => w.host(`127.0.3.${i + 1}`, 'z1'));
     const all: Views<List>[] = [];
@@ -144,27 +144,27 @@
       all[i] = await views.open<List>({ ...own, founders, initial: { list: [] }, onDone: () => undefined });
     };
     for (const i of [0, 1, 2]) void boot(i, at.slice(0, 3));
-    await w.run(us.s(3));
+    await w.run(duration.s(3));
     const head = (): number => all.findIndex((v, i) => hosts[i]!.alive && v.standing() === 'lead');
     // One loses its disk; an empty one comes at a new address.
     const lost = (head() + 1) % 3;
     w.kill(hosts[lost]!, 'disk');
     void boot(3, []);
-    await w.run(us.s(4));
+    await w.run(duration.s(4));
     const h = head();
     const other = [0, 1, 2].find((i) => i !== h && i !== lost)!;
     // The order that adds it reaches nobody but the head itself.
     const heal = w.cut([hosts[h]!], [hosts[other]!, hosts[3]!]);
     const add = { id: all[3]!.id, at: at[3]! };
     all[h]!.propose((s, members) => ({ state: s, members: [...members, add], result: 0 })).catch(() => undefined);
-    await w.run(us.s(7));
+    await w.run(duration.s(7));
     heal();
-    await w.run(us.s(14));
+    await w.run(duration.s(14));
     let seq = 0;
     const now = head();
     assert.ok(now >= 0, `seed ${seed}: no head after ten seconds`);
     void all[now]!.propose((s) => ({ state: { list: [...s.list, 'x'] }, result: 0 })).then((r) => (seq = r.seq));
-    await w.run(us.s(16));
+    await w.run(duration.s(16));
     assert.ok(seq > 0, `seed ${seed}: nothing can be ordered`);
     assert.equal(invariant.breaches(), []);
   }
@@ -173,7 +173,7 @@
 /** Three coordinators that have formed a view. */
 const trio = async (seed: number): Promise<Trio> => {
   invariant.clear();
-  const w = world.open({ seed, zoneDelay: us.ms(1.5), clientDelay: us.ms(1), clientIp: '127.0.9.9' });
+  const w = world.open({ seed, zoneDelay: duration.ms(1.5), clientDelay: duration.ms(1), clientIp: '127.0.9.9' });
   const at = [1, 2, 3].map((i) => `127.0.3.${i}:7101`);
   const hosts = at.map((_, i) => w.host(`127.0.3.${i + 1}`, `z${i + 1}`));
   const all: Views<List>[] = [];
@@ -183,14 +183,14 @@
     all[i] = await views.open<List>({ ...own, founders: at, initial: { list: [] }, onDone: () => undefined });
   };
   for (const i of [0, 1, 2]) void boot(i);
-  await w.run(us.s(3));
+  await w.run(duration.s(3));
   return { w, hosts, all, boot, head: () => all.findIndex((v, i) => hosts[i]!.alive && v.standing() === 'lead') };
 };
 /** What the leader reads, confirmed by a majority. */
 const agreedOf = async (x: Trio): Promise<Marked<List>> => {
   let read: Marked<List> | undefined;
   void x.all[x.head()]!.agreed().then((version) => (read = version));
-  await x.w.run(x.w.now() + us.ms(400));
+  await x.w.run(x.w.now() + duration.ms(400));
   assert.ok(read, 'no agreed state');
   return read;
 };
@@ -201,18 +201,18 @@
     const before = x.all[0]!.done()!.view;
     const power = seed % 2 === 0;
     for (const h of x.hosts) w.kill(h, power ? 'power' : 'process');
-    await w.run(us.s(4));
+    await w.run(duration.s(4));
     // Processes of a fleet do not start in the same moment.
-    const starts = x.hosts.map(() => us.s(4) + w.rand.int(us.ms(50)));
+    const starts = x.hosts.map(() => duration.s(4) + w.rand.int(duration.ms(50)));
     for (const [i, h] of x.hosts.entries())
       w.at(starts[i]!, () => {
         w.start(h);
         void x.boot(i);
       });
-    await w.run(Math.max(...starts) + us.ms(350));
+    await w.run(Math.max(...starts) + duration.ms(350));
     assert.is(x.all.filter((v) => v.standing() === 'lead').length, 1, `seed ${seed}: one head within 0.35 s`);
     assert.is(x.all[x.head()]!.done()?.view, before + 1, `seed ${seed}: the first attempt succeeded`);
-    await w.run(us.s(8));
+    await w.run(duration.s(8));
     assert.is(x.all[x.head()]!.done()!.view, before + 1, `seed ${seed}: it stayed`);
     assert.equal(invariant.breaches(), []);
   }
@@ -223,12 +223,12 @@
     const { w } = x;
     for (const h of x.hosts) w.kill(h, 'power');
     const back = [0, 1, 2].filter((i) => i !== seed % 3);
-    await w.run(us.s(4));
+    await w.run(duration.s(4));
     for (const i of back) {
       w.start(x.hosts[i]!);
       void x.boot(i);
     }
-    await w.run(us.s(5));
+    await w.run(duration.s(5));
     assert.ok(x.head() >= 0, `seed ${seed}: no head after a second`);
     assert.equal(invariant.breaches(), []);
   }
@@ -243,12 +243,12 @@
     // One after the other, and both in one moment.
     for (const some of [[others[0]!], [others[1]!], others]) {
       for (const i of some) w.kill(x.hosts[i]!, 'process');
-      await w.run(w.now() + us.ms(300));
+      await w.run(w.now() + duration.ms(300));
       for (const i of some) {
         w.start(x.hosts[i]!);
         void x.boot(i);
       }
-      await w.run(w.now() + us.s(2));
+      await w.run(w.now() + duration.s(2));
       assert.is(x.head(), head, `seed ${seed}`);
       assert.is(x.all[head]!.done()!.view, before, `seed ${seed}: its view goes on`);
     }
@@ -269,14 +269,14 @@
         (e) => outcomes.push(`${text} ${fault.info(e).code}`),
       );
     propose(stalled, 'stalled');
-    await w.run(w.now() + us.s(2));
+    await w.run(w.now() + duration.s(2));
     assert.equal(outcomes, ['stalled unknown'], `seed ${seed}: it has its answer`);
     const next = x.all.findIndex((v, i) => i !== stalled && v.standing() === 'lead');
     assert.ok(next >= 0, `seed ${seed}: no other leader within two seconds`);
     propose(next, 'next');
-    await w.run(w.now() + us.s(3));
+    await w.run(w.now() + duration.s(3));
     x.hosts[stalled]!.disk.slow = 1;
-    await w.run(w.now() + us.s(30));
+    await w.run(w.now() + duration.s(30));
     assert.equal(outcomes, ['stalled unknown', 'next confirmed'], `seed ${seed}`);
     assert.equal(
       x.all.map((v) => v.done()?.state.list.includes('next')),
@@ -297,15 +297,15 @@
         () => confirmed.push(text),
         () => undefined,
       );
-      await w.run(w.now() + us.ms(20) + w.rand.int(us.ms(200)));
+      await w.run(w.now() + duration.ms(20) + w.rand.int(duration.ms(200)));
       for (const h of x.hosts) w.kill(h, w.rand.int(2) ? 'power' : 'process');
-      await w.run(w.now() + us.ms(100));
+      await w.run(w.now() + duration.ms(100));
       for (const [i, h] of x.hosts.entries())
-        w.at(w.now() + w.rand.int(us.ms(300)), () => {
+        w.at(w.now() + w.rand.int(duration.ms(300)), () => {
           w.start(h);
           void x.boot(i);
         });
-      await w.run(w.now() + us.s(2));
+      await w.run(w.now() + duration.s(2));
       assert.ok(x.head() >= 0, `seed ${seed}: no leader two seconds after start ${life}`);
       const { state } = await agreedOf(x);
       for (const one of confirmed) assert.ok(state.list.includes(one), `seed ${seed}: ${one} is lost after ${life}`);
--- a/packages/test-harness/src/callers.ts
+++ b/tools/test-harness/src/callers.ts
@@ -2,19 +2,19 @@
 import {
   fault,
   time,
-  us,
-  wholeText,
-  type HttpResult,
+  duration,
+  readText,
+  type HttpClientResponse,
   type Runtime,
-  type Place,
-  type Rand,
-  type Us,
+  type Address,
+  type Random,
+  type Microseconds,
 } from '@thornsail/runtime';
 import type { RequestLog } from './standins.js';
 import { standText } from './standins.js';
 
 /** What the callers know of one key, over all copies of its request. */
-export type KeyStory = { ran: ('no' | 'unknown' | 'yes')[]; ok: boolean; sent: Us[]; no: Us[] };
+export type KeyStory = { ran: ('no' | 'unknown' | 'yes')[]; ok: boolean; sent: Microseconds[]; no: Microseconds[] };
 export type Summary = {
   chats: number;
   kept: number;
@@ -28,15 +28,15 @@
   gaveUp: number;
   failed: number;
   recalled: number;
-  slowest: Us;
+  slowest: Microseconds;
   /** The slowest refusal of each kind. */
-  refusals: Record<string, Us>;
-  urgentWaits: Us[];
-  chatWaits: Us[];
+  refusals: Record<string, Microseconds>;
+  urgentWaits: Microseconds[];
+  chatWaits: Microseconds[];
   breaches: string[];
   /** Turns whose caller heard nothing for too long, with no fault at its own gateway to excuse it. */
-  silences: { program: string; begun: Us; waited: Us; what: string }[];
-  lastOk: Us;
+  silences: { program: string; begun: Microseconds; waited: Microseconds; what: string }[];
+  lastOk: Microseconds;
 };
 export type Callers = {
   summary: Summary;
@@ -46,9 +46,10 @@
 };
 type Message = { role: string; content: string };
 type Turn =
-  { ok: true; content: string; waited: Us } | { ok: false; why: string; retry: Us | null; ran: string; waited: Us };
+  | { ok: true; content: string; waited: Microseconds }
+  | { ok: false; why: string; retry: Microseconds | null; ran: string; waited: Microseconds };
 type Ask = {
-  at: Place;
+  at: Address;
   program: string;
   cls: string;
   messages: Message[];
@@ -57,19 +58,19 @@
 };
 type Options = {
   runtime: Runtime;
-  rand: Rand;
-  gateways: () => Place[];
+  rand: Random;
+  gateways: () => Address[];
   classes: { chat: string; kept: string; urgent: string; ping: string };
   chatTimeLeft: number;
   pushTimeLeft: number;
-  gap: Us;
+  gap: Microseconds;
   /** True if a fault had hold of this gateway since then: what its own callers bore is no breach. */
-  excused: (at: Place, since: Us) => boolean;
+  excused: (at: Address, since: Microseconds) => boolean;
   /** Workers that stall on purpose. */
   stalls: boolean;
 };
 /** A caller gives up after so long without an event. */
-const patience = us.s(2);
+const patience = duration.s(2);
 const fresh = (): Summary => ({
   chats: 0,
   kept: 0,
@@ -114,7 +115,7 @@
 
 /** Reads a stream as a client does, and checks what it sees. */
 const readStream = async (
-  r: HttpResult,
+  r: HttpClientResponse,
   onFirst: () => void,
   bad: (text: string) => void,
 ): Promise<{ done: boolean; content: string }> => {
@@ -157,24 +158,28 @@
       keys.set(key, story);
       return story;
     };
-    const gateway = (): Place => {
+    const gateway = (): Address => {
       const f = o.gateways();
       return f[rand.int(f.length)]!;
     };
-    const gotFirst = (at: Place, begun: Us, what: string, program: string): Us => {
+    const gotFirst = (at: Address, begun: Microseconds, what: string, program: string): Microseconds => {
       const waited = clock.now() - begun;
       s.slowest = Math.max(s.slowest, waited);
       if (waited > patience && !o.excused(at, begun)) s.silences.push({ program, begun, waited, what });
       return waited;
     };
     /** A refusal: counted, timed, and checked for what every refusal has to say. */
-    const refused = (r: HttpResult, b: { error: string; ran?: string }, waited: Us): Us | null => {
+    const refused = (
+      r: HttpClientResponse,
+      b: { error: string; ran?: string },
+      waited: Microseconds,
+    ): Microseconds | null => {
       s.rejected[b.error] = (s.rejected[b.error] ?? 0) + 1;
       s.refusals[b.error] = Math.max(s.refusals[b.error] ?? 0, waited);
       const ra = r.headers['retry-after'];
       if ((r.status === 429 || r.status === 503) && (ra === undefined || b.ran === undefined))
         s.breaches.push(`${r.status} ${b.error} without Retry-After or ran`);
-      return ra === undefined ? null : us.s(Number(ra));
+      return ra === undefined ? null : duration.s(Number(ra));
     };
     const tellStory = (key: string | null, ran: 'no' | 'unknown' | 'yes'): void => {
       if (key === null) return;
@@ -188,12 +193,12 @@
       if (key !== null) storyOf(key).ran.push(sent ? 'unknown' : 'no');
     };
 
-    const send = (a: Ask): Promise<HttpResult> =>
+    const send = (a: Ask): Promise<HttpClientResponse> =>
       runtime.net.call({
         at: a.at,
         method: 'POST',
         path: '/v1/chat/completions',
-        timeLeft: us.ms(o.chatTimeLeft),
+        timeLeft: duration.ms(o.chatTimeLeft),
         silence: patience,
         headers: {
           'content-type': 'application/json',
@@ -205,7 +210,7 @@
         },
         body: JSON.stringify({ messages: a.messages, stream: true, max_tokens: 48 }),
       });
-    const broken = (a: Ask, begun: Us, first: boolean, e: unknown): Turn => {
+    const broken = (a: Ask, begun: Microseconds, first: boolean, e: unknown): Turn => {
       const info = fault.info(e);
       const waited = clock.now() - begun;
       const silent = fault.text(e).endsWith('silence');
@@ -232,7 +237,7 @@
       try {
         const r = await send(a);
         if (r.status !== 200) {
-          const b = JSON.parse(await wholeText(r.body)) as { error: string; ran?: 'no' | 'unknown' };
+          const b = JSON.parse(await readText(r.body)) as { error: string; ran?: 'no' | 'unknown' };
           const waited = gotFirst(a.at, begun, `rejection ${r.status} ${b.error}`, a.program);
           tellStory(a.key, b.ran ?? 'unknown');
           return { ok: false, why: b.error, retry: refused(r, b, waited), ran: b.ran ?? '?', waited };
@@ -263,14 +268,14 @@
       for (let round = 0; round < 20; round++) {
         try {
           const path = `/v1/conversations/${conversation}`;
-          const r = await runtime.net.call({ at: gateway(), method: 'GET', path, timeLeft: us.s(2) });
-          const text = await wholeText(r.body);
+          const r = await runtime.net.call({ at: gateway(), method: 'GET', path, timeLeft: duration.s(2) });
+          const text = await readText(r.body);
           if (r.status === 200) return (JSON.parse(text) as { messages: Message[] }).messages;
           if (r.status === 404) return 'missing';
         } catch {
           /* Another node is asked. */
         }
-        await time.sleep(clock, us.ms(500));
+        await time.sleep(clock, duration.ms(500));
       }
       return undefined;
     };
@@ -295,7 +300,7 @@
           // Another key only once it is known that the message is not kept (§5.5).
           if (there) tries += 1;
         }
-        await time.sleep(clock, (r.retry ?? us.ms(300)) + rand.int(us.ms(200)));
+        await time.sleep(clock, (r.retry ?? duration.ms(300)) + rand.int(duration.ms(200)));
       }
       return r!;
     };
@@ -338,7 +343,13 @@
       }
     };
 
-    const sendJob = (at: Place, urgent: boolean, once: boolean, key: string, left: Us): Promise<HttpResult> =>
+    const sendJob = (
+      at: Address,
+      urgent: boolean,
+      once: boolean,
+      key: string,
+      left: Microseconds,
+    ): Promise<HttpClientResponse> =>
       runtime.net.call({
         at,
         method: 'POST',
@@ -347,17 +358,23 @@
         headers: {
           'content-type': 'application/json',
           'x-thornsail-class': urgent ? o.classes.urgent : o.classes.ping,
-          'x-thornsail-time-left-ms': String(Math.max(1, us.toMs(left))),
+          'x-thornsail-time-left-ms': String(Math.max(1, duration.toMs(left))),
           ...(once ? { 'x-thornsail-once': 'true', 'idempotency-key': key } : {}),
         },
         body: JSON.stringify({ key }),
       });
-    const tryJob = async (at: Place, urgent: boolean, once: boolean, key: string, left: Us): Promise<Us | 'done'> => {
+    const tryJob = async (
+      at: Address,
+      urgent: boolean,
+      once: boolean,
+      key: string,
+      left: Microseconds,
+    ): Promise<Microseconds | 'done'> => {
       const sent = clock.now();
       if (once) storyOf(key).sent.push(sent);
       try {
         const r = await sendJob(at, urgent, once, key, left);
-        const text = await wholeText(r.body);
+        const text = await readText(r.body);
         const waited = gotFirst(at, sent, `job ${r.status}`, key);
         if (r.status === 200) {
           if (once) tellStory(key, 'yes');
@@ -370,19 +387,19 @@
         const b = JSON.parse(text) as { error: string; ran?: 'no' | 'unknown' };
         const retry = refused(r, b, waited);
         if (once) tellStory(key, b.ran ?? 'unknown');
-        return b.error === 'outcome_unknown' && once ? 'done' : (retry ?? us.ms(200));
+        return b.error === 'outcome_unknown' && once ? 'done' : (retry ?? duration.ms(200));
       } catch (e) {
         if (once) tellUnanswered(key, !fault.notSent(e));
         s.failed += 1;
-        return us.ms(50);
+        return duration.ms(50);
       }
     };
     const job: Callers['job'] = async ({ urgent, once, key }) => {
       s.jobs += 1;
       const begun = clock.now();
       for (let round = 0; round < 6; round++) {
-        const left = us.ms(o.pushTimeLeft) - (clock.now() - begun);
-        if (left <= us.ms(50)) break;
+        const left = duration.ms(o.pushTimeLeft) - (clock.now() - begun);
+        if (left <= duration.ms(50)) break;
         const was = s.results;
         const wait = await tryJob(gateway(), urgent, once, key, left);
         if (wait === 'done') {
@@ -404,17 +421,17 @@
 export const silent = (
   l: RequestLog,
   s: Summary['silences'],
-  firstToken: Us,
+  firstToken: Microseconds,
 ): { breaches: string[]; atWorkers: number } => {
   // In time for a first token from a worker that is not busy, before the caller gives up (§4.3).
-  const releaseBy = patience - firstToken - us.ms(50);
+  const releaseBy = patience - firstToken - duration.ms(50);
   const ofWorker = s.filter((x) =>
     l.entries.some((e) => e.program === x.program && e.at >= x.begun && e.at - x.begun <= releaseBy),
   );
   const rest = s.filter((x) => !ofWorker.includes(x));
   return {
     atWorkers: ofWorker.length,
-    breaches: rest.map((x) => `${x.program}: ${x.what}, ${us.toMs(x.waited)} ms of silence`),
+    breaches: rest.map((x) => `${x.program}: ${x.what}, ${duration.toMs(x.waited)} ms of silence`),
   };
 };
 
@@ -423,7 +440,7 @@
   requestLog: RequestLog;
   keys: Map<string, KeyStory>;
   budgets: (program: string) => number;
-  leftAt: Map<string, Us>;
+  leftAt: Map<string, Microseconds>;
 }): string[] => {
   const out: string[] = [];
   const byProgram = new Map<string, { sum: number; largest: number }>();
@@ -438,8 +455,8 @@
     }
     if (e.key !== null && e.ran) byKey.set(e.key, (byKey.get(e.key) ?? 0) + 1);
     const left = o.leftAt.get(e.worker);
-    if (left !== undefined && e.at - left > us.s(3))
-      out.push(`leaving worker ${e.worker} was sent a request ${us.toMs(e.at - left)} ms after`);
+    if (left !== undefined && e.at - left > duration.s(3))
+      out.push(`leaving worker ${e.worker} was sent a request ${duration.toMs(e.at - left)} ms after`);
   }
   for (const [id, p] of byProgram)
     if (p.sum > o.budgets(id) + p.largest)
@@ -449,7 +466,7 @@
     const st = e.key === null ? undefined : o.keys.get(e.key);
     const t = st?.no.find((x) => x < e.at && !st.sent.some((y) => y >= x && y <= e.at));
     if (t !== undefined)
-      out.push(`once-request ${e.key} ran ${us.toMs(e.at - t)} ms after "not run", with no copy sent since`);
+      out.push(`once-request ${e.key} ran ${duration.toMs(e.at - t)} ms after "not run", with no copy sent since`);
   }
   for (const [k, st] of o.keys)
     if (!st.ok && st.ran.length && st.ran.every((r) => r === 'no') && byKey.has(k))
--- a/packages/test-harness/src/check.ts
+++ b/tools/test-harness/src/check.ts
@@ -9,6 +9,7 @@
 import path from 'node:path';
 import { fileURLToPath } from 'node:url';
 import { knownRed, type Judgement } from './known-red.js';
+import { workspacesOf } from './workspaces.js';
 
 type Outcome = { file: string; passed: number; failed: number; output: string; seconds: number; judged: Judgement };
 
@@ -28,8 +29,7 @@
 };
 /** All test files, or those whose path holds one of the words that were given. */
 const selectFiles = (words: string[]): string[] => {
-  const packages = readdirSync(path.join(rootDir, 'packages')).map((name) => path.join('packages', name));
-  return [...packages, 'platform']
+  return workspacesOf(rootDir)
     .flatMap(testFilesOf)
     .filter((file) => words.length === 0 || words.some((word) => file.includes(word)))
     .sort();
--- a/packages/test-harness/src/fleet-cli.ts
+++ b/tools/test-harness/src/fleet-cli.ts
@@ -1,7 +1,7 @@
 // The stand-in workers are small (--capacity, in tokens), so that programs are paused and turns are held.
 // npm run fleet -- --shape lautoka|granite [--seed N] [--capacity N] [--chats N] [--kept N]
 //   [--jobs N] [--seconds N] [--faults kill,freeze,disk,config,leave]
-import { time, us } from '@thornsail/runtime';
+import { time, duration } from '@thornsail/runtime';
 import { realFleet } from './fleet.js';
 import type { ShapeName } from './shapes.js';
 
@@ -49,7 +49,7 @@
     jobs: Number(given['jobs']),
     overMs: span,
   });
-  const wait = (ms: number): Promise<void> => time.sleep(f.runtime.clock, us.ms(ms));
+  const wait = (ms: number): Promise<void> => time.sleep(f.runtime.clock, duration.ms(ms));
   for (const x of faults) {
     await wait(span / (faults.length + 1) / 2);
     out(`fault: ${x}`);
--- a/packages/test-harness/src/fleet.ts
+++ b/tools/test-harness/src/fleet.ts
@@ -5,7 +5,7 @@
 import { createRequire } from 'node:module';
 import os from 'node:os';
 import path from 'node:path';
-import { fault, real, seeded, time, us, wholeText, type Runtime, type Place } from '@thornsail/runtime';
+import { fault, real, seeded, time, duration, readText, type Runtime, type Address } from '@thornsail/runtime';
 import { audit, callers, type Callers } from './callers.js';
 import { classNames, layout, ports, shapes, type Layout, type Shape, type ShapeName } from './shapes.js';
 import { requestLog, standIns, type RequestLog, type Platform, type StandIn } from './standins.js';
@@ -14,7 +14,7 @@
 export type RealProc = {
   name: string;
   role: Role;
-  http: Place;
+  http: Address;
   options: Record<string, unknown>;
   data: string;
   child: ChildProcess | null;
@@ -36,9 +36,9 @@
   start: (p: RealProc) => void;
   signal: (name: string, sig: NodeJS.Signals) => Promise<void>;
   loseDisk: (name: string) => void;
-  get: (at: Place, path: string) => Promise<{ status: number; body: Record<string, unknown> }>;
+  get: (at: Address, path: string) => Promise<{ status: number; body: Record<string, unknown> }>;
   put: (
-    at: Place,
+    at: Address,
     path: string,
     method: string,
     body: unknown,
@@ -96,7 +96,7 @@
           await standIns.app(runtime, {
             id: x.id,
             at: x.at,
-            takes: us.ms(15),
+            takes: duration.ms(15),
             places: slots.app,
             requestLog: recorded,
             rand,
@@ -157,7 +157,7 @@
       status: number;
       body: AsyncIterable<string>;
     }): Promise<{ status: number; body: Record<string, unknown> }> => {
-      const text = await wholeText(r.body);
+      const text = await readText(r.body);
       return {
         status: r.status,
         body: text.startsWith('{') ? (JSON.parse(text) as Record<string, unknown>) : { text },
@@ -179,7 +179,7 @@
         classes: classNames[o.shape],
         chatTimeLeft: shape.chatTimeLeft,
         pushTimeLeft: shape.pushTimeLeft,
-        gap: us.ms(200),
+        gap: duration.ms(200),
         // A busy machine may be slow: real processes are held to order and safety, not to speed.
         excused: () => true,
         stalls: true,
@@ -197,7 +197,7 @@
         if (sig === 'SIGKILL') await p.exit;
       },
       loseDisk: (name) => rmSync(f.proc(name).data, { recursive: true, force: true }),
-      get: async (at, p) => body(await runtime.net.call({ at, method: 'GET', path: p, timeLeft: us.s(6) })),
+      get: async (at, p) => body(await runtime.net.call({ at, method: 'GET', path: p, timeLeft: duration.s(6) })),
       put: async (at, p, method, b, headers) =>
         body(
           await runtime.net.call({
@@ -206,7 +206,7 @@
             path: p,
             body: JSON.stringify(b),
             headers: { 'content-type': 'application/json', ...headers },
-            timeLeft: us.s(8),
+            timeLeft: duration.s(8),
           }),
         ),
       waitFor: async (what, ok, limitMs) => {
@@ -217,11 +217,11 @@
           } catch {
             /* Not yet. */
           }
-          if (runtime.clock.now() - begun > us.ms(limitMs)) {
+          if (runtime.clock.now() - begun > duration.ms(limitMs)) {
             problems.push(`${what}: not within ${limitMs} ms`);
             return;
           }
-          await time.sleep(runtime.clock, us.ms(50));
+          await time.sleep(runtime.clock, duration.ms(50));
         }
       },
       nodeCounts: async () => {
@@ -241,7 +241,7 @@
         const tag = rand.id().slice(0, 6);
         const work: Promise<void>[] = [];
         const later = async (fn: () => Promise<void>): Promise<void> => {
-          await time.sleep(runtime.clock, us.ms(rand.int(overMs)));
+          await time.sleep(runtime.clock, duration.ms(rand.int(overMs)));
           await fn();
         };
         for (let i = 0; i < chats; i++)
--- a/packages/test-harness/src/index.ts
+++ b/tools/test-harness/src/index.ts
@@ -14,3 +14,4 @@
 export { realFleet, type RealFleet, type RealProc } from './fleet.js';
 export { callers, audit, keptProblems, silent, type Callers, type Summary } from './callers.js';
 export { wire, noise, type Wire, type WireHandler, type WireLimits, type WireSay } from './wire.js';
+export { fileOfWorkspace, workspaceFolders, workspacesOf } from './workspaces.js';
--- a/packages/test-harness/src/shapes.ts
+++ b/tools/test-harness/src/shapes.ts
@@ -1,17 +1,17 @@
 // The two deployments' shapes, small enough for one machine: thirteen machines in three zones, their workers and loads.
-import { us, type Place, type Us } from '@thornsail/runtime';
+import { duration, type Address, type Microseconds } from '@thornsail/runtime';
 
 export type ShapeName = 'lautoka' | 'granite';
 export type Shape = {
   name: ShapeName;
-  zoneDelay: Us;
-  clientDelay: Us;
+  zoneDelay: Microseconds;
+  clientDelay: Microseconds;
   models: number;
   apps: number;
   appKind: string;
   capacity: number;
-  firstToken: Us;
-  perToken: Us;
+  firstToken: Microseconds;
+  perToken: Microseconds;
   chatTimeLeft: number;
   pushTimeLeft: number;
   config: Record<string, unknown>;
@@ -19,14 +19,14 @@
 export const shapes: Record<ShapeName, Shape> = {
   lautoka: {
     name: 'lautoka',
-    zoneDelay: us.ms(1.5),
-    clientDelay: us.ms(1),
+    zoneDelay: duration.ms(1.5),
+    clientDelay: duration.ms(1),
     models: 13,
     apps: 3,
     appKind: 'table',
     capacity: 6_000,
-    firstToken: us.ms(60),
-    perToken: us.ms(6),
+    firstToken: duration.ms(60),
+    perToken: duration.ms(6),
     chatTimeLeft: 3000,
     pushTimeLeft: 2000,
     config: {
@@ -49,14 +49,14 @@
   },
   granite: {
     name: 'granite',
-    zoneDelay: us.ms(0.5),
-    clientDelay: us.ms(1),
+    zoneDelay: duration.ms(0.5),
+    clientDelay: duration.ms(1),
     models: 6,
     apps: 3,
     appKind: 'intake',
     capacity: 14_000,
-    firstToken: us.ms(80),
-    perToken: us.ms(8),
+    firstToken: duration.ms(80),
+    perToken: duration.ms(8),
     chatTimeLeft: 4000,
     pushTimeLeft: 1500,
     config: {
@@ -86,10 +86,10 @@
 export type Machine = { name: string; kind: 'edge' | 'store' | 'coordinator'; host: string; zone: string };
 export type Layout = {
   machines: Machine[];
-  platform: Place;
-  workers: { id: string; at: Place; kind: 'model' | 'app' }[];
-  seeds: Place[];
-  founders: Place[];
+  platform: Address;
+  workers: { id: string; at: Address; kind: 'model' | 'app' }[];
+  seeds: Address[];
+  founders: Address[];
   callers: string;
 };
 const sibling = 7101;
--- a/packages/test-harness/src/standins.ts
+++ b/tools/test-harness/src/standins.ts
@@ -3,20 +3,20 @@
 import {
   hash,
   time,
-  us,
+  duration,
   type Clock,
-  type HttpSay,
+  type HttpResponseWriter,
   type Runtime,
-  type Place,
-  type Rand,
-  type Us,
+  type Address,
+  type Random,
+  type Microseconds,
 } from '@thornsail/runtime';
 
 export type RequestLogEntry = {
   worker: string;
   program: string | null;
   key: string | null;
-  at: Us;
+  at: Microseconds;
   prompt: number;
   completion: number;
   /** It had a place at its worker; one that waited in line for its whole time did not. */
@@ -25,7 +25,7 @@
   reprefilled: number;
   body: string;
 };
-const blank = (worker: string, at: Us): RequestLogEntry => ({
+const blank = (worker: string, at: Microseconds): RequestLogEntry => ({
   worker,
   program: null,
   key: null,
@@ -56,7 +56,7 @@
 const noFaults = (): Faults => ({ loseResult: 0, dieMidStream: 0, slow: 1, report: 'ok' });
 export type StandIn = {
   id: string;
-  at: Place;
+  at: Address;
   faults: Faults;
   running: () => number;
   /** The longest line of turns there was at this worker, and the most turns that ran at once. */
@@ -68,7 +68,7 @@
 const places = (
   n: number,
 ): {
-  enter: (fits: () => boolean, say: HttpSay | null) => Promise<boolean>;
+  enter: (fits: () => boolean, say: HttpResponseWriter | null) => Promise<boolean>;
   leave: () => void;
   running: () => number;
   peak: () => { line: number; running: number };
@@ -142,7 +142,7 @@
   };
 };
 
-const json = (say: HttpSay, status: number, body: unknown): void => {
+const json = (say: HttpResponseWriter, status: number, body: unknown): void => {
   say.head(status, { 'content-type': 'application/json' });
   say.end(JSON.stringify(body));
 };
@@ -157,29 +157,29 @@
 const chunk = (choices: unknown[], usage?: unknown): string =>
   `data: ${JSON.stringify({ object: 'chat.completion.chunk', choices, ...(usage ? { usage } : {}) })}\n\n`;
 
-export type Listed = { id: string; at: Place; kind: 'model' | 'app' };
+export type Listed = { id: string; at: Address; kind: 'model' | 'app' };
 export type Mood = 'ok' | 'silent' | 'slow' | 'failing' | 'rubbish' | 'empty';
 export type Platform = {
-  at: Place;
+  at: Address;
   leave: (id: string) => void;
   /** Takes a worker off the list without marking it first. */
   drop: (id: string) => void;
   add: (w: Listed) => void;
   /** When each worker was first marked or dropped. */
-  leftAt: Map<string, Us>;
+  leftAt: Map<string, Microseconds>;
   mood: { now: Mood };
   close: () => Promise<void>;
 };
 type Model = {
   id: string;
-  at: Place;
+  at: Address;
   capacity: number;
   places: number;
-  firstToken: Us;
-  perToken: Us;
-  perPrefill: Us;
+  firstToken: Microseconds;
+  perToken: Microseconds;
+  perPrefill: Microseconds;
   requestLog: RequestLog;
-  rand: Rand;
+  rand: Random;
 };
 type Asked = { messages: { role: string; content?: string }[]; max_tokens: number };
 const parseAsked = (body: string): Asked | undefined => {
@@ -197,8 +197,9 @@
     const seats = places(o.places);
     const cache = kvCache(o.capacity);
     // Decoding slows with the batch: twice the time for each token when every place is taken.
-    const pace = (): Us => Math.round(o.perToken * faults.slow * (1 + Math.max(0, seats.running() - 1) / o.places));
-    const speak = async (words: string[], say: HttpSay): Promise<boolean> => {
+    const pace = (): Microseconds =>
+      Math.round(o.perToken * faults.slow * (1 + Math.max(0, seats.running() - 1) / o.places));
+    const speak = async (words: string[], say: HttpResponseWriter): Promise<boolean> => {
       const dieAt = o.rand.next() < faults.dieMidStream ? o.rand.int(words.length) : -1;
       for (const [i, w] of words.entries()) {
         if (i === dieAt) return false;
@@ -208,7 +209,7 @@
       }
       return true;
     };
-    const turn = async (b: Asked, program: string, e: RequestLogEntry, say: HttpSay): Promise<void> => {
+    const turn = async (b: Asked, program: string, e: RequestLogEntry, say: HttpResponseWriter): Promise<void> => {
       const words = standText(b.messages, b.max_tokens);
       const need = e.prompt + words.length;
       if (!(await seats.enter(() => cache.fits(need), say))) return;
@@ -237,7 +238,7 @@
         seats.leave();
       }
     };
-    const report = (say: HttpSay): void => {
+    const report = (say: HttpResponseWriter): void => {
       if (faults.report === 'ok') return json(say, 200, { CacheTotal: o.capacity, Running: seats.running() });
       if (faults.report === 'silent') return;
       say.head(200, { 'content-type': 'application/json' });
@@ -267,7 +268,7 @@
   },
   app: async (
     runtime: Runtime,
-    o: { id: string; at: Place; takes: Us; places: number; requestLog: RequestLog; rand: Rand },
+    o: { id: string; at: Address; takes: Microseconds; places: number; requestLog: RequestLog; rand: Random },
   ): Promise<StandIn> => {
     const faults = noFaults();
     const seats = places(o.places);
@@ -296,9 +297,9 @@
     );
     return { id: o.id, at: s.at, faults, running: seats.running, peak: seats.peak, close: s.close };
   },
-  platform: async (runtime: Runtime, o: { at: Place; workers: Listed[] }): Promise<Platform> => {
+  platform: async (runtime: Runtime, o: { at: Address; workers: Listed[] }): Promise<Platform> => {
     let list = o.workers.map((w) => ({ id: w.id, address: w.at, kind: w.kind as string, leaving: false }));
-    const leftAt = new Map<string, Us>();
+    const leftAt = new Map<string, Microseconds>();
     const mood = { now: 'ok' as Mood };
     const clock: Clock = runtime.clock;
     const s = await runtime.net.serve(
@@ -306,7 +307,7 @@
       async (ask, say) => {
         if (ask.path !== '/workers') return json(say, 404, { error: 'no such path' });
         if (mood.now === 'silent') return;
-        if (mood.now === 'slow') await time.sleep(clock, us.ms(600));
+        if (mood.now === 'slow') await time.sleep(clock, duration.ms(600));
         if (mood.now === 'failing') return json(say, 500, { error: 'try again' });
         if (mood.now === 'rubbish')
           return json(say, 200, { workers: [1, null, { id: 7 }, { id: 'x', address: 'nowhere' }] });
--- a/packages/test-harness/src/wire.ts
+++ b/tools/test-harness/src/wire.ts
@@ -2,24 +2,33 @@
 // asked for, a reset, idle connections closed. On real sockets here; the simulator brings its own.
 import http from 'node:http';
 import type net from 'node:net';
-import { place, real, us, type HttpAsk, type HttpSay, type HttpServer, type Place, type Us } from '@thornsail/runtime';
+import {
+  address,
+  real,
+  duration,
+  type HttpRequest,
+  type HttpResponseWriter,
+  type HttpServer,
+  type Address,
+  type Microseconds,
+} from '@thornsail/runtime';
 
-export type WireSay = HttpSay & {
+export type WireSay = HttpResponseWriter & {
   /** Bytes that are no answer, and then nothing. */
   garble: () => void;
   /** Ends the connection at once. */
   reset: () => void;
   /** A whole answer that nobody asked for, `after` the end of this one, on the same connection. */
-  surplus: (after: Us, status: number, headers: readonly string[], body: Uint8Array) => void;
+  surplus: (after: Microseconds, status: number, headers: readonly string[], body: Uint8Array) => void;
   /** The answer that follows has no length and ends with its connection. Said before its head. */
   unframed: () => void;
   /** Behind this answer the connection is forgotten without a word: the next thing sent on it is reset. */
   forget: () => void;
 };
-export type WireHandler = (ask: HttpAsk, say: WireSay) => void | Promise<void>;
+export type WireHandler = (ask: HttpRequest, say: WireSay) => void | Promise<void>;
 /** `idleFor`: an idle connection is closed after it; `connections`: more than these are reset. */
-export type WireLimits = { idleFor: Us; connections: number };
-export type Wire = { serve: (at: Place, handler: WireHandler, o: WireLimits) => Promise<HttpServer> };
+export type WireLimits = { idleFor: Microseconds; connections: number };
+export type Wire = { serve: (at: Address, handler: WireHandler, o: WireLimits) => Promise<HttpServer> };
 
 export const noise = Buffer.from('\x16\x03\x01\x02 this is no answer \xff\r\n\r\n', 'latin1');
 const largest = 16 << 20;
@@ -30,7 +39,7 @@
   return Buffer.concat([Buffer.from(`${lines.join('\r\n')}\r\ncontent-length: ${body.length}\r\n\r\n`), body]);
 };
 const wireSay = (
-  say: HttpSay,
+  say: HttpResponseWriter,
   res: http.ServerResponse,
   socket: net.Socket,
   forgotten: WeakSet<net.Socket>,
@@ -62,14 +71,14 @@
           if (forgotten.has(socket)) return void socket.resetAndDestroy();
           real.listener((ask, say) => handler(ask, wireSay(say, res, socket, forgotten)), largest)(req, res);
         });
-        server.keepAliveTimeout = o.idleFor / us.ms(1);
+        server.keepAliveTimeout = o.idleFor / duration.ms(1);
         server.on('connection', (s: net.Socket) => {
           if (sockets.size >= o.connections) return void s.resetAndDestroy();
           sockets.add(s);
           s.on('close', () => sockets.delete(s));
         });
         server.on('error', fail);
-        server.listen(place.port(at), place.host(at), () => {
+        server.listen(address.port(at), address.host(at), () => {
           const a = server.address() as net.AddressInfo;
           const close = (): Promise<void> =>
             new Promise((fin) => {
--- a/packages/test-harness/test/embed.test.ts
+++ b/tools/test-harness/test/embed.test.ts
@@ -3,7 +3,7 @@
 import { fileURLToPath } from 'node:url';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { us, wholeText } from '@thornsail/runtime';
+import { duration, readText } from '@thornsail/runtime';
 import { realFleet } from '@thornsail/test-harness';
 
 test('examples/embed serves its own path and turns of programs, and ends in order', async () => {
@@ -19,8 +19,15 @@
   let ended: { bad: string[] } | undefined;
   try {
     const call = async (method: string, path: string, headers = {}, body?: string): Promise<[number, string]> => {
-      const r = await f.runtime.net.call({ at, method, path, headers, timeLeft: us.s(8), ...(body ? { body } : {}) });
-      return [r.status, await wholeText(r.body)];
+      const r = await f.runtime.net.call({
+        at,
+        method,
+        path,
+        headers,
+        timeLeft: duration.s(8),
+        ...(body ? { body } : {}),
+      });
+      return [r.status, await readText(r.body)];
     };
     await f.waitFor('the embedded gateway to be ready', async () => (await call('GET', '/ready'))[0] === 200, 30_000);
     assert.equal(await call('GET', '/hello'), [200, 'your own program\n']);
--- a/packages/test-harness/test/fleet.test.ts
+++ b/tools/test-harness/test/fleet.test.ts
@@ -1,14 +1,14 @@
 // Real processes under kill, freeze and loss of a data folder. Waits on events; asserts order and safety, not speed.
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { time, us } from '@thornsail/runtime';
+import { time, duration } from '@thornsail/runtime';
 import { realFleet } from '@thornsail/test-harness';
 
 test('real processes serve through a kill, a freeze and a lost data folder without a breach', async () => {
   const f = await realFleet.open({ shape: 'granite', seed: 3 });
   let ended: { exits: Record<string, number | null>; bad: string[] } | undefined;
   try {
-    const pause = (ms: number): Promise<void> => time.sleep(f.runtime.clock, us.ms(ms));
+    const pause = (ms: number): Promise<void> => time.sleep(f.runtime.clock, duration.ms(ms));
     const load = f.load({ chats: 20, kept: 3, jobs: 24, overMs: 4000 });
     await pause(500);
     await f.signal('gateway-edge3', 'SIGKILL');
