--- a/tools/simulation/test/docs.test.ts
+++ b/tools/simulation/test/docs.test.ts
@@ -1,6 +1,7 @@
+import { spawnSync } from 'node:child_process';
 import { readFileSync, readdirSync, existsSync } from 'node:fs';
 import path from 'node:path';
-import { fileURLToPath } from 'node:url';
+import { fileURLToPath, pathToFileURL } from 'node:url';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { configSchema } from '@thornsail/config-schema';
@@ -59,4 +60,116 @@
     assert.match(row, /\| (proved|built|missing[^|]*) \|$/);
   }
 });
+
+/** The text of a page from one heading to the next of the same level or a higher one. */
+const sectionOf = (page: string, heading: string): string => {
+  const start = page.indexOf(`## ${heading}\n`);
+  assert.ok(start >= 0, `no section "${heading}"`);
+  const end = page.indexOf('\n## ', start);
+  return page.slice(start, end < 0 ? undefined : end);
+};
+/** The cells of the rows of a table, without its head. */
+const rowsOf = (text: string): string[][] =>
+  text
+    .split('\n')
+    .filter((line) => line.startsWith('| ') && !line.startsWith('| ---'))
+    .slice(1)
+    .map((line) => line.slice(2, -2).split(' | '));
+/** What is compared of `errors` of the data plane. */
+type ClientErrors = {
+  codes: string[];
+  name: (code: string) => string;
+  status: (at: 'chat' | 'unread', code: string) => number;
+};
+type Catalogue = { codeOf: unknown; entries: Record<string, { message: string; retryable: boolean }> };
+const moduleOf = async (file: string): Promise<Record<string, unknown>> =>
+  (await import(pathToFileURL(path.join(root, file)).href)) as Record<string, unknown>;
+const isCatalogue = (value: unknown): value is Catalogue =>
+  typeof value === 'object' && value !== null && 'codeOf' in value && 'entries' in value;
+
+test('ERRORS.md has every code that a client gets, with its name and its status at each interface', async () => {
+  const { errors } = (await moduleOf('packages/data-plane/src/errors.js')) as { errors: ClientErrors };
+  const rows = rowsOf(sectionOf(read('docs/ERRORS.md'), 'What a client gets'));
+  const expected = errors.codes.map((code) => [
+    `\`${code}\``,
+    `\`${errors.name(code)}\``,
+    String(errors.status('chat', code)),
+    String(errors.status('unread', code)),
+  ]);
+  assert.equal(
+    rows.map((row) => row.slice(0, 4)),
+    expected,
+  );
+  for (const row of rows) {
+    assert.match(row[4]!, /^(no|yes|with the same key|if idempotent)$/, row[0]);
+    assert.ok(row[5], `${row[0]} has no meaning`);
+  }
+});
+test('ERRORS.md has every code that an operator gets, and no other', () => {
+  const used = new Set(
+    filesBelow('packages/admin-api/src')
+      .filter((file) => !file.endsWith('.d.ts'))
+      .flatMap((file) => [...read(file).matchAll(/\berror: '([a-z_]+)'|\? '([a-z_]+)' : '([a-z_]+)',$/gm)])
+      .flatMap((match) => match.slice(1).filter(Boolean)),
+  );
+  const text = sectionOf(read('docs/ERRORS.md'), 'What an operator gets');
+  const rows = rowsOf(text.slice(0, text.indexOf("On the users' platform")));
+  const sorted = (codes: string[]): string[] => [...codes].sort();
+  assert.equal(sorted(rows.map((row) => row[0]!.slice(1, -1))), sorted([...used]));
+});
+test('ERRORS.md has every code of every error catalogue, whether it may be retried, and its message', async () => {
+  const expected: string[][] = [];
+  for (const workspace of workspacesOf(root)) {
+    const file = path.join(workspace, 'src/errors.ts');
+    if (!existsSync(path.join(root, file))) continue;
+    for (const exported of Object.values(await moduleOf(file.replace(/\.ts$/, '.js'))))
+      if (isCatalogue(exported))
+        for (const [code, { message, retryable }] of Object.entries(exported.entries))
+          expected.push([path.basename(workspace), `\`${code}\``, retryable ? 'yes' : 'no', message]);
+  }
+  const rows = rowsOf(sectionOf(read('docs/ERRORS.md'), 'Typed errors in the code'));
+  const lines = (table: string[][]): string => table.map((row) => `| ${row.join(' | ')} |`).join('\n');
+  assert.is(lines(rows), lines(expected));
+});
+
+const pagesWithCommands = ['README.md', 'docs/OPERATING.md', 'docs/RUNBOOK.md', 'docs/CONFIG.md'];
+test('every command of the pages for operators is one of the program', () => {
+  const { stdout } = spawnSync(process.execPath, [path.join(root, 'programs/thornsail/src/bin.js'), '--help'], {
+    encoding: 'utf8',
+  });
+  const known = new Set([...stdout.matchAll(/^\s+`?([a-z]+)`?\s{2,}/gm)].map((match) => match[1]!));
+  assert.ok(known.size > 10, stdout);
+  for (const page of pagesWithCommands)
+    for (const match of read(page).matchAll(/(?:npx |`|\| |^ {4})thornsail ([a-z|]+)/gm))
+      for (const command of match[1]!.split('|')) assert.ok(known.has(command), `${page}: thornsail ${command}`);
+});
+/** The part of the log and the text of a line of the log that a page quotes: `part: text`, with … for what varies. */
+const logLine = /`([a-z][a-z -]*): ([^`]+)`/g;
+test('every symptom of RUNBOOK.md names what brings it about, and log lines that the code has', () => {
+  const code = workspacesOf(root)
+    .filter((workspace) => !workspace.startsWith('tools'))
+    .flatMap((workspace) => filesBelow(path.join(workspace, 'src')))
+    .filter((file) => !file.endsWith('.d.ts'))
+    .map((file) => read(file).replace(/\$\{[^}]*\}/g, '…'))
+    .join('\n');
+  const symptoms = read('docs/RUNBOOK.md').split(/^### /m).slice(1);
+  assert.ok(symptoms.length > 15);
+  for (const symptom of symptoms) {
+    const title = symptom.slice(0, symptom.indexOf('\n'));
+    for (const part of ['Look at:', 'Do:', 'Leave alone:', 'Brought about by:'])
+      assert.ok(symptom.includes(`**${part}**`), `${title}: no "${part}"`);
+    const proof = symptom.slice(symptom.indexOf('**Brought about by:**')).split('\n\n')[0]!;
+    const files = [...proof.matchAll(/`([a-z-]+\/test\/[a-z-]+\.test\.ts)`/g)].map((match) => match[1]!);
+    const named = [...proof.matchAll(/scenario `([a-z]+)`/g)].map((match) => match[1]!);
+    assert.ok(files.length + named.length > 0, `${title}: brought about by nothing`);
+    for (const file of files) assert.ok(existsSync(fileOfWorkspace(root, file)), `${title}: ${file} does not exist`);
+    for (const name of named) assert.ok(Object.hasOwn(scenarios, name), `${title}: there is no scenario ${name}`);
+    const look = symptom.slice(symptom.indexOf('**Look at:**'), symptom.indexOf('**Do:**'));
+    for (const [, part, text] of look.matchAll(logLine)) {
+      assert.ok(code.includes(`log('${part}')`) || part === 'thornsail', `${title}: no part ${part} of the log`);
+      for (const piece of text!.split('…').filter((piece) => piece.trim().length > 3))
+        assert.ok(code.includes(piece), `${title}: no log line has "${piece}"`);
+    }
+  }
+});
 test.run();
