--- a/packages/config-schema/src/index.ts
+++ b/packages/config-schema/src/index.ts
@@ -7,6 +7,13 @@
 import { check, match, oneOf, range, sealed, whole, type Problem } from './codec.js';
 
 export type { Problem } from './codec.js';
+export {
+  deprecatedNames,
+  deprecatedNamesRemovedIn,
+  deprecationWarning,
+  type CurrentName,
+  type CurrentSettings,
+} from './deprecated-names.js';
 
 const label = match(/^[A-Za-z0-9][A-Za-z0-9._:-]{0,99}$/, 'a name of letters, digits and ._:-');
 const at = new t.Type<string>(
@@ -334,6 +341,8 @@
       problems.push({ path: 'founders', text: 'three addresses, this one among them, or none' });
     return problems.length ? { ok: false, problems } : r;
   },
+  /** Whether a name is that of a role. */
+  isRole: (name: unknown): name is Role => typeof name === 'string' && Object.hasOwn(optionCodecs, name),
   keys: (role: Role): string[] =>
     ({
       coordinator: ['place', 'http', 'zone', 'seeds', 'name', 'data', 'beatMs', 'founders', 'tolerates', 'leastStores'],
--- a/programs/thornsail/src/bin.ts
+++ b/programs/thornsail/src/bin.ts
@@ -4,9 +4,10 @@
 import { createInterface } from 'node:readline';
 import { stripVTControlCharacters } from 'node:util';
 import { defineCommand, renderUsage, runCommand, type ArgsDef, type CommandDef } from 'citty';
-import { configSchema, type Role } from '@thornsail/config-schema';
+import { configSchema, deprecatedNames, type Role } from '@thornsail/config-schema';
 import { queryShell } from '@thornsail/query-shell';
 import { fault, invariant, real, type Runtime } from '@thornsail/runtime';
+import { currentCommandLine } from './deprecated-names.js';
 import { operator } from './operator.js';
 import { roles, type Node } from './roles.js';
 
@@ -33,6 +34,7 @@
 const flagsOnly = (args: Record<string, unknown>, known: string[]): void => {
   for (const k of Object.keys(args)) if (k !== '_' && !known.includes(k)) wrongUse(`unknown flag --${k}`);
 };
+const kebabCase = (key: string): string => key.replace(/[A-Z]/g, (letter) => `-${letter.toLowerCase()}`);
 const describe: Record<string, string> = {
   place: 'address for siblings, ip:port',
   http: 'address for HTTP, ip:port',
@@ -57,7 +59,8 @@
     args,
     run: async ({ args: given }) => {
       const a = given as Record<string, unknown> & { _: string[] };
-      flagsOnly(a, ['settings', ...keys]);
+      // citty gives `--beatMs` under `beat-ms` as well.
+      flagsOnly(a, ['settings', ...keys, ...keys.map(kebabCase)]);
       if (a._.length) wrongUse(`unexpected word ${a._[0]}`);
       let file: unknown = {};
       if (typeof a['settings'] === 'string') {
@@ -69,7 +72,9 @@
         if (typeof file !== 'object' || file === null || Array.isArray(file))
           wrongUse(`settings file ${a['settings']}: an object is needed`);
       }
-      const merged: Record<string, unknown> = { ...(file as Record<string, unknown>) };
+      const fromFile = deprecatedNames.settings(role, file as Record<string, unknown>);
+      for (const warning of fromFile.warnings) err(warning);
+      const merged = fromFile.settings;
       for (const k of keys) if (a[k] !== undefined) merged[k] = fromFlag(k, a[k]);
       const c = configSchema.options(role, merged);
       if (!c.ok) {
@@ -284,7 +289,8 @@
   return cmd;
 };
 const start = async (): Promise<void> => {
-  const argv = process.argv.slice(2);
+  const { args: argv, warnings } = currentCommandLine(process.argv.slice(2));
+  for (const warning of warnings) err(warning);
   if (argv.includes('--help') || argv.includes('-h')) {
     out(await renderUsage(await resolve(argv)));
     return;
--- a/programs/thornsail/src/embed.ts
+++ b/programs/thornsail/src/embed.ts
@@ -1,6 +1,6 @@
-// The data plane in a gateway program of one's own, in one call (§1.1): a front of the fleet beside the agent on the
+// The data plane in a gateway program of one's own, in one call (§1.1): a gateway of the fleet beside the agent on the
 // same machine, served by whatever HTTP server the program already has.
-import { configSchema } from '@thornsail/config-schema';
+import { configSchema, deprecatedNames } from '@thornsail/config-schema';
 import { fault, real, type HttpHandler, type Runtime, type Listener } from '@thornsail/runtime';
 import { root } from '@thornsail/admin-api';
 import { roles } from './roles.js';
@@ -32,7 +32,9 @@
 
 export const embed = {
   open: async (o: EmbedOptions, runtime: Runtime = real.runtime('/nonexistent')): Promise<Embedded> => {
-    const c = configSchema.options('gateway', o);
+    const { settings, warnings } = deprecatedNames.settings('gateway', o);
+    for (const warning of warnings) runtime.log('embed')(warning);
+    const c = configSchema.options('gateway', settings);
     if (!c.ok) throw fault.make({ step: 'embed' }, c.problems.map((p) => `${p.path}: ${p.text}`).join('; '));
     const given: { handler?: HttpHandler } = {};
     const serve: Runtime['net']['serve'] = async (at, handler) => {
--- a/programs/thornsail/test/cli.test.ts
+++ b/programs/thornsail/test/cli.test.ts
@@ -1,7 +1,9 @@
-import { spawnSync } from 'node:child_process';
+import { spawn, spawnSync } from 'node:child_process';
+import { once } from 'node:events';
 import { mkdtempSync, rmSync, writeFileSync } from 'node:fs';
 import os from 'node:os';
 import path from 'node:path';
+import { setTimeout } from 'node:timers/promises';
 import { fileURLToPath } from 'node:url';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -74,6 +76,62 @@
     assert.match(r.err, say);
   }
 });
+test('commands and flags of the release before are taken, with a warning for each', () => {
+  const warning = (was: string, now: string): string =>
+    `thornsail: ${was} is deprecated and goes in 0.3.0: use ${now}\n`;
+  for (const [was, now] of [
+    ['front', 'gateway'],
+    ['pilot', 'agent'],
+    ['tower', 'coordinator'],
+    ['keeper', 'store'],
+  ] as const) {
+    const former = run(was);
+    const current = run(now);
+    assert.is(former.err, `${warning(was, now)}${current.err}`);
+    assert.is(former.code, 2);
+  }
+  assert.is(run('front', '--help').out, run('gateway', '--help').out);
+  const shell = run('glass', '--at', '127.0.0.1:1', 'help');
+  assert.is(shell.err, warning('glass', 'query'));
+  assert.is(shell.code, 0);
+  assert.is(shell.out, run('query', '--at', '127.0.0.1:1', 'help').out);
+
+  const bad = ['--name', 'n', '--place', 'x', '--http', '127.0.0.1:2'];
+  const gateway = run('front', ...bad, '--pilot', '127.0.0.1:3');
+  assert.is(
+    gateway.err,
+    `${warning('front', 'gateway')}${warning('--pilot', '--agent')}thornsail: place: expected an address "ip:port"\n`,
+  );
+  const coordinator = run('coordinator', ...bad, '--data', '/x', '--leastKeepers=9');
+  assert.match(coordinator.err, warning('--leastKeepers', '--leastStores'));
+  assert.match(coordinator.err, /^thornsail: leastStores: expected a whole number from 0 to 7$/m);
+});
+test('a settings file of the release before is taken, and a flag goes before its deprecated key', () => {
+  const { agent, ...rest } = ok;
+  const settings = file('before.json', { ...rest, pilot: agent });
+  const fromFile = run('gateway', '--settings', settings, '--zone', 'Z 1');
+  assert.match(fromFile.err, /^thornsail: pilot is deprecated and goes in 0\.3\.0: use agent$/m);
+  assert.is(fromFile.err.split('\n').length, 3, fromFile.err);
+  assert.match(fromFile.err, /zone: expected/);
+  const both = run('gateway', '--settings', settings, '--agent', 'nowhere');
+  assert.match(both.err, /^thornsail: agent: expected an address/m);
+});
+test('a gateway that is started with the command and the settings of the release before serves', async () => {
+  const [place, http, agent] = ['127.0.0.1:17391', '127.0.0.1:17392', '127.0.0.1:17393'];
+  const child = spawn(process.execPath, [
+    ...[bin, 'front', '--settings', file('front.json', { name: 'f1', place, http, pilot: agent })],
+  ]);
+  let out = '';
+  child.stdout.setEncoding('utf8').on('data', (text: string) => void (out += text));
+  const ended = once(child, 'exit');
+  try {
+    for (let i = 0; i < 200 && !out.includes('\n') && child.exitCode === null; i++) await setTimeout(50);
+    assert.is(out, `gateway listens at http ${http}, siblings ${place}\n`);
+  } finally {
+    child.kill('SIGKILL');
+    await ended;
+  }
+});
 test('a node that cannot be reached exits 1 and says which', () => {
   const r = run('status', '--at', '127.0.0.1:1');
   assert.is(r.code, 1);
