--- a/tools/simulation/test/docs.test.ts
+++ b/tools/simulation/test/docs.test.ts
@@ -172,4 +172,27 @@
     }
   }
 });
+/** Paths in the tree, as pages quote them. */
+const quotedPath = /`((?:packages|programs|tools|platform)(?:\/[a-z0-9.-]+)+|platform)\/?`/g;
+test('every path of the tree that ARCHITECTURE.md, GLOSSARY.md and CONTRIBUTING.md quote exists', () => {
+  for (const page of ['docs/ARCHITECTURE.md', 'docs/GLOSSARY.md', 'CONTRIBUTING.md', 'README.md'])
+    for (const [, file] of read(page).matchAll(quotedPath))
+      assert.ok(existsSync(path.join(root, file!)), `${page}: ${file} does not exist`);
+});
+test('every name that GLOSSARY.md gives as one of the code is there', () => {
+  const code = new Set(
+    sources()
+      .filter((file) => !file.includes('/test/') && !file.endsWith('.d.ts'))
+      .flatMap((file) => read(file).match(/[A-Za-z_]+/g) ?? []),
+  );
+  const rows = read('docs/GLOSSARY.md')
+    .slice(0, read('docs/GLOSSARY.md').indexOf('## Names that stay outside'))
+    .split('\n## ')
+    .slice(1)
+    .flatMap(rowsOf);
+  assert.ok(rows.length > 50);
+  for (const row of rows)
+    for (const [, name] of row[2]!.matchAll(/`([A-Za-z_]+)`/g))
+      assert.ok(code.has(name!) || existsSync(path.join(root, name!)), `${row[0]}: the code has no ${name}`);
+});
 test.run();
