--- a/packages/rpc/test/connection.test.ts
+++ b/packages/rpc/test/connection.test.ts
@@ -2,8 +2,8 @@
 import net from 'node:net';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { fault, real, duration, type Runtime, type Address } from '@thornsail/runtime';
-import { rpc, type Rpc } from '@thornsail/rpc';
+import { real, duration, type Runtime, type Address } from '@thornsail/runtime';
+import { rpc, rpcErrors, type Rpc } from '@thornsail/rpc';
 
 const host = `127.${64 + (process.pid % 150)}.14.1`;
 /** Counts what a method of sockets is called for. */
@@ -86,8 +86,8 @@
   const all = await Promise.allSettled(
     me.requestAll<number>([a.at, b.at, nobody, me.at], 'double', body, duration.ms(300)),
   );
-  const codes = all.map((r) => (r.status === 'fulfilled' ? r.value : fault.info(r.reason).code));
-  assert.equal(codes, [8, 'remote', 'late', 80]);
+  const codes = all.map((r) => (r.status === 'fulfilled' ? r.value : rpcErrors.codeOf(r.reason)));
+  assert.equal(codes, [8, 'remote', 'timeout', 80]);
   assert.is(new Set(sent.map((s) => s.text)).size, 1);
   assert.equal(sent.map((s) => s.to).sort(), [a.at, b.at, nobody].sort());
   assert.is(reads, 2, 'once for all others, once for this node itself');
--- a/packages/rpc/test/identity.test.ts
+++ b/packages/rpc/test/identity.test.ts
@@ -1,8 +1,8 @@
 // An answer belongs to the request whose identity it carries, whatever has become of connections and processes (§3.1).
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { fault, real, seeded, time, duration, type Runtime, type Net, type Address } from '@thornsail/runtime';
-import { rpc, validate, type Rpc } from '@thornsail/rpc';
+import { real, seeded, time, duration, type Runtime, type Net, type Address } from '@thornsail/runtime';
+import { rpc, rpcErrors, validate, type Rpc } from '@thornsail/rpc';
 
 type Sent = { from: Address; to: Address; text: string };
 /** Frames are delivered when the test says so, in any order, also twice, also to a process that came later. */
@@ -29,7 +29,7 @@
 };
 const [clientAt, serverAt, otherAt] = ['10.0.0.1:1', '10.0.0.2:1', '10.0.0.3:1'];
 const settled = (): Promise<void> => time.sleep(real.runtime('/nonexistent').clock, duration.ms(5));
-const codeOf = (work: Promise<unknown>): Promise<unknown> => work.catch((e: unknown) => fault.info(e).code);
+const codeOf = (work: Promise<unknown>): Promise<unknown> => work.catch(rpcErrors.codeOf);
 const echoing = async (open: (at: Address) => Promise<Rpc>, at: Address, name: string): Promise<Rpc> => {
   const server = await open(at);
   server.on<string>('echo', validate.string, (text) => `${name}: ${text}`);
@@ -43,7 +43,7 @@
   const first = codeOf(client.request(serverAt, 'echo', 'first', duration.ms(10)));
   box.deliver(box.waiting.shift()!);
   await settled();
-  assert.is(await first, 'late');
+  assert.is(await first, 'timeout');
   const second = client.request<string>(serverAt, 'echo', 'second', duration.s(1));
   const [late, ask] = box.waiting.splice(0);
   box.deliver(late!);
@@ -60,7 +60,7 @@
   box.deliver(box.waiting.shift()!);
   await settled();
   box.breaks(clientAt, serverAt);
-  assert.is(await first, 'down');
+  assert.is(await first, 'connection-lost');
   const second = client.request<string>(serverAt, 'echo', 'second', duration.s(1));
   const [late, ask] = box.waiting.splice(0);
   box.deliver(late!);
--- a/tools/simulation/src/guards/rpc.ts
+++ b/tools/simulation/src/guards/rpc.ts
@@ -6,9 +6,9 @@
   guard({
     name: 'an answer between nodes names the process that asked',
     rule: 'answers',
-    file: 'rpc/src/index.js',
-    find: '`${self}.${++n}`',
-    replacement: '`${++n}`',
+    file: 'rpc/src/sender.js',
+    find: '`${processId}.${++sequence}`',
+    replacement: '`${++sequence}`',
     noticedBy: { test: 'rpc/test/identity.test.js' },
   }),
 ];
--- a/tools/simulation/test/input.test.ts
+++ b/tools/simulation/test/input.test.ts
@@ -174,7 +174,13 @@
       const p = pick(r, f.procs);
       frames.send(
         p.options['place'] as Address,
-        stringify({ p: protocol.mark, k: pick(r, ['ask', 'tell']), t, n: `${i}`, b: r.int(3) ? near(r) : value(r, 3) }),
+        stringify({
+          p: protocol.current,
+          k: pick(r, ['ask', 'tell']),
+          t,
+          n: `${i}`,
+          b: r.int(3) ? near(r) : value(r, 3),
+        }),
       );
     }
     await f.w.run(f.w.now() + duration.s(3));
--- a/tools/simulation/test/upgrade.test.ts
+++ b/tools/simulation/test/upgrade.test.ts
@@ -18,10 +18,10 @@
   const frames = await w
     .runtime(w.host('127.0.0.2', 'z1'))
     .net.frames('127.0.0.2:1', (_from, text) => got.push(parse(text) as { k: string; n: string; b: unknown }) > 0);
-  frames.send('127.0.0.1:1', stringify({ p: protocol.mark + 1, k: 'ask', t: 'echo', n: '1', b: 'new' }));
+  frames.send('127.0.0.1:1', stringify({ p: protocol.current + 1, k: 'ask', t: 'echo', n: '1', b: 'new' }));
   frames.send('127.0.0.1:1', stringify({ p: protocol.oldest - 1, k: 'ask', t: 'echo', n: '2', b: 'old' }));
-  frames.send('127.0.0.1:1', stringify({ p: protocol.mark, k: 'ask', t: 'echo', n: '3', b: 'same' }));
-  frames.send('127.0.0.1:1', stringify({ p: protocol.mark, k: 'ask', t: 'nosuch', n: '4', b: 0 }));
+  frames.send('127.0.0.1:1', stringify({ p: protocol.current, k: 'ask', t: 'echo', n: '3', b: 'same' }));
+  frames.send('127.0.0.1:1', stringify({ p: protocol.current, k: 'ask', t: 'nosuch', n: '4', b: 0 }));
   frames.send('127.0.0.1:1', 'not a frame');
   await w.run(duration.s(1));
   const by = (n: string): { k: string; b: unknown } => got.find((x) => x.n === n)!;
