--- a/packages/admin-api/src/control.ts
+++ b/packages/admin-api/src/control.ts
@@ -3,26 +3,18 @@
 import type { Membership } from '@thornsail/membership';
 import {
   configuration,
-  type Member,
   type NodeEntry,
   type Ordered,
   type Push,
   type PushResult,
+  type ReadResult,
 } from '@thornsail/consensus';
 
-export type ReadResult<News = unknown> = {
-  state: Ordered;
-  view: number;
-  members: Member[];
-  news: News | null;
-  /** Whether the store group needs no further change; a leader of the release before does not say. */
-  repaired?: boolean;
-};
 export type DrainState = 'unknown' | 'too-few' | 'not draining' | 'waiting' | 'copying' | 'safe';
 /** Each call gives up after `within`, and throws then; the callers of some interfaces wait for a shorter time. */
 export type Control = {
   /** The agreed state, confirmed by a majority; throws if there is none to be had. */
-  read: (within?: Microseconds) => Promise<{ seq: number; value: ReadResult }>;
+  read: (within?: Microseconds) => Promise<{ index: number; value: ReadResult }>;
   /** Judged by the coordinators; the same push again has one effect, so it is repeated until its outcome is known. */
   push: (p: Push, within?: Microseconds) => Promise<PushResult>;
   /** What is known of a push without judging it, null if it may be accepted; and the source it would be applied to. */
@@ -38,7 +30,7 @@
 
 /** How far a store's drain is (§6.5): safe only once the group without it is full, and bears the next loss. */
 export const drainState = (s: Ordered, node: NodeEntry, repaired = true): DrainState => {
-  const k = s.keepers;
+  const k = s.storeGroup;
   if (!k.draining.includes(node.id)) return 'not draining';
   if (k.members.some((m) => m.id === node.id)) return k.swept === k.mark ? 'waiting' : 'copying';
   return k.swept === k.mark && repaired ? 'safe' : 'copying';
@@ -54,7 +46,7 @@
     const { clock } = o.runtime;
     const { core } = o.membership;
     const leftUntil = (end: Microseconds): Microseconds => Math.max(leastLimit, end - clock.now());
-    const read: Control['read'] = (within = callLimit) => core.ask<ReadResult>({ op: 'read' }, within);
+    const read: Control['read'] = (within = callLimit) => core.request({ type: 'read' }, within);
     const drained: Control['drained'] = async (name, within) => {
       const { state, repaired } = (await read(within)).value;
       const n = named(state, name);
@@ -68,7 +60,7 @@
         /** What the core said last: a last question that its time was too short for does not take it back. */
         let unconfirmed: PushResult | undefined;
         for (;;) {
-          const asked = core.ask<PushResult>({ op: 'push', push: p }, leftUntil(end));
+          const asked = core.request({ type: 'push', push: p }, leftUntil(end));
           const { value } = await asked.catch((error: unknown) => {
             if (unconfirmed === undefined || clock.now() < end) throw error;
             return { value: unconfirmed };
@@ -85,7 +77,7 @@
         const end = clock.now() + within;
         const n = named((await read(leftUntil(end))).value.state, name);
         if (!n || n.standing === 'dead') return 'unknown';
-        const { value } = await core.ask<boolean>({ op: 'drain', id: n.id, on: true }, leftUntil(end));
+        const { value } = await core.request({ type: 'drain', id: n.id, on: true }, leftUntil(end));
         if (!value) return 'too-few';
         return drained(name, leftUntil(end)).catch((e: unknown) => {
           throw fault.make({ step: 'drain', sibling: name, code: 'unknown' }, fault.text(e), e);
--- a/packages/admin-api/src/index.ts
+++ b/packages/admin-api/src/index.ts
@@ -14,8 +14,16 @@
 import type { Registers } from '@thornsail/register-store';
 import type { Membership } from '@thornsail/membership';
 import type { Rpc } from '@thornsail/rpc';
-import { order, type Ordered, type Push } from '@thornsail/consensus';
-import { control, drainState, type ReadResult as Read } from './control.js';
+import {
+  nodeCodec,
+  order,
+  roleCodec,
+  type NodeRole,
+  type Ordered,
+  type Push,
+  type ReadResult,
+} from '@thornsail/consensus';
+import { control, drainState } from './control.js';
 
 export type NewsResult = {
   workers: { id: string; at: Address; kind: string; leaving: boolean }[];
@@ -27,7 +35,7 @@
   rpc: Rpc;
   membership: Membership;
   registers: Registers;
-  role: string;
+  role: NodeRole;
   name: string;
   ready: () => { ok: boolean; why: string[] };
   counts: () => Record<string, number>;
@@ -69,8 +77,8 @@
 export const signal = {
   handler: (n: SignalNode): HttpHandler => {
     const ctl = control.open({ runtime: n.runtime, membership: n.membership });
-    const read = (): Promise<{ seq: number; value: Read<NewsResult> }> =>
-      ctl.read() as Promise<{ seq: number; value: Read<NewsResult> }>;
+    const read = (): Promise<{ index: number; value: ReadResult<NewsResult> }> =>
+      ctl.read() as Promise<{ index: number; value: ReadResult<NewsResult> }>;
     /** What a change would do, without doing it (§7.2). */
     const plan = async (say: HttpResponseWriter, how: Push['how'], base: number, body: unknown): Promise<void> => {
       const {
@@ -120,7 +128,7 @@
         return json(say, 200, { mark: v.mark, push: id, repeated: v.repeated === true }, { etag: `"${v.mark}"` });
       if (v.why === 'unconfirmed') {
         const message = `taken as ${v.mark}, but not known to be in use at ${v.gateways.join(', ')}`;
-        const body = { error: 'unconfirmed', mark: v.mark, push: id, gateways: v.gateways, message };
+        const body = { error: 'unconfirmed', mark: v.mark, push: id, fronts: v.gateways, message };
         return json(say, 503, body, { 'retry-after': '1' });
       }
       if (v.why === 'forgotten') {
@@ -137,7 +145,7 @@
       after: string,
       limit: number,
     ): Promise<{ key: string; accepted: [number, string]; until: number; copies: number }[]> => {
-      const group = { mark: s.keepers.mark, members: s.keepers.members };
+      const group = { mark: s.storeGroup.mark, members: s.storeGroup.members };
       const pages = await Promise.all(
         group.members.map((k) =>
           n.rpc
@@ -206,14 +214,11 @@
       const on = ask.method !== 'DELETE';
       if (node.role === 'store') {
         if (ask.method !== 'GET') {
-          const { value: taken } = await n.membership.core.ask<boolean>(
-            { op: 'drain', id: node.id, on },
-            duration.s(4),
-          );
+          const { value: taken } = await n.membership.core.request({ type: 'drain', id: node.id, on }, duration.s(4));
           if (!taken) return json(say, 409, { error: 'too_few', message: 'too few stores would be left' });
         }
         const { state: now, repaired } = (await read()).value;
-        const k = now.keepers;
+        const k = now.storeGroup;
         const how = drainState(now, node, repaired);
         const safe = how === 'safe';
         const progress = { ...drainWords, unknown: '', 'too-few': '', 'not draining': 'not draining' }[how];
@@ -237,9 +242,13 @@
       return json(say, 200, { node: node.name, id: node.id, state: 'leaving', safe: false });
     };
     const agreed = async (say: HttpResponseWriter, what: string, ask: HttpRequest): Promise<void> => {
-      const { seq, value } = await read();
+      const { index: seq, value } = await read();
       const s = value.state;
-      const nodes = (): unknown => Object.values(s.roster).sort((a, b) => (a.role + a.name < b.role + b.name ? -1 : 1));
+      /** Callers know roles by their encoded names; so does the order of the rows. */
+      const nodes = (): unknown =>
+        Object.values(s.roster)
+          .map(nodeCodec.encode)
+          .sort((a, b) => (a.role + a.name < b.role + b.name ? -1 : 1));
       switch (what) {
         case 'config': {
           const mark = ask.query['mark'];
@@ -278,14 +287,14 @@
         case 'marks':
           return json(say, 200, {
             mark: seq,
-            view: value.view,
+            view: value.term,
             order: seq,
             config: s.config.mark,
-            keepers: s.keepers.mark,
-            swept: s.keepers.swept,
+            keepers: s.storeGroup.mark,
+            swept: s.storeGroup.swept,
           });
         case 'keepers':
-          return json(say, 200, { ...s.keepers, group: s.keepers.mark, mark: seq });
+          return json(say, 200, { ...s.storeGroup, group: s.storeGroup.mark, mark: seq });
         case 'programs': {
           const limit = Math.min(500, Math.max(1, Number(ask.query['limit'] ?? 100) || 100));
           return json(say, 200, { mark: seq, programs: await programs(s, ask.query['after'] ?? '', limit) });
@@ -300,7 +309,7 @@
               kind: r.key.split('/')[0],
               ballot: r.accepted.join('.'),
               copies: r.copies,
-              members: s.keepers.members.length,
+              members: s.storeGroup.members.length,
               until: r.until,
             })),
           });
@@ -309,17 +318,17 @@
           const live = order.live(s);
           return json(say, 200, {
             mark: seq,
-            view: value.view,
+            view: value.term,
             towers: value.members.length,
             config: s.config.mark,
             keepers: {
-              mark: s.keepers.mark,
-              members: s.keepers.members.length,
-              swept: s.keepers.swept === s.keepers.mark,
-              draining: s.keepers.draining.length,
+              mark: s.storeGroup.mark,
+              members: s.storeGroup.members.length,
+              swept: s.storeGroup.swept === s.storeGroup.mark,
+              draining: s.storeGroup.draining.length,
             },
             nodes: Object.fromEntries(
-              ['coordinator', 'store', 'agent', 'gateway'].map((r) => [r, live.filter((x) => x.role === r).length]),
+              roleCodec.roles.map((role) => [roleCodec.encode(role), live.filter((x) => x.role === role).length]),
             ),
             dead: Object.values(s.roster).length - live.length,
             workers: (value.news?.workers ?? []).length,
@@ -353,7 +362,7 @@
           return json(say, 200, {
             id: n.membership.id,
             name: n.name,
-            role: n.role,
+            role: roleCodec.encode(n.role),
             place: n.rpc.at,
             mark: n.membership.mark(),
             inRoster: n.membership.inRoster(),
--- a/packages/consensus/src/client.ts
+++ b/packages/consensus/src/client.ts
@@ -1,7 +1,8 @@
 // How any node reaches the coordinators (§3.3): the leader it knew last, then a redirect, then the others.
 import { fault, time, duration, type Clock, type Runtime, type Address, type Microseconds } from '@thornsail/runtime';
 import type { Rpc } from '@thornsail/rpc';
-import type { CoreAsk, CoreResult } from './core.js';
+import { coreCodec, coreRequestName } from './core-messages.js';
+import type { CoreRequest, CoreResult, CoreValue, EncodedResult } from './core-messages.js';
 
 export type CoreClient = {
   /**
@@ -9,10 +10,13 @@
    * `no-majority` when `timeLeft` is over; for what an operator waits for, as soon as no member has given an agreed
    * answer for `operatorPatience`.
    */
-  ask: <T>(ask: CoreAsk, timeLeft?: Microseconds) => Promise<{ seq: number; value: T }>;
+  request: <R extends CoreRequest>(
+    request: R,
+    timeLeft?: Microseconds,
+  ) => Promise<{ index: number; value: CoreValue<R> }>;
 };
 
-type Agreed = Extract<CoreResult, { ok: true }>;
+type Agreed<R extends CoreRequest> = Extract<CoreResult<CoreValue<R>>, { ok: true }>;
 
 /** A member that does not answer in this time may be gone. To ask another, or twice, has no other effect. */
 const requestLimit = duration.ms(500);
@@ -20,7 +24,7 @@
 const hedgeAfter = duration.ms(150);
 /** An operator's client goes on to another node after a second of silence: it gets its answer before. */
 const operatorPatience = duration.ms(800);
-const operatorCalls: readonly CoreAsk['op'][] = ['push', 'read', 'drain'];
+const operatorCalls: readonly CoreRequest['type'][] = ['push', 'read', 'drain'];
 const defaultTimeLeft = duration.s(4);
 const pauseBetweenRounds = duration.ms(40);
 const pauseSpread = duration.ms(60);
@@ -44,22 +48,23 @@
   });
 
 /** One member's answer, if it is an agreed one; what it says of the leader is remembered. */
-const askOne = async (client: Client, to: Address, ask: CoreAsk, limit: Microseconds): Promise<Agreed | undefined> => {
+const askOne = async <R extends CoreRequest>(
+  client: Client,
+  to: Address,
+  request: R,
+  limit: Microseconds,
+): Promise<Agreed<R> | undefined> => {
   try {
-    const result = await answerWithin(
-      client.runtime.clock,
-      limit,
-      to,
-      client.rpc.request<CoreResult>(to, 'core', ask, limit),
-    );
+    const sent = client.rpc.request<EncodedResult>(to, coreRequestName, coreCodec.encodeRequest(request), limit);
+    const result = coreCodec.decodeResult(request, await answerWithin(client.runtime.clock, limit, to, sent));
     if (result.ok) {
       client.leader = to;
       return result;
     }
-    client.named = result.towers;
-    if (result.head && result.head !== to) client.leader = result.head;
+    client.named = result.members;
+    if (result.leader && result.leader !== to) client.leader = result.leader;
     else if (client.leader === to) client.leader = undefined;
-    client.lastError = fault.make({ step: `core.${ask.op}`, sibling: to }, result.why);
+    client.lastError = fault.make({ step: `core.${request.type}`, sibling: to }, result.reason);
   } catch (error) {
     client.lastError = error;
     if (client.leader === to) client.leader = undefined;
@@ -68,7 +73,12 @@
 };
 
 /** Asks each member once, the next one when one refused or is slow; the first agreed answer ends it. */
-const askRound = (client: Client, ask: CoreAsk, members: Address[], end: Microseconds): Promise<Agreed | undefined> =>
+const askRound = <R extends CoreRequest>(
+  client: Client,
+  request: R,
+  members: Address[],
+  end: Microseconds,
+): Promise<Agreed<R> | undefined> =>
   new Promise((resolve) => {
     const { clock } = client.runtime;
     const left = [...members];
@@ -80,7 +90,7 @@
       if (leader !== undefined && !asked.has(leader)) return leader;
       return left.find((member) => !asked.has(member));
     };
-    const finish = (result: Agreed | undefined): void => {
+    const finish = (result: Agreed<R> | undefined): void => {
       stopTimer();
       asked.clear();
       left.length = 0;
@@ -98,7 +108,7 @@
       open += 1;
       stopTimer = clock.schedule(hedgeAfter, askNext);
       const limit = Math.min(requestLimit, Math.max(duration.ms(1), end - clock.now()));
-      void askOne(client, to, ask, limit).then((result) => {
+      void askOne(client, to, request, limit).then((result) => {
         open -= 1;
         if (result) finish(result);
         else askNext();
@@ -107,25 +117,25 @@
     askNext();
   });
 
-const askUntil = async <T>(
+const askUntil = async <R extends CoreRequest>(
   client: Client,
-  ask: CoreAsk,
+  request: R,
   members: () => Address[],
   timeLeft: Microseconds,
-): Promise<{ seq: number; value: T }> => {
+): Promise<{ index: number; value: CoreValue<R> }> => {
   const { clock, rand } = client.runtime;
-  const patience = operatorCalls.includes(ask.op) ? Math.min(timeLeft, operatorPatience) : timeLeft;
+  const patience = operatorCalls.includes(request.type) ? Math.min(timeLeft, operatorPatience) : timeLeft;
   const end = clock.now() + patience;
   while (clock.now() < end) {
     const all = [...new Set([...members(), ...client.named])];
-    const result = await askRound(client, ask, all, end);
-    if (result) return { seq: result.seq, value: result.value as T };
+    const result = await askRound(client, request, all, end);
+    if (result) return { index: result.index, value: result.value };
     const pause = pauseBetweenRounds + rand.int(pauseSpread);
     if (clock.now() + pause >= end) break;
     await time.sleep(clock, pause);
   }
   const text = 'the coordinators gave no agreed result in time';
-  throw fault.make({ step: `core.${ask.op}`, code: 'no-majority' }, text, client.lastError);
+  throw fault.make({ step: `core.${request.type}`, code: 'no-majority' }, text, client.lastError);
 };
 
 export const coreClient = {
@@ -133,7 +143,7 @@
     const { runtime, rpc, towers } = options;
     const client: Client = { runtime, rpc, leader: undefined, named: [], lastError: undefined };
     return {
-      ask: (ask, timeLeft = defaultTimeLeft) => askUntil(client, ask, towers, timeLeft),
+      request: (request, timeLeft = defaultTimeLeft) => askUntil(client, request, towers, timeLeft),
     };
   },
 };
--- /dev/null
+++ b/packages/consensus/src/core-messages.ts
@@ -0,0 +1,170 @@
+/**
+ * Requests that any node makes of the coordinators, and their results (§3.3). In code they have a `type`; between nodes
+ * they have the form of the releases before, which the codec here maps them to.
+ */
+import { validate } from '@thornsail/rpc';
+import type { Address } from '@thornsail/runtime';
+import type { Push, PushResult } from './configuration.js';
+import type { RefusalCode } from './errors.js';
+import type { NodeEntry, Ordered } from './order.js';
+import type { Suspicion } from './rulings.js';
+import { nodeCodec, stateCodec } from './state-codec.js';
+import type { Member } from './types.js';
+
+/** A node that joins, or tells that it leaves. */
+export type JoiningNode = Omit<NodeEntry, 'standing' | 'since'> & { leaving?: boolean };
+/** A request to the coordinators. Each may be repeated safely. */
+export type CoreRequest =
+  | { type: 'push'; push: Push }
+  | { type: 'read' }
+  | { type: 'join'; node: JoiningNode }
+  | { type: 'suspect'; suspicions: Suspicion[] }
+  /** Every record of the store group of this version is on a majority (§6.5). */
+  | { type: 'sweep-complete'; version: number }
+  | { type: 'drain'; id: string; on: boolean };
+
+/** The agreed state as the leader gives it. */
+export type ReadResult<News = unknown> = {
+  state: Ordered;
+  term: number;
+  members: Member[];
+  /** What the leader adds of its own knowledge. */
+  news: News | null;
+  /** Whether the store group needs no further change; a leader of the release before does not say. */
+  repaired?: boolean;
+};
+/** What each request gives once it is agreed on. */
+export type CoreValues = {
+  push: PushResult;
+  read: ReadResult;
+  /** `inc` is the newest incarnation known of the node. */
+  join: { ok: boolean; inc: number };
+  suspect: boolean;
+  'sweep-complete': boolean;
+  drain: boolean;
+};
+/** The value that a request of this kind gives. */
+export type CoreValue<R extends CoreRequest> = CoreValues[R['type']];
+/** `index` is that of the version which the value was read at, or which carries the change. */
+export type CoreResult<Value = unknown> =
+  | { ok: true; index: number; value: Value }
+  | { ok: false; reason: RefusalCode; leader: Address | null; members: Address[] };
+
+/** The name of these requests between nodes. */
+export const coreRequestName = 'core';
+
+const isEncodedRequest = validate.anyOf(
+  validate.object({ op: validate.oneOf('read') }),
+  validate.object({
+    op: validate.oneOf('push'),
+    push: validate.object({
+      id: validate.string,
+      base: validate.integer,
+      revision: validate.optional(validate.integer),
+      how: validate.oneOf('whole', 'merge', 'patch'),
+      body: validate.anything,
+    }),
+  }),
+  validate.object({ op: validate.oneOf('join'), node: nodeCodec.isEncoded }),
+  validate.object({
+    op: validate.oneOf('suspect'),
+    list: validate.arrayOf(validate.object({ by: validate.string, id: validate.string, inc: validate.integer })),
+  }),
+  validate.object({ op: validate.oneOf('swept'), mark: validate.integer }),
+  validate.object({ op: validate.oneOf('drain'), id: validate.string, on: validate.boolean }),
+);
+
+type EncodedJoiningNode = ReturnType<typeof nodeCodec.encode<JoiningNode>>;
+/** A request as it is between nodes. */
+export type EncodedRequest =
+  | { op: 'push'; push: Push }
+  | { op: 'read' }
+  | { op: 'join'; node: EncodedJoiningNode }
+  | { op: 'suspect'; list: Suspicion[] }
+  | { op: 'swept'; mark: number }
+  | { op: 'drain'; id: string; on: boolean };
+
+const encodeRequest = (request: CoreRequest): EncodedRequest => {
+  switch (request.type) {
+    case 'push':
+      return { op: 'push', push: request.push };
+    case 'read':
+      return { op: 'read' };
+    case 'join':
+      return { op: 'join', node: nodeCodec.encode(request.node) };
+    case 'suspect':
+      return { op: 'suspect', list: request.suspicions };
+    case 'sweep-complete':
+      return { op: 'swept', mark: request.version };
+    case 'drain':
+      return { op: 'drain', id: request.id, on: request.on };
+  }
+};
+const decodeRequest = (encoded: EncodedRequest): CoreRequest => {
+  switch (encoded.op) {
+    case 'push':
+      return { type: 'push', push: encoded.push };
+    case 'read':
+      return { type: 'read' };
+    case 'join':
+      return { type: 'join', node: nodeCodec.decode(encoded.node) };
+    case 'suspect':
+      return { type: 'suspect', suspicions: encoded.list };
+    case 'swept':
+      return { type: 'sweep-complete', version: encoded.mark };
+    case 'drain':
+      return { type: 'drain', id: encoded.id, on: encoded.on };
+  }
+};
+
+type Unconfirmed = PushResult & { ok: false; why: 'unconfirmed' };
+type EncodedUnconfirmed = Omit<Unconfirmed, 'gateways'> & { fronts: string[] };
+type EncodedPushResult = Exclude<PushResult, Unconfirmed> | EncodedUnconfirmed;
+const encodePushResult = (result: PushResult): EncodedPushResult =>
+  !result.ok && result.why === 'unconfirmed'
+    ? { ok: false, why: result.why, mark: result.mark, fronts: result.gateways }
+    : result;
+const decodePushResult = (encoded: EncodedPushResult): PushResult =>
+  !encoded.ok && encoded.why === 'unconfirmed'
+    ? { ok: false, why: encoded.why, mark: encoded.mark, gateways: encoded.fronts }
+    : encoded;
+
+type EncodedReadResult = Omit<ReadResult, 'state' | 'term'> & { state: unknown; view: number };
+const encodeReadResult = ({ state, term, members, news, repaired }: ReadResult): EncodedReadResult => {
+  const encoded = { state: stateCodec.encode(state), view: term, members, news };
+  return repaired === undefined ? encoded : { ...encoded, repaired };
+};
+const decodeReadResult = ({ state, view, members, news, repaired }: EncodedReadResult): ReadResult => {
+  const decoded = { state: stateCodec.decode(state), term: view, members, news };
+  return repaired === undefined ? decoded : { ...decoded, repaired };
+};
+
+const encodeValue = (type: CoreRequest['type'], value: unknown): unknown => {
+  if (type === 'push') return encodePushResult(value as PushResult);
+  return type === 'read' ? encodeReadResult(value as ReadResult) : value;
+};
+const decodeValue = (type: CoreRequest['type'], encoded: unknown): unknown => {
+  if (type === 'push') return decodePushResult(encoded as EncodedPushResult);
+  return type === 'read' ? decodeReadResult(encoded as EncodedReadResult) : encoded;
+};
+
+/** Names of refusals between nodes. */
+const encodedReasons = { 'not-leader': 'moved', 'outcome-unknown': 'unknown' } as const;
+const decodedReasons = { moved: 'not-leader', unknown: 'outcome-unknown' } as const;
+
+/** A result as it is between nodes. */
+export type EncodedResult =
+  | { ok: true; seq: number; value: unknown }
+  | { ok: false; why: 'moved' | 'unknown'; head: Address | null; towers: Address[] };
+
+const encodeResult = (type: CoreRequest['type'], result: CoreResult): EncodedResult =>
+  result.ok
+    ? { ok: true, seq: result.index, value: encodeValue(type, result.value) }
+    : { ok: false, why: encodedReasons[result.reason], head: result.leader, towers: result.members };
+const decodeResult = <R extends CoreRequest>(request: R, encoded: EncodedResult): CoreResult<CoreValue<R>> =>
+  encoded.ok
+    ? { ok: true, index: encoded.seq, value: decodeValue(request.type, encoded.value) as CoreValue<R> }
+    : { ok: false, reason: decodedReasons[encoded.why], leader: encoded.head, members: encoded.towers };
+
+/** Requests to the coordinators and their results, by their form between nodes. */
+export const coreCodec = { isEncodedRequest, encodeRequest, decodeRequest, encodeResult, decodeResult };
--- a/packages/consensus/src/core.ts
+++ b/packages/consensus/src/core.ts
@@ -3,25 +3,16 @@
 // on failures, and the repair of both groups.
 import { fault, time, duration, type Runtime, type Address, type Microseconds } from '@thornsail/runtime';
 import type { DurableStore } from '@thornsail/durable-files';
-import { validate, type Rpc } from '@thornsail/rpc';
+import type { Rpc } from '@thornsail/rpc';
 import type { Push, PushResult } from './configuration.js';
 import { groupDuties } from './group-duties.js';
 import { groups } from './groups.js';
-import { isNode, order, type NodeEntry, type Ordered } from './order.js';
-import { rulings, type Suspicion } from './rulings.js';
+import { coreCodec, coreRequestName, type CoreRequest, type CoreResult, type EncodedRequest } from './core-messages.js';
+import { order, type NodeEntry, type Ordered } from './order.js';
+import { rulings } from './rulings.js';
+import { stateCodec } from './state-codec.js';
 import { views, type Marked, type Views } from './views.js';
 
-export type CoreAsk =
-  | { op: 'push'; push: Push }
-  | { op: 'read' }
-  | { op: 'join'; node: Omit<NodeEntry, 'standing' | 'since'> & { leaving?: boolean } }
-  | { op: 'suspect'; list: Suspicion[] }
-  | { op: 'swept'; mark: number }
-  | { op: 'drain'; id: string; on: boolean };
-export type CoreResult =
-  | { ok: true; seq: number; value: unknown }
-  | { ok: false; why: 'moved' | 'unknown'; head: Address | null; towers: Address[] };
-
 /** The gateways at which a configuration is not yet in use, and whether enough of them could be asked at all. */
 export type Confirmed = { ok: true } | { ok: false; gateways: string[] };
 /**
@@ -48,27 +39,6 @@
  */
 const confirmWithin = duration.ms(300);
 
-const isAsk = validate.anyOf(
-  validate.object({ op: validate.oneOf('read') }),
-  validate.object({
-    op: validate.oneOf('push'),
-    push: validate.object({
-      id: validate.string,
-      base: validate.integer,
-      revision: validate.optional(validate.integer),
-      how: validate.oneOf('whole', 'merge', 'patch'),
-      body: validate.anything,
-    }),
-  }),
-  validate.object({ op: validate.oneOf('join'), node: isNode }),
-  validate.object({
-    op: validate.oneOf('suspect'),
-    list: validate.arrayOf(validate.object({ by: validate.string, id: validate.string, inc: validate.integer })),
-  }),
-  validate.object({ op: validate.oneOf('swept'), mark: validate.integer }),
-  validate.object({ op: validate.oneOf('drain'), id: validate.string, on: validate.boolean }),
-);
-
 export type Core = { views: Views<Ordered>; close: () => void };
 /** `stores` and `coordinators` are the sizes of the groups; a drain never leaves fewer than `leastKeepers`. */
 export type CoreTimes = {
@@ -114,7 +84,7 @@
         o.onDone(version);
         onAgreed();
       },
-      sound: order.soundState,
+      codec: stateCodec,
     });
     const failures = rulings.open({ clock: runtime.clock, suspectFor: T.suspectFor });
 
@@ -135,43 +105,47 @@
         await time.sleep(runtime.clock, duration.ms(20));
       }
     };
-    const run = async (ask: CoreAsk): Promise<{ seq: number; result: unknown }> => {
-      switch (ask.op) {
+    const run = async (ask: CoreRequest): Promise<{ seq: number; result: unknown }> => {
+      switch (ask.type) {
         case 'push':
           return push(ask.push);
         case 'join':
           return v.propose((s) => order.join(s, ask.node, runtime.clock.wall()));
-        case 'swept':
-          return v.propose((s) => groups.swept(s, ask.mark));
+        case 'sweep-complete':
+          return v.propose((s) => groups.swept(s, ask.version));
         case 'drain':
           return v.propose((s) => groups.drain(s, ask.id, ask.on, T.leastStores));
         case 'read': {
           const d = await v.agreed();
           const repaired = duties.storesRepaired(d.state);
           const news = o.news?.() ?? null;
-          return { seq: d.seq, result: { state: d.state, view: d.view, members: d.members, news, repaired } };
+          return { seq: d.seq, result: { state: d.state, term: d.view, members: d.members, news, repaired } };
         }
         case 'suspect': {
           if (v.standing() !== 'lead') throw fault.make({ step: 'suspect', code: 'moved' }, 'not the head');
-          failures.hear(ask.list);
+          failures.hear(ask.suspicions);
           return { seq: v.done()?.seq ?? 0, result: true };
         }
       }
     };
-    rpc.on<CoreAsk>('core', isAsk, async (ask): Promise<CoreResult> => {
+    const serve = async (request: CoreRequest): Promise<CoreResult> => {
       try {
-        const r = await run(ask);
-        return { ok: true, seq: r.seq, value: r.result };
+        const r = await run(request);
+        return { ok: true, index: r.seq, value: r.result };
       } catch (e) {
         const code = fault.info(e).code;
         if (code !== 'moved' && code !== 'unknown') throw e;
         return {
           ok: false,
-          why: code,
-          head: v.standing() === 'lead' ? null : (v.head() ?? null),
-          towers: v.done()?.members.map((m) => m.at) ?? o.founders,
+          reason: code === 'moved' ? 'not-leader' : 'outcome-unknown',
+          leader: v.standing() === 'lead' ? null : (v.head() ?? null),
+          members: v.done()?.members.map((m) => m.at) ?? o.founders,
         };
       }
+    };
+    rpc.on<EncodedRequest>(coreRequestName, coreCodec.isEncodedRequest, async (encoded) => {
+      const request = coreCodec.decodeRequest(encoded);
+      return coreCodec.encodeResult(request.type, await serve(request));
     });
 
     const duties = groupDuties.open({
--- a/packages/consensus/src/driver.ts
+++ b/packages/consensus/src/driver.ts
@@ -6,6 +6,7 @@
 import type { Change, Effect, Event, ProposalOutcome, ReadOutcome, ReplicaState } from './types.js';
 import type { ReplyMessage, RequestMessage, Role, Snapshot, Timing, WriteEffect } from './types.js';
 import * as wire from './wire.js';
+import type { EncodedSnapshot, StateCodec } from './wire.js';
 
 /** A running member of the group. Times are in microseconds, indices grow by one with each version. */
 export type Consensus<S> = {
@@ -33,8 +34,8 @@
   founders: Address[];
   initial: S;
   onCommit: (snapshot: Snapshot<S>) => void;
-  /** Whether something has the shape of the state. */
-  isState?: (state: unknown) => boolean;
+  /** How the state is written between members and on disk; as it is where there is none. */
+  codec?: StateCodec<S>;
   timing?: Partial<Timing>;
 };
 
@@ -45,13 +46,13 @@
 type Waiting<T> = { resolve: (value: T) => void; reject: (error: Error) => void };
 
 type Stored<S> = { id: string; term: number; accepted: Snapshot<S> | undefined; fileMark: number };
-const load = async <S>(durable: DurableStore, newId: () => string): Promise<Stored<S>> => {
+const load = async <S>(durable: DurableStore, codec: StateCodec<S>, newId: () => string): Promise<Stored<S>> => {
   const identity = await durable.read<wire.IdentityDocument>(wire.documents.identity);
   const id = identity?.value.id ?? newId();
   if (!identity) await durable.write(wire.documents.identity, 1, { id });
   const term = (await durable.read<wire.TermDocument>(wire.documents.term))?.value.view ?? 0;
-  const kept = await durable.read<wire.Marked<S>>(wire.documents.snapshot);
-  return { id, term, accepted: kept && wire.fromMarked(kept.value), fileMark: kept?.mark ?? 0 };
+  const kept = await durable.read<EncodedSnapshot>(wire.documents.snapshot);
+  return { id, term, accepted: kept && wire.decodeSnapshot(kept.value, codec), fileMark: kept?.mark ?? 0 };
 };
 
 const outcomeError = (step: string, code: 'moved' | 'unknown'): Error =>
@@ -91,7 +92,7 @@
 
 type Io<S> = {
   options: ConsensusOptions<S>;
-  isState: (state: unknown) => boolean;
+  codec: StateCodec<S>;
   dispatch: (event: Event<S>) => void;
   log: (text: string) => void;
   calls: ReturnType<typeof waitingCalls<ReplyMessage<S>>>;
@@ -103,9 +104,9 @@
 const sendRequest = async <S>(io: Io<S>, effect: Effect<S> & { type: 'send' }): Promise<void> => {
   const { request, at, message, timeout } = effect;
   const body = await io.options.rpc
-    .request<unknown>(at, wire.requestNames[message.kind], wire.encodeRequest(message), timeout)
+    .request<unknown>(at, wire.requestNames[message.kind], wire.encodeRequest(message, io.codec), timeout)
     .catch(() => undefined);
-  const reply = body === undefined ? undefined : wire.decodeReply<S>(message.kind, body, io.isState);
+  const reply = body === undefined ? undefined : wire.decodeReply<S>(message.kind, body, io.codec);
   io.dispatch({ type: 'response', request, reply });
 };
 
@@ -113,7 +114,8 @@
   const { durable } = io.options;
   try {
     if (effect.document === 'term') await durable.write(wire.documents.term, effect.term, { view: effect.term });
-    else await durable.write(wire.documents.snapshot, io.nextFileMark(), wire.toMarked(effect.snapshot));
+    else
+      await durable.write(wire.documents.snapshot, io.nextFileMark(), wire.encodeSnapshot(effect.snapshot, io.codec));
   } catch (error) {
     const code = fault.info(error).code ?? '';
     io.log(`${effect.document} was not written: ${fault.text(error)}.`);
@@ -177,12 +179,12 @@
 };
 
 const serve = <S>(io: Io<S>): void => {
-  const shapes = wire.requestShapes(io.isState);
+  const shapes = wire.requestShapes(io.codec);
   for (const kind of Object.keys(wire.requestNames) as RequestMessage<S>['kind'][])
     io.options.rpc.on<unknown>(wire.requestNames[kind], shapes[kind], async (body, from) => {
-      const message = wire.decodeRequest<S>(kind, body);
+      const message = wire.decodeRequest<S>(kind, body, io.codec);
       const reply = await io.calls.add((call) => io.dispatch({ type: 'request', call, from, message }));
-      return wire.encodeReply(reply);
+      return wire.encodeReply(reply, io.codec);
     });
 };
 
@@ -205,6 +207,7 @@
 
 const openIo = <S>(
   options: ConsensusOptions<S>,
+  codec: StateCodec<S>,
   state: ReplicaState<S>,
   lastFileMark: number,
   log: (text: string) => void,
@@ -212,7 +215,7 @@
   let fileMark = lastFileMark;
   const io: Io<S> = {
     options,
-    isState: options.isState ?? (() => true),
+    codec,
     log,
     dispatch: dispatcher(
       options,
@@ -235,10 +238,11 @@
   const { runtime, durable } = options;
   const log = runtime.log('coordinator');
   await durableStore.sound(durable, log);
-  const stored = await load<S>(durable, () => `coordinator-${runtime.rand.id()}`);
+  const codec = options.codec ?? wire.plainCodec<S>();
+  const stored = await load(durable, codec, () => `coordinator-${runtime.rand.id()}`);
   const timing = { ...defaultTiming, ...options.timing };
   const state = createState(options, stored, timing);
-  const io = openIo(options, state, stored.fileMark, log);
+  const io = openIo(options, codec, state, stored.fileMark, log);
   serve(io);
   const stops = [
     time.every(runtime.clock, timing.heartbeat, async () => io.dispatch({ type: 'heartbeat-due' })),
--- a/packages/consensus/src/group-duties.ts
+++ b/packages/consensus/src/group-duties.ts
@@ -57,7 +57,7 @@
   });
   return {
     keepers: (ordered) => {
-      const { members, mark, swept } = ordered.keepers;
+      const { members, mark, swept } = ordered.storeGroup;
       const group = groupOf(ordered, members, sparesOf(ordered, 'store', members), sizes.keepers);
       return { ...group, settled: mark > 0 && swept === mark };
     },
@@ -72,7 +72,7 @@
   ({ views, sizes }: DutyOptions): Duty =>
   async ({ state }) => {
     const live = order.live(state, 'store').filter((node) => node.standing === 'live');
-    if (state.keepers.mark !== 0 || live.length < sizes.keepers) return false;
+    if (state.storeGroup.mark !== 0 || live.length < sizes.keepers) return false;
     const first = spreadOver(live, []).slice(0, sizes.keepers).map(memberOf);
     await views.propose((ordered) => groups.form(ordered, first));
     return true;
--- a/packages/consensus/src/groups.ts
+++ b/packages/consensus/src/groups.ts
@@ -16,7 +16,7 @@
 export const groups = {
   /** One member in or out; the next change waits until the sweep under this mark is complete (§6.5). */
   change: (ordered: Ordered, change: GroupChange): Outcome => {
-    const group = ordered.keepers;
+    const group = ordered.storeGroup;
     if (group.mark !== 0 && group.swept !== group.mark) return { state: ordered, result: false };
     const has = (id: string): boolean => group.members.some((member) => member.id === id);
     if ('add' in change ? has(change.add.id) : !has(change.remove)) return { state: ordered, result: false };
@@ -27,25 +27,25 @@
       members.length >= minimumMembers || group.members.length < minimumMembers,
       'a store group never falls to one',
     );
-    return { state: { ...ordered, keepers: { ...group, mark: group.mark + 1, members } }, result: true };
+    return { state: { ...ordered, storeGroup: { ...group, mark: group.mark + 1, members } }, result: true };
   },
   form: (ordered: Ordered, members: Member[]): Outcome => {
-    if (ordered.keepers.mark !== 0) return { state: ordered, result: false };
-    return { state: { ...ordered, keepers: { mark: 1, members, swept: 1, draining: [] } }, result: true };
+    if (ordered.storeGroup.mark !== 0) return { state: ordered, result: false };
+    return { state: { ...ordered, storeGroup: { mark: 1, members, swept: 1, draining: [] } }, result: true };
   },
   swept: (ordered: Ordered, mark: number): Outcome =>
-    ordered.keepers.mark === mark && ordered.keepers.swept < mark
-      ? { state: { ...ordered, keepers: { ...ordered.keepers, swept: mark } }, result: true }
+    ordered.storeGroup.mark === mark && ordered.storeGroup.swept < mark
+      ? { state: { ...ordered, storeGroup: { ...ordered.storeGroup, swept: mark } }, result: true }
       : { state: ordered, result: false },
   /** Refused if the group and its spares, without those that leave, would fall below `least`. */
   drain: (ordered: Ordered, id: string, on: boolean, least = 0): Outcome => {
-    const { draining } = ordered.keepers;
+    const { draining } = ordered.storeGroup;
     if (draining.includes(id) === on) return { state: ordered, result: true };
     const staying = Object.values(ordered.roster).filter(
       (node) => node.role === 'store' && node.standing === 'live' && node.id !== id && !draining.includes(node.id),
     );
     if (on && staying.length < least) return { state: ordered, result: false };
     const next = on ? [...draining, id] : draining.filter((other) => other !== id);
-    return { state: { ...ordered, keepers: { ...ordered.keepers, draining: next } }, result: true };
+    return { state: { ...ordered, storeGroup: { ...ordered.storeGroup, draining: next } }, result: true };
   },
 };
--- a/packages/consensus/src/index.ts
+++ b/packages/consensus/src/index.ts
@@ -6,6 +6,18 @@
 export { groups, type GroupChange, type StoreGroup } from './groups.js';
 export { presence, type Presence } from './presence.js';
 export { repair, type Condition, type ReplicaGroup, type ReplicaMember, type RepairStep } from './repair.js';
-export { core, type Core, type CoreAsk, type CoreResult } from './core.js';
+export { core, type Core } from './core.js';
+export {
+  coreCodec,
+  coreRequestName,
+  type CoreRequest,
+  type CoreResult,
+  type CoreValue,
+  type JoiningNode,
+  type ReadResult,
+} from './core-messages.js';
+export { nodeCodec, roleCodec, snapshotCodec, stateCodec } from './state-codec.js';
+export type { EncodedNode, EncodedRole, EncodedState } from './state-codec.js';
+export type { EncodedSnapshot, StateCodec } from './wire.js';
 export type { Suspicion } from './rulings.js';
 export { coreClient, type CoreClient } from './client.js';
--- a/packages/consensus/src/order.ts
+++ b/packages/consensus/src/order.ts
@@ -1,9 +1,8 @@
 // What the coordinators order (§3.3): the configuration, the roster of nodes and the store group; pure changes on it.
-import { address, type Address, type Microseconds } from '@thornsail/runtime';
-import { validate } from '@thornsail/rpc';
-import { configuration, isReceipts, type ConfigurationState, type Receipts } from './configuration.js';
+import type { Address, Microseconds } from '@thornsail/runtime';
+import { configuration, type ConfigurationState, type Receipts } from './configuration.js';
 import type { StoreGroup } from './groups.js';
-import { isMarked, type Marked, type Member } from './views.js';
+import type { Member } from './types.js';
 
 export type NodeRole = 'coordinator' | 'store' | 'agent' | 'gateway';
 export type NodeEntry = {
@@ -23,46 +22,20 @@
   pushes: { id: string; mark: number }[];
   receipts?: Receipts;
   roster: Record<string, NodeEntry>;
-  keepers: StoreGroup;
-  towers: Member[];
+  storeGroup: StoreGroup;
+  /** Always empty: a release before kept the coordinators here, and reads the field. */
+  coordinators: Member[];
 };
 
 const deadKept = 64;
 
-const isMember = validate.object({ id: validate.string, at: address.ok });
-export const isNode = validate.object({
-  id: validate.string,
-  name: validate.string,
-  role: validate.oneOf('coordinator', 'store', 'agent', 'gateway'),
-  place: address.ok,
-  http: address.ok,
-  zone: validate.string,
-  inc: validate.integer,
-});
-const isOrdered = validate.object({
-  config: validate.object({
-    mark: validate.integer,
-    history: validate.arrayOf(validate.object({ mark: validate.integer })),
-  }),
-  pushes: validate.arrayOf(validate.object({ id: validate.string, mark: validate.integer })),
-  receipts: isReceipts,
-  roster: validate.recordOf(isNode),
-  keepers: validate.object({
-    mark: validate.integer,
-    members: validate.arrayOf(isMember),
-    swept: validate.integer,
-    draining: validate.arrayOf(validate.string),
-  }),
-});
-const isMarkedOrder = (u: unknown): boolean => isMarked(u) && isOrdered((u as Marked<unknown>).state);
-
 export const order = {
   initial: (): Ordered => ({
     config: { mark: 0, raw: null, value: null, history: [] },
     pushes: [],
     roster: {},
-    keepers: { mark: 0, members: [], swept: 0, draining: [] },
-    towers: [],
+    storeGroup: { mark: 0, members: [], swept: 0, draining: [] },
+    coordinators: [],
   }),
 
   push: configuration.push,
@@ -107,10 +80,6 @@
     };
   },
 
-  /** Whether something that came over a connection has the shape of agreed state under its marks. */
-  sound: (u: unknown): boolean => isMarkedOrder(u),
-  soundState: (u: unknown): boolean => isOrdered(u),
-
   live: (s: Ordered, role?: NodeRole): NodeEntry[] =>
     Object.values(s.roster)
       .filter((n) => n.standing !== 'dead' && (!role || n.role === role))
--- a/packages/consensus/src/presence.ts
+++ b/packages/consensus/src/presence.ts
@@ -38,7 +38,7 @@
   const isMember = (node: NodeEntry): boolean => members.some((member) => member.id === node.id);
   const zones = live.filter(isMember).map((node) => node.zone);
   return spreadOver(
-    live.filter((node) => !isMember(node) && !ordered.keepers.draining.includes(node.id)),
+    live.filter((node) => !isMember(node) && !ordered.storeGroup.draining.includes(node.id)),
     zones,
   );
 };
@@ -65,7 +65,7 @@
           // One whose process ends in order stays a member unless a spare is there, or the group bears more without it:
           // it may start again with its disk.
           const ends = ordered.roster[member.id]!.standing === 'leaving' && (spares.length > 0 || size % 2 === 0);
-          return ends || ordered.keepers.draining.includes(member.id) ? 'leaving' : 'serving';
+          return ends || ordered.storeGroup.draining.includes(member.id) ? 'leaving' : 'serving';
         }
         if (isGone(ordered, member)) return 'gone';
         const waited = silentFor(member.id) > options.replaceAfter;
--- a/packages/consensus/src/views.ts
+++ b/packages/consensus/src/views.ts
@@ -3,10 +3,11 @@
 import type { DurableStore } from '@thornsail/durable-files';
 import type { Rpc } from '@thornsail/rpc';
 import { consensus } from './driver.js';
-import type { Change, Role, Snapshot, Timing } from './types.js';
-import { toMarked, type Marked } from './wire.js';
+import type { Change, Member, Role, Snapshot, Timing } from './types.js';
+import type { StateCodec } from './wire.js';
 
-export { isMarked, type Marked } from './wire.js';
+/** A version of the agreed state. */
+export type Marked<S> = { view: number; seq: number; members: Member[]; state: S };
 export type { Change, Member } from './types.js';
 
 export type Standing = 'unformed' | 'follow' | 'stop' | 'lead';
@@ -30,6 +31,12 @@
   leader: 'lead',
 };
 
+export const toMarked = <S>({ term, index, members, state }: Snapshot<S>): Marked<S> => ({
+  view: term,
+  seq: index,
+  members,
+  state,
+});
 /** One object for each version, so that callers may compare by identity. */
 const markedOnce = <S>(): ((snapshot: Snapshot<S>) => Marked<S>) => {
   const known = new WeakMap<Snapshot<S>, Marked<S>>();
@@ -48,13 +55,13 @@
     founders: Address[];
     initial: S;
     onDone: (version: Marked<S>) => void;
-    sound?: (state: unknown) => boolean;
+    codec?: StateCodec<S>;
     timing?: Partial<Timing>;
   }): Promise<Views<S>> => {
-    const { onDone, sound, ...rest } = options;
+    const { onDone, ...rest } = options;
     const marked = markedOnce<S>();
     const onCommit = (snapshot: Snapshot<S>): void => onDone(marked(snapshot));
-    const inner = await consensus.open<S>({ ...rest, onCommit, isState: sound });
+    const inner = await consensus.open<S>({ ...rest, onCommit });
     return {
       id: inner.id,
       standing: () => standings[inner.role()],
--- a/packages/consensus/src/wire.ts
+++ b/packages/consensus/src/wire.ts
@@ -4,8 +4,21 @@
 import { validate, type Validator } from '@thornsail/rpc';
 import type { Member, ReplyMessage, RequestMessage, Snapshot } from './types.js';
 
-/** A snapshot between nodes and on disk. */
-export type Marked<S> = { view: number; seq: number; members: Member[]; state: S };
+/** How a state is written between nodes and on disk. `isValid` checks the encoded form, before it is decoded. */
+export type StateCodec<S> = {
+  encode: (state: S) => unknown;
+  decode: (encoded: unknown) => S;
+  isValid: (encoded: unknown) => boolean;
+};
+/** A state that is sent and stored as it is, unchecked. */
+export const plainCodec = <S>(): StateCodec<S> => ({
+  encode: (state) => state,
+  decode: (encoded) => encoded as S,
+  isValid: () => true,
+});
+
+/** A snapshot between nodes and on disk; its state is in the encoded form. */
+export type EncodedSnapshot = { view: number; seq: number; members: Member[]; state: unknown };
 /** The promised term on disk. */
 export type TermDocument = { view: number };
 /** The identity on disk, made at the first start. */
@@ -14,8 +27,8 @@
 export const documents = { identity: 'identity', term: 'promise', snapshot: 'state' } as const;
 
 const isMembers = validate.arrayOf(validate.object({ id: validate.string, at: address.ok }));
-/** A snapshot by its marks; what its state must be is for its owner to say. */
-export const isMarked = validate.object({
+/** Whether something is an encoded snapshot, whatever its state; that is for the state's codec to say. */
+export const isEncodedSnapshot = validate.object({
   view: validate.integer,
   seq: validate.integer,
   members: isMembers,
@@ -23,18 +36,18 @@
 });
 
 /** A version in the form for other nodes and the disk. */
-export const toMarked = <S>(snapshot: Snapshot<S>): Marked<S> => ({
+export const encodeSnapshot = <S>(snapshot: Snapshot<S>, codec: StateCodec<S>): EncodedSnapshot => ({
   view: snapshot.term,
   seq: snapshot.index,
   members: snapshot.members,
-  state: snapshot.state,
+  state: codec.encode(snapshot.state),
 });
 /** A version from the form for other nodes and the disk. */
-export const fromMarked = <S>(marked: Marked<S>): Snapshot<S> => ({
-  term: marked.view,
-  index: marked.seq,
-  members: marked.members,
-  state: marked.state,
+export const decodeSnapshot = <S>(encoded: EncodedSnapshot, codec: StateCodec<S>): Snapshot<S> => ({
+  term: encoded.view,
+  index: encoded.seq,
+  members: encoded.members,
+  state: codec.decode(encoded.state),
 });
 
 type RequestKind = RequestMessage<unknown>['kind'];
@@ -49,14 +62,14 @@
   resign: 'view.resign',
 };
 
-type AppendBody<S> = { to: string; v: Marked<S>; doneSeq: number };
+type AppendBody = { to: string; v: EncodedSnapshot; doneSeq: number };
 type HeartbeatBody = { to: string; view: number; doneSeq: number };
 
-/** The shapes of the bodies of requests; `isState` checks the state in a version. */
-export const requestShapes = (isState: (state: unknown) => boolean): Record<RequestKind, Validator> => ({
+/** The validators of the bodies of requests, by kind. */
+export const requestShapes = <S>(codec: StateCodec<S>): Record<RequestKind, Validator> => ({
   append: validate.object({
     to: validate.string,
-    v: (body: unknown) => isMarked(body) && isState((body as Marked<unknown>).state),
+    v: (body: unknown) => isEncodedSnapshot(body) && codec.isValid((body as EncodedSnapshot).state),
     doneSeq: validate.integer,
   }),
   heartbeat: validate.object({ to: validate.string, view: validate.integer, doneSeq: validate.integer }),
@@ -68,10 +81,10 @@
 });
 
 /** The body of a request. */
-export const encodeRequest = <S>(message: RequestMessage<S>): unknown => {
+export const encodeRequest = <S>(message: RequestMessage<S>, codec: StateCodec<S>): unknown => {
   switch (message.kind) {
     case 'append':
-      return { to: message.to, v: toMarked(message.snapshot), doneSeq: message.commitIndex };
+      return { to: message.to, v: encodeSnapshot(message.snapshot, codec), doneSeq: message.commitIndex };
     case 'heartbeat':
       return { to: message.to, view: message.term, doneSeq: message.commitIndex };
     case 'pre-vote':
@@ -86,11 +99,11 @@
   }
 };
 /** `body` has been checked against the shape of its kind. */
-export const decodeRequest = <S>(kind: RequestKind, body: unknown): RequestMessage<S> => {
+export const decodeRequest = <S>(kind: RequestKind, body: unknown, codec: StateCodec<S>): RequestMessage<S> => {
   switch (kind) {
     case 'append': {
-      const { to, v, doneSeq } = body as AppendBody<S>;
-      return { kind, to, snapshot: fromMarked(v), commitIndex: doneSeq };
+      const { to, v, doneSeq } = body as AppendBody;
+      return { kind, to, snapshot: decodeSnapshot(v, codec), commitIndex: doneSeq };
     }
     case 'heartbeat': {
       const { to, view, doneSeq } = body as HeartbeatBody;
@@ -111,7 +124,7 @@
 };
 
 /** The body of a reply. */
-export const encodeReply = <S>(reply: ReplyMessage<S>): unknown => {
+export const encodeReply = <S>(reply: ReplyMessage<S>, codec: StateCodec<S>): unknown => {
   switch (reply.kind) {
     case 'append':
     case 'heartbeat':
@@ -120,7 +133,7 @@
       return { ok: reply.ok, view: reply.term, unformed: reply.unformed };
     case 'vote':
       return reply.accepted
-        ? { ok: reply.ok, view: reply.term, accepted: toMarked(reply.accepted) }
+        ? { ok: reply.ok, view: reply.term, accepted: encodeSnapshot(reply.accepted, codec) }
         : { ok: reply.ok, view: reply.term };
     case 'discover':
       return { id: reply.id, formed: reply.formed };
@@ -136,11 +149,7 @@
 const isFormReply = validate.object({ ok: validate.boolean });
 
 /** A reply to a request of this kind, or nothing if it has another shape. */
-export const decodeReply = <S>(
-  kind: RequestKind,
-  body: unknown,
-  isState: (state: unknown) => boolean,
-): ReplyMessage<S> | undefined => {
+export const decodeReply = <S>(kind: RequestKind, body: unknown, codec: StateCodec<S>): ReplyMessage<S> | undefined => {
   if (kind === 'append' || kind === 'heartbeat') {
     if (!isAppendReply(body)) return undefined;
     const { ok, view, seq } = body as { ok: boolean; view: number; seq: number };
@@ -153,10 +162,10 @@
   }
   if (kind === 'vote') {
     if (!isVoteReply(body)) return undefined;
-    const { ok, view, accepted } = body as { ok: boolean; view: number; accepted?: Marked<S> };
+    const { ok, view, accepted } = body as { ok: boolean; view: number; accepted?: EncodedSnapshot };
     if (accepted === undefined) return { kind, ok, term: view };
-    return isMarked(accepted) && isState(accepted.state)
-      ? { kind, ok, term: view, accepted: fromMarked(accepted) }
+    return isEncodedSnapshot(accepted) && codec.isValid(accepted.state)
+      ? { kind, ok, term: view, accepted: decodeSnapshot(accepted, codec) }
       : undefined;
   }
   if (kind === 'discover') {
--- a/packages/consensus/test/configuration.test.ts
+++ b/packages/consensus/test/configuration.test.ts
@@ -2,7 +2,7 @@
 // it is sent again, in bounded space.
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { configuration, order, type Ordered, type Push, type PushResult } from '@thornsail/consensus';
+import { configuration, order, stateCodec, type Ordered, type Push, type PushResult } from '@thornsail/consensus';
 
 const body = { classes: { a: { kind: 'model', weight: 1 } } };
 const numbered = (base: number, revision: number, by = ''): Push => ({
@@ -26,6 +26,7 @@
 };
 const chain = (count: number): Push[] =>
   Array.from({ length: count }, (_, i) => numbered(i === 0 ? 0 : 3 * i + 1, 3 * i + 4));
+const isEncoded = (state: Ordered): boolean => stateCodec.isValid(stateCodec.encode(state));
 const after = (count: number): Ordered => pushAll(order.initial(), chain(count)).state;
 const why = (result: PushResult | null): string | null => (result === null ? null : result.ok ? 'taken' : result.why);
 
@@ -108,7 +109,7 @@
   assert.is(state.pushes.length, 64);
   assert.equal(state.pushes.at(-1), { id: chain(100).at(-1)!.id, mark: 100 });
   const news = configuration.forNodes(state);
-  assert.ok(order.soundState(state) && order.soundState(news));
+  assert.ok(isEncoded(state) && isEncoded(news));
   assert.equal([news.config.value, news.config.mark], [state.config.value, 100]);
   assert.is(news.receipts, undefined);
   assert.ok(JSON.stringify(news).length < JSON.stringify(state).length / 4);
--- a/packages/data-plane/src/index.ts
+++ b/packages/data-plane/src/index.ts
@@ -90,7 +90,7 @@
       rpc,
       by: me,
       group: () => {
-        const k = membership.state()?.keepers;
+        const k = membership.state()?.storeGroup;
         return k && k.mark > 0 ? { mark: k.mark, members: k.members } : undefined;
       },
     });
--- a/packages/membership/src/index.ts
+++ b/packages/membership/src/index.ts
@@ -6,16 +6,24 @@
 import { validate, type Rpc } from '@thornsail/rpc';
 import {
   coreClient,
+  coreCodec,
+  coreRequestName,
   order,
+  roleCodec,
+  snapshotCodec,
   type CoreClient,
   type NodeEntry,
   type NodeRole,
   type Ordered,
-  type Marked,
+  type EncodedRole,
+  type EncodedSnapshot,
+  type Snapshot,
 } from '@thornsail/consensus';
 
-type Hello = { place: Address; role: NodeRole };
-type HelloResult = { known: Hello[]; order: Marked<Ordered> | null };
+type Hello = { place: Address; role: NodeRole | '' };
+/** As between nodes: roles have their encoded names, and versions their encoded form. */
+type EncodedHello = { place: Address; role: EncodedRole | '' };
+type HelloResult = { known: EncodedHello[]; order: EncodedSnapshot | null };
 export type Membership = {
   id: string;
   dissemination: Dissemination;
@@ -23,7 +31,7 @@
   failureDetector: FailureDetector;
   state: () => Ordered | undefined;
   mark: () => number;
-  marked: () => Marked<Ordered> | undefined;
+  marked: () => Snapshot<Ordered> | undefined;
   inRoster: () => boolean;
   inc: () => number;
   /** For how long this node has known another one to be dead; 0 while it is not. By its own clock: walls may differ. */
@@ -40,8 +48,11 @@
   close: () => void;
 };
 
-const isRole = validate.oneOf('coordinator', 'store', 'agent', 'gateway', '');
-const isHello = validate.object({ place: address.ok, role: isRole });
+const isHello = validate.object({ place: address.ok, role: validate.anyOf(roleCodec.isEncoded, validate.oneOf('')) });
+const encodeHello = ({ place, role }: Hello): EncodedHello => ({ place, role: role && roleCodec.encode(role) });
+const decodeHello = ({ place, role }: EncodedHello): Hello => ({ place, role: roleCodec.decode(role) ?? '' });
+/** Gives the same object for the same version: callers compare by identity. */
+const decodeOrder = (value: unknown): Snapshot<Ordered> => snapshotCodec.decode(value as EncodedSnapshot);
 const isWorkers = validate.object({
   list: validate.arrayOf(
     validate.object({
@@ -65,7 +76,7 @@
 /** News by the first word of its name; what goes by another name is nobody's here. */
 const soundNews = (n: News): boolean => {
   const of = n.name.split('/')[0];
-  if (of === 'order') return order.sound(n.value);
+  if (of === 'order') return snapshotCodec.isValid(n.value);
   if (of === 'workers') return isWorkers(n.value);
   return of === 'load' ? isLoad(n.value) : true;
 };
@@ -99,7 +110,10 @@
     let lastTick = clock.now();
     let frozen = false;
     let slept = 0;
-    const marked = (): Marked<Ordered> | undefined => b.get('order')?.value as Marked<Ordered> | undefined;
+    const marked = (): Snapshot<Ordered> | undefined => {
+      const item = b.get('order');
+      return item && decodeOrder(item.value);
+    };
     const state = (): Ordered | undefined => marked()?.state;
     /** Made anew only with a new state: who gets the same list can tell that nothing has changed. */
     let roster: { of: Ordered | undefined; live: NodeEntry[]; relays: NodeEntry[] } = {
@@ -158,10 +172,9 @@
       roster: live,
       report: (list) => {
         const v = marked();
-        rpc.notifyAll(v?.members.map((m) => m.at) ?? [], 'core', {
-          op: 'suspect',
-          list: list.map((s) => ({ by: id, id: s.id, inc: s.inc })),
-        });
+        const suspicions = list.map((s) => ({ by: id, id: s.id, inc: s.inc }));
+        const request = coreCodec.encodeRequest({ type: 'suspect', suspicions });
+        rpc.notifyAll(v?.members.map((m) => m.at) ?? [], coreRequestName, request);
       },
     });
     const inRoster = (): boolean => {
@@ -173,27 +186,28 @@
         if (h.place !== rpc.at && (known.size < 256 || known.has(h.place)))
           known.set(h.place, h.role || (known.get(h.place) ?? ''));
     };
-    rpc.on<Hello>('hello', isHello, (h): HelloResult => {
-      const list = [...known].map(([p, r]) => ({ place: p, role: r as NodeRole }));
-      remember([h]);
-      return { known: [...list, { place: rpc.at, role }], order: marked() ?? null };
+    rpc.on<EncodedHello>('hello', isHello, (h): HelloResult => {
+      const list = [...known].map(([place, r]) => encodeHello({ place, role: r }));
+      remember([decodeHello(h)]);
+      const version = b.get('order')?.value as EncodedSnapshot | undefined;
+      return { known: [...list, encodeHello({ place: rpc.at, role })], order: version ?? null };
     });
     const hello = async (to: Address): Promise<void> => {
-      const r = await rpc.request<HelloResult>(to, 'hello', { place: rpc.at, role }, duration.ms(400));
-      remember(r.known);
+      const r = await rpc.request<HelloResult>(to, 'hello', encodeHello({ place: rpc.at, role }), duration.ms(400));
+      remember(r.known.map(decodeHello));
       if (r.order) b.put('order', r.order.seq, r.order);
     };
     const watchers: ((s: Ordered, mark: number) => void)[] = [];
     b.on((n) => {
       if (n.name !== 'order') return;
-      const v = n.value as Marked<Ordered>;
+      const v = decodeOrder(n.value);
       remember(order.live(v.state).map((x) => ({ place: x.place, role: x.role })));
       b.drop(admits);
       for (const n2 of Object.values(v.state.roster))
         if (n2.standing !== 'dead') deadSince.delete(n2.id);
         else if (!deadSince.has(n2.id)) deadSince.set(n2.id, clock.now());
       if (deadSince.size > 1024) deadSince.delete(deadSince.keys().next().value as string);
-      for (const w of watchers) w(v.state, v.seq);
+      for (const w of watchers) w(v.state, v.index);
     });
     const join = async (): Promise<void> => {
       const me = state()?.roster[id];
@@ -201,12 +215,12 @@
         inc = me.inc + 1;
         log(`was taken for dead; refutes with incarnation ${inc}.`);
       }
-      const r = await core.ask<{ ok: boolean; inc: number }>(
-        { op: 'join', node: { id, name: o.name, role, place: rpc.at, http: o.http, zone: o.zone, inc, leaving } },
+      const r = await core.request(
+        { type: 'join', node: { id, name: o.name, role, place: rpc.at, http: o.http, zone: o.zone, inc, leaving } },
         duration.s(2),
       );
       if (!r.value.ok) inc = Math.max(inc, r.value.inc + 1);
-      if ((b.get('order')?.mark ?? -1) < r.seq)
+      if ((b.get('order')?.mark ?? -1) < r.index)
         for (const p of [...core_places()]) if (await b.refresh(p, duration.ms(300))) break;
     };
     const core_places = (): Address[] =>
@@ -263,8 +277,8 @@
       inRoster,
       stale,
       refresh,
-      learn: (places) => remember(places.map((p) => ({ place: p, role: '' as NodeRole }))),
-      mark: () => marked()?.seq ?? 0,
+      learn: (places) => remember(places.map((p) => ({ place: p, role: '' }))),
+      mark: () => marked()?.index ?? 0,
       inc: () => inc,
       freezes: () => slept,
       deadFor: (who) => {
--- a/programs/thornsail/src/operator.ts
+++ b/programs/thornsail/src/operator.ts
@@ -2,6 +2,7 @@
 import { fault, time, duration, readText, type HttpClientRequest, type Runtime } from '@thornsail/runtime';
 import { queryShell } from '@thornsail/query-shell';
 import { root } from '@thornsail/admin-api';
+import { decodeReply } from './decode-reply.js';
 import { patience, survey } from './survey.js';
 
 type Reply = { status: number; body: Record<string, unknown> };
@@ -165,7 +166,11 @@
         safely(async () => {
           const r = await call({ at, method: 'GET', path: `${root}/${what}` });
           if (r.status !== 200) return failed(r, json);
-          out(json ? JSON.stringify(r.body) : `${rows(what, r.body)}\n(read at mark ${String(r.body['mark'])})`);
+          out(
+            json
+              ? JSON.stringify(r.body)
+              : `${rows(what, decodeReply(what, r.body))}\n(read at mark ${String(r.body['mark'])})`,
+          );
           return 0;
         }),
       check: (at, json) =>
@@ -238,7 +243,7 @@
               path: `${root}/${table_}${key ? `?limit=200&after=${encodeURIComponent(after)}` : ''}`,
             });
             if (r.status !== 200) return failed(r, json);
-            const page = queryShell.rows(table_, r.body);
+            const page = queryShell.rows(table_, decodeReply(table_, r.body));
             rowsAll = [...rowsAll, ...page];
             mark = String(r.body['mark']);
             const last = page[page.length - 1]?.[key ?? ''];
--- a/programs/thornsail/src/roles.ts
+++ b/programs/thornsail/src/roles.ts
@@ -19,7 +19,7 @@
 import { membership, type Membership } from '@thornsail/membership';
 import { rpc, type Rpc } from '@thornsail/rpc';
 import { control, root, signal, type Control, type NewsResult, type SignalNode } from '@thornsail/admin-api';
-import { configuration, core, order, type Ordered, type Marked } from '@thornsail/consensus';
+import { configuration, core, order, snapshotCodec, type Ordered, type Marked } from '@thornsail/consensus';
 import { watch } from '@thornsail/leases';
 import { obeyDrain } from './drain.js';
 import { groupOf, sweepDuty } from './sweep-duty.js';
@@ -163,8 +163,11 @@
     const durable = await durableStore.open(runtime.disk, disk.failed);
     const voter = watch.voter({ runtime, rpc: p });
     const here: { membership?: Membership } = {};
-    const give = (v: Marked<Ordered>): void =>
-      here.membership?.dissemination.put('order', v.seq, { ...v, state: configuration.forNodes(v.state) });
+    const give = (v: Marked<Ordered>): void => {
+      const { view: term, seq: index, members, state } = v;
+      const version = { term, index, members, state: configuration.forNodes(state) };
+      here.membership?.dissemination.put('order', index, snapshotCodec.encode(version));
+    };
     let last: Marked<Ordered> | undefined;
     const c = await core.open({
       runtime,
@@ -298,7 +301,7 @@
         torn: durable.counts().torn,
       }),
       drain: async () => undefined,
-      replaced: () => untilReplaced(runtime, m, 'store', () => m.state()?.keepers.members ?? []),
+      replaced: () => untilReplaced(runtime, m, 'store', () => m.state()?.storeGroup.members ?? []),
       stop: stopSweep,
       onFailed: disk.onFailed,
     });
--- a/programs/thornsail/src/survey.ts
+++ b/programs/thornsail/src/survey.ts
@@ -1,6 +1,7 @@
 // `thornsail check` (§7.4): looks at every node of the fleet from one of them, and says what an operator should know.
 import { duration, type Microseconds } from '@thornsail/runtime';
 import { root } from '@thornsail/admin-api';
+import { decodeNodes } from './decode-reply.js';
 
 export type Finding = { severity: 'bad' | 'note'; about: string; text: string };
 type Reply = { status: number; body: Record<string, unknown> };
@@ -47,8 +48,7 @@
 };
 const ofStores = (k: Group, nodes: NodeRow[]): Finding[] => {
   const out: Finding[] = [];
-  const say = (severity: Finding['severity'], text: string): void =>
-    void out.push({ severity, about: 'keepers', text });
+  const say = (severity: Finding['severity'], text: string): void => void out.push({ severity, about: 'stores', text });
   if (k.members.length === 0) {
     say('bad', 'no group has been formed: three stores are needed');
     return out;
@@ -85,7 +85,9 @@
         ok: false,
         text: first ? String(first.body['message'] ?? first.body['error']) : `${at} does not answer`,
       };
-    const nodes = (roster.body['nodes'] as NodeRow[]).filter((n) => n.standing !== 'dead');
+    const nodes = (decodeNodes(roster.body['nodes'] as Record<string, unknown>[]) as NodeRow[]).filter(
+      (n) => n.standing !== 'dead',
+    );
     const mark = Number(roster.body['mark']);
     const findings: Finding[] = [];
     const say = (severity: Finding['severity'], about: string, text: string): void =>
@@ -98,12 +100,13 @@
     );
     findings.push(...each.flat());
     findings.push(...ofStores(group.body as unknown as Group, nodes));
-    const towers = nodes.filter((n) => n.role === 'coordinator');
+    const coordinators = nodes.filter((n) => n.role === 'coordinator');
     const members = Number(status.body['towers']);
-    if (members < 3) say('bad', 'towers', `the view has ${members} members`);
-    if (towers.length < 3)
-      say('bad', 'towers', `${towers.length} live: one more loss and no configuration can be agreed on`);
-    for (const z of doubled(towers.map((n) => n.zone))) say('note', 'towers', `more than one is in zone ${z}`);
+    if (members < 3) say('bad', 'coordinators', `the group has ${members} members`);
+    if (coordinators.length < 3)
+      say('bad', 'coordinators', `${coordinators.length} live: one more loss and no configuration can be agreed on`);
+    for (const z of doubled(coordinators.map((n) => n.zone)))
+      say('note', 'coordinators', `more than one is in zone ${z}`);
     if (Number(status.body['config']) === 0) say('bad', 'configuration', 'none has been pushed');
     if (!(duties.body['duties'] as Record<string, unknown>)['sweep']) say('note', 'duties', 'nobody holds the sweep');
     const list = workers.body['workers'] as { leaving: boolean; kind: string }[];
--- a/programs/thornsail/src/sweep-duty.ts
+++ b/programs/thornsail/src/sweep-duty.ts
@@ -19,11 +19,11 @@
 
 /** The group of stores as the newest agreed state known here has it; undefined before one is formed. */
 export const groupOf = (membership: Membership): Group | undefined => {
-  const keepers = membership.state()?.keepers;
+  const keepers = membership.state()?.storeGroup;
   return keepers && keepers.mark > 0 ? { mark: keepers.mark, members: keepers.members } : undefined;
 };
 /** The member that sweeps after a change: the first that the roster has alive. */
-const firstMember = ({ keepers, roster }: Ordered): string | undefined =>
+const firstMember = ({ storeGroup: keepers, roster }: Ordered): string | undefined =>
   keepers.members.find(({ id }) => roster[id] !== undefined && roster[id].standing !== 'dead')?.id;
 
 type SweepDutyOptions = {
@@ -84,7 +84,7 @@
   const sweepChange = async (group: Group): Promise<void> => {
     if (!(await pass(group, 'change'))) return;
     log(`every record is on a majority of group ${group.mark}.`);
-    await membership.core.ask({ op: 'swept', mark: group.mark }, tellWithin).catch(() => undefined);
+    await membership.core.request({ type: 'sweep-complete', version: group.mark }, tellWithin).catch(() => undefined);
     // Brings up what the newcomer lacks; the lease's holder goes on if this one is lost meanwhile.
     lastFull = clock.now() - fullEvery;
     if (await pass(group, 'fill')) lastFull = clock.now();
@@ -97,7 +97,7 @@
       const group = groupOf(membership);
       if (closed || !ordered || !group) return;
       if (changed.mark !== group.mark) changed = { mark: group.mark, at: clock.now() };
-      if (ordered.keepers.swept !== group.mark) {
+      if (ordered.storeGroup.swept !== group.mark) {
         if (isMine(ordered)) await sweepChange(group);
         return;
       }
--- a/tools/simulation/src/measurement/capacity/acknowledging.ts
+++ b/tools/simulation/src/measurement/capacity/acknowledging.ts
@@ -1,5 +1,5 @@
 // Whether coordinators that are cut off from most gateways acknowledge a change (§7.2).
-import { type CoreAsk, type CoreClient, type PushResult, core, coreClient } from '@thornsail/consensus';
+import { type CoreClient, type CoreRequest, type CoreValue, core, coreClient } from '@thornsail/consensus';
 import { durableStore } from '@thornsail/durable-files';
 import { rpc } from '@thornsail/rpc';
 import { address, duration } from '@thornsail/runtime';
@@ -37,23 +37,23 @@
       .open(runtime, '10.1.0.1:1')
       .then((p) => (client = coreClient.open({ runtime, rpc: p, towers: () => founders })));
     await w.run(duration.s(3));
-    const ask = async <T>(a: CoreAsk): Promise<T> => {
-      let got: { value: T } | undefined;
-      void client!.ask<T>(a, duration.s(20)).then((r) => (got = r));
+    const ask = async <R extends CoreRequest>(request: R): Promise<CoreValue<R>> => {
+      let got: { value: CoreValue<R> } | undefined;
+      void client!.request(request, duration.s(20)).then((r) => (got = r));
       for (let i = 0; i < 20_000 && !got; i++) await w.run(w.now() + duration.ms(1));
-      if (!got) throw new Error(`${a.op}: no answer`);
+      if (!got) throw new Error(`${request.type}: no answer`);
       return got.value;
     };
     const all = Array.from({ length: 2 * gateways }, (_, i) => nodeOf(19 + i));
-    for (const node of all) await ask({ op: 'join', node });
+    for (const node of all) await ask({ type: 'join', node });
     const cut = all.slice(0, 2 * Math.round(gateways * 0.6));
     const left = all.slice(cut.length);
     const by = left.slice(0, 2).map((n) => n.id);
-    await ask({ op: 'suspect', list: cut.flatMap((n) => by.map((b) => ({ by: b, id: n.id, inc: 1 }))) });
+    await ask({ type: 'suspect', suspicions: cut.flatMap((n) => by.map((b) => ({ by: b, id: n.id, inc: 1 }))) });
     await w.run(w.now() + duration.s(8));
     for (const n of left) using.set(n.id, 1);
     const body = hollowConfig(1);
-    const r = await ask<PushResult>({ op: 'push', push: { id: 'c', base: 0, how: 'whole', body } });
+    const r = await ask({ type: 'push', push: { id: 'c', base: 0, how: 'whole', body } });
     out.push([gateways, r.ok ? 'acknowledged' : r.why]);
   }
   const what = 'a change, with the core cut off from three fifths of the gateways, which serve on';
--- a/tools/simulation/src/measurement/capacity/fixtures.ts
+++ b/tools/simulation/src/measurement/capacity/fixtures.ts
@@ -1,6 +1,6 @@
 // Nodes, configurations, versions and load messages of a given size, as the measurements encode them.
 import { admissionScheduler } from '@thornsail/admission-scheduler';
-import { type Marked, type NodeEntry, type Ordered, order } from '@thornsail/consensus';
+import { type NodeEntry, type Ordered, type Snapshot, order, snapshotCodec } from '@thornsail/consensus';
 import type { EdgeLoad } from '@thornsail/data-plane';
 import { rpc } from '@thornsail/rpc';
 import { type Runtime, type Microseconds, duration } from '@thornsail/runtime';
@@ -81,9 +81,11 @@
 
 const members = [0, 1, 2].map((i) => ({ id: nodeOf(i).id, at: nodeOf(i).place }));
 
-export const version = (state: Ordered): Marked<Ordered> => ({ view: 3, seq: 4711, members, state });
+export const version = (state: Ordered): Snapshot<Ordered> => ({ term: 3, index: 4711, members, state });
 
-export const newsOf = (v: Marked<Ordered>): unknown => [{ name: 'order', mark: v.seq, value: v }];
+export const newsOf = (v: Snapshot<Ordered>): unknown => [
+  { name: 'order', mark: v.index, value: snapshotCodec.encode(v) },
+];
 
 export const takenIds = (n: number): string[] =>
   Array.from({ length: n }, (_, i) => `session-${String(i).padStart(28, '0')}`);
--- a/tools/simulation/src/measurement/capacity/processor.ts
+++ b/tools/simulation/src/measurement/capacity/processor.ts
@@ -1,7 +1,7 @@
 // Processor time of the parts that grow with the roster, the workers and the programs.
 import { admissionScheduler } from '@thornsail/admission-scheduler';
 import { configSchema } from '@thornsail/config-schema';
-import { order } from '@thornsail/consensus';
+import { snapshotCodec } from '@thornsail/consensus';
 import type { DataPlane } from '@thornsail/data-plane';
 import { failureDetector } from '@thornsail/failure-detector';
 import { loadBalancer } from '@thornsail/load-balancer';
@@ -91,7 +91,7 @@
     const text = stringify(newsOf(version(withRoster(n))));
     return cpuOf(() => {
       const [v] = parse(text) as { value: unknown }[];
-      if (!order.sound(v!.value)) throw new Error('not sound');
+      if (!snapshotCodec.isValid(v!.value)) throw new Error('not sound');
       stringify([v]);
     }, 20);
   };
--- a/tools/simulation/src/measurement/hollow.ts
+++ b/tools/simulation/src/measurement/hollow.ts
@@ -119,7 +119,10 @@
   nodes.every((n) => n.host?.alive === false || (n.node !== null && n.node.membership.inRoster()));
 const push = (n: HollowNode, base: number): Promise<unknown> => {
   const body = { ...hollowConfig(), limits: { onceKeepSeconds: 1000 + base } };
-  return n.node!.membership.core.ask({ op: 'push', push: { id: `c${base}`, base, how: 'whole', body } }, duration.s(8));
+  return n.node!.membership.core.request(
+    { type: 'push', push: { id: `c${base}`, base, how: 'whole', body } },
+    duration.s(8),
+  );
 };
 const configured = (nodes: HollowNode[], mark: number): boolean =>
   nodes.filter((n) => n.role === 'gateway').every((n) => (n.node?.counts()['config_mark'] ?? 0) >= mark);
--- a/tools/simulation/src/repair-losses.ts
+++ b/tools/simulation/src/repair-losses.ts
@@ -6,7 +6,7 @@
   const members = new Set(
     (loss.role === 'coordinator'
       ? stage.leader()?.node?.membership.marked()?.members
-      : stage.leader()?.node?.membership.state()?.keepers.members
+      : stage.leader()?.node?.membership.state()?.storeGroup.members
     )?.map((member) => member.at) ?? all.map((process) => process.at),
   );
   const own = all.filter((process) => members.has(process.at));
--- a/tools/simulation/src/repair-stage.ts
+++ b/tools/simulation/src/repair-stage.ts
@@ -144,7 +144,7 @@
   const full: RepairStage['full'] = (role) => {
     const version = leader()?.node?.membership.marked();
     if (!version) return false;
-    const group = version.state.keepers;
+    const group = version.state.storeGroup;
     const members = role === 'coordinator' ? version.members : group.members;
     const settled = role === 'coordinator' || (group.mark > 0 && group.swept === group.mark);
     return (
--- a/tools/simulation/src/scenarios/kept.ts
+++ b/tools/simulation/src/scenarios/kept.ts
@@ -22,7 +22,7 @@
     await f.until(
       'the group to be whole again',
       () => {
-        const s = f.proc('agent-edge1').node?.membership.state()?.keepers;
+        const s = f.proc('agent-edge1').node?.membership.state()?.storeGroup;
         return (
           s !== undefined &&
           s.members.length === 3 &&
--- a/tools/simulation/src/scenarios/rolling.ts
+++ b/tools/simulation/src/scenarios/rolling.ts
@@ -18,7 +18,7 @@
     await f.until(
       'the new store in the group',
       () => {
-        const k = f.proc('agent-edge2').node?.membership.state()?.keepers;
+        const k = f.proc('agent-edge2').node?.membership.state()?.storeGroup;
         return (
           k !== undefined &&
           k.swept === k.mark &&
--- a/tools/simulation/test/api.test.ts
+++ b/tools/simulation/test/api.test.ts
@@ -191,7 +191,7 @@
   const ask = (method: string): Promise<Reply> =>
     get(f, f.http(f.proc('agent-edge2').options['http'] as Address, method, `${root}/drain/store3`));
   const group = (): { mark: number; members: { at: string }[]; swept: number; draining: string[] } =>
-    f.proc('agent-edge2').node!.membership.state()!.keepers;
+    f.proc('agent-edge2').node!.membership.state()!.storeGroup;
   f.addStore('store7', '127.77.2.7');
   await f.until(
     'the spare in the roster',
--- a/tools/simulation/test/config.test.ts
+++ b/tools/simulation/test/config.test.ts
@@ -61,7 +61,7 @@
       }),
     );
     assert.equal([r.status, r.body['error'], r.body['mark']], [503, 'unconfirmed', 3]);
-    assert.is((r.body['gateways'] as string[]).length, 7);
+    assert.is((r.body['fronts'] as string[]).length, 7);
     await f.w.run(f.w.now() + duration.s(4));
     assert.equal(
       await served(f, 'old'),
@@ -95,7 +95,7 @@
       }),
     );
     assert.equal(
-      [r.status, r.body['error'], r.body['gateways']],
+      [r.status, r.body['error'], r.body['fronts']],
       [503, 'unconfirmed', far.slice(0, 8).filter((n) => n.startsWith('gateway'))],
     );
     await f.w.run(f.w.now() + duration.s(3));
