--- a/tools/simulation/test/docs.test.ts
+++ b/tools/simulation/test/docs.test.ts
@@ -140,7 +140,7 @@
   const known = new Set([...stdout.matchAll(/^\s+`?([a-z]+)`?\s{2,}/gm)].map((match) => match[1]!));
   assert.ok(known.size > 10, stdout);
   for (const page of pagesWithCommands)
-    for (const match of read(page).matchAll(/(?:npx |`|\| |^ {4})thornsail ([a-z|]+)/gm))
+    for (const match of read(page).matchAll(/(?:`|\| |^ {4}|run -s )thornsail (?:-- )?([a-z|]+)/gm))
       for (const command of match[1]!.split('|')) assert.ok(known.has(command), `${page}: thornsail ${command}`);
 });
 /** The part of the log and the text of a line of the log that a page quotes: `part: text`, with … for what varies. */
@@ -195,4 +195,15 @@
     for (const [, name] of row[2]!.matchAll(/`([A-Za-z_]+)`/g))
       assert.ok(code.has(name!) || existsSync(path.join(root, name!)), `${row[0]}: the code has no ${name}`);
 });
+/** A test, or a command that a guard is noticed by, as pages name it: from the folder of its workspace. */
+const quotedTest = /`([a-z-]+\/test\/[a-z-]+(?:\.test)?)(?:\.[jt]s)?`/g;
+test('every test that a page names with its workspace exists', () => {
+  const pages = readdirSync(path.join(root, 'docs')).map((page) => `docs/${page}`);
+  for (const page of [...pages, 'README.md', 'CONTRIBUTING.md'])
+    for (const [, file] of read(page).matchAll(quotedTest))
+      assert.ok(
+        [`${file}.ts`, `${file}.test.ts`].some((name) => existsSync(fileOfWorkspace(root, name))),
+        `${page}: ${file} does not exist`,
+      );
+});
 test.run();
