--- a/tools/simulation/test/docs.test.ts
+++ b/tools/simulation/test/docs.test.ts
@@ -21,6 +21,20 @@
 const sources = (): string[] =>
   workspacesOf(root).flatMap((name) => ['src', 'test'].flatMap((folder) => filesBelow(path.join(name, folder))));
 
+/** The text of a page from one heading to the next of the same level or a higher one. */
+const sectionOf = (page: string, heading: string): string => {
+  const start = page.indexOf(`## ${heading}\n`);
+  assert.ok(start >= 0, `no section "${heading}"`);
+  const end = page.indexOf('\n## ', start);
+  return page.slice(start, end < 0 ? undefined : end);
+};
+/** The cells of the rows of a table, without its head. */
+const rowsOf = (text: string): string[][] =>
+  text
+    .split('\n')
+    .filter((line) => line.startsWith('| ') && !line.startsWith('| ---'))
+    .slice(1)
+    .map((line) => line.slice(2, -2).split(' | '));
 /** A section of DESIGN.md; one that follows the number of an RFC is a section of that RFC. */
 const sectionReference = /(?<!RFC \d+ )§(\d+(?:\.\d+)?)/g;
 
@@ -29,7 +43,7 @@
   for (const f of [...sources(), ...readdirSync(path.join(root, 'docs')).map((d) => `docs/${d}`)])
     for (const m of read(f).matchAll(sectionReference)) assert.ok(have.has(m[1]!), `${f} refers to §${m[1]}`);
 });
-test('every option is in CONFIG.md, every package has a README that gives its term', () => {
+test('every option is in CONFIG.md', () => {
   const doc = read('docs/CONFIG.md');
   const c = configSchema.check({ classes: { a: { kind: 'model', weight: 1 } } });
   assert.ok(c.ok);
@@ -37,8 +51,17 @@
     for (const k of Object.keys(group)) assert.ok(doc.includes(`\`${k}\``), `${k} is not in CONFIG.md`);
   for (const role of ['coordinator', 'store', 'agent', 'gateway'] as const)
     for (const k of configSchema.keys(role)) assert.ok(doc.includes(`\`${k}\``), `${k} is not in CONFIG.md`);
-  for (const p of workspacesOf(root).filter((name) => name !== 'platform'))
-    assert.match(read(`${p}/README.md`), /Standard term: /, p);
+});
+test('every package has its term in GLOSSARY.md, and a README with its name, what it is, and its design', () => {
+  const terms = new Map(rowsOf(sectionOf(read('docs/GLOSSARY.md'), 'Packages')).map((row) => [row[2]!, row]));
+  for (const workspace of workspacesOf(root).filter((name) => name !== 'platform')) {
+    const name = path.basename(workspace);
+    assert.is(terms.get(`\`${workspace}\``)?.[0], name, `${workspace} is not in GLOSSARY.md`);
+    assert.ok(terms.get(`\`${workspace}\``)?.[1], `${workspace} has no term`);
+    const readme = read(`${workspace}/README.md`);
+    assert.match(readme, new RegExp(`^# ${name}\\n\\n[^\\n#]{20,}`), workspace);
+    assert.match(readme, /docs\/DESIGN\.md/, workspace);
+  }
 });
 test('FAILURES.md has a row for every scenario and guard', () => {
   const doc = read('docs/FAILURES.md');
@@ -61,20 +84,6 @@
   }
 });
 
-/** The text of a page from one heading to the next of the same level or a higher one. */
-const sectionOf = (page: string, heading: string): string => {
-  const start = page.indexOf(`## ${heading}\n`);
-  assert.ok(start >= 0, `no section "${heading}"`);
-  const end = page.indexOf('\n## ', start);
-  return page.slice(start, end < 0 ? undefined : end);
-};
-/** The cells of the rows of a table, without its head. */
-const rowsOf = (text: string): string[][] =>
-  text
-    .split('\n')
-    .filter((line) => line.startsWith('| ') && !line.startsWith('| ---'))
-    .slice(1)
-    .map((line) => line.slice(2, -2).split(' | '));
 /** What is compared of `errors` of the data plane. */
 type ClientErrors = {
   codes: string[];
