--- /dev/null
+++ b/packages/admission-scheduler/src/release.ts
@@ -0,0 +1,42 @@
+/** Release of a turn to its program's worker; every admission ends here, whatever its reason (§4.2). */
+import { invariant, type Microseconds } from '@thornsail/runtime';
+import { leastUtilizedWorker } from './capacity.js';
+import type { HeldTurn, Program, ReleaseReason, SchedulerEffect, SchedulerState } from './types.js';
+
+/** A program stays with its worker; one without a worker, or whose worker drains or has gone, gets another. */
+const assignWorker = (state: SchedulerState, program: Program): void => {
+  if (program.assignedWorker !== null && state.workers.get(program.assignedWorker)?.eligible) return;
+  if (program.assignedWorker !== null) state.counts.repacked += 1;
+  program.assignedWorker = leastUtilizedWorker(state);
+};
+
+/**
+ * Releases a turn of an ACTIVE program with no running turn; the program is REASONING from then on.
+ * @param waited how long the turn was held, microseconds
+ */
+export const releaseTurn = (
+  state: SchedulerState,
+  program: Program,
+  release: { turn: string; reason: ReleaseReason; waited: Microseconds },
+  now: Microseconds,
+): SchedulerEffect => {
+  invariant.hold(program.status === 'active', `released a turn of a paused program ${program.id}`);
+  invariant.hold(program.runningTurn === null, `two turns of ${program.id} at once`);
+  program.runningTurn = release.turn;
+  program.phase = 'reasoning';
+  program.lastActiveAt = now;
+  assignWorker(state, program);
+  state.runningTurns.set(release.turn, program.id);
+  state.heldTurns.delete(release.turn);
+  state.counts.released += 1;
+  return { type: 'turn-released', program: program.id, worker: program.assignedWorker, ...release };
+};
+
+/** Releases a held turn. */
+export const releaseHeldTurn = (
+  state: SchedulerState,
+  program: Program,
+  held: HeldTurn,
+  reason: ReleaseReason,
+  now: Microseconds,
+): SchedulerEffect => releaseTurn(state, program, { turn: held.turn, reason, waited: now - held.heldSince }, now);
--- a/packages/data-plane/src/admission.ts
+++ b/packages/data-plane/src/admission.ts
@@ -16,11 +16,15 @@
 import { likely, type Likely } from './likely.js';
 import {
   admissionScheduler,
-  type Effect,
-  type Event,
-  type Options,
-  type State,
-  type Why,
+  type RejectionReason,
+  type ReleaseReason,
+  type SchedulerCounts,
+  type SchedulerEffect,
+  type SchedulerEvent,
+  type SchedulerOptions,
+  type SchedulerState,
+  type TurnArrival,
+  type TurnCompletion,
 } from '@thornsail/admission-scheduler';
 
 export type EdgeLoad = {
@@ -33,8 +37,8 @@
   uses: number;
 };
 export type Released =
-  | { ok: true; worker: string | null; why: Why; waited: Microseconds }
-  | { ok: false; why: 'turns' | 'programs' | 'busy' | 'gone' };
+  | { ok: true; worker: string | null; why: ReleaseReason; waited: Microseconds }
+  | { ok: false; why: RejectionReason | 'gone' };
 export type Slot = { ok: true; worker: WorkerEntry } | { ok: false; why: 'full' | 'late' | 'gone' | 'none' };
 type Wait = {
   hint: string | null;
@@ -46,10 +50,10 @@
 };
 
 export type Admission = {
-  turn: (e: Event & { kind: 'arrive' }, onHold: () => void) => { released: Promise<Released>; gone: () => void };
+  turn: (e: TurnArrival, onHold: () => void) => { released: Promise<Released>; gone: () => void };
   knows: (program: string) => boolean;
   grow: (program: string, tokens: number) => void;
-  end: (turn: string, e: { tokens: number | null; final: boolean; worker: string | null }) => void;
+  end: (turn: string, e: TurnCompletion) => void;
   slot: (
     cls: string,
     o: {
@@ -81,23 +85,23 @@
   held: () => number;
   /** Whether any turn waits for a slot here. */
   waits: () => boolean;
-  counts: () => State['counts'] & { slotWaits: number; slotRejects: number };
-  state: () => State;
+  counts: () => SchedulerCounts & { slotWaits: number; slotRejects: number };
+  state: () => SchedulerState;
   close: () => void;
 };
 
-export const optionsOf = (c: Config): Options => {
+export const optionsOf = (c: Config): SchedulerOptions => {
   const s = c.scheduler;
   return {
     pauseThreshold: s.pauseThreshold,
     pauseTarget: s.pauseTarget,
     resumeHysteresis: s.resumeHysteresis,
     resumeTimeout: duration.s(s.resumeTimeoutSeconds),
-    retention: duration.s(s.retentionSeconds),
-    interval: duration.s(s.intervalSeconds),
+    idleRetention: duration.s(s.retentionSeconds),
+    tickInterval: duration.s(s.intervalSeconds),
     actingTokenWeight: s.actingTokenWeight,
     actingHalfLife: duration.s(s.actingDecaySeconds),
-    headroom: s.headroomTokens,
+    headroomTokens: s.headroomTokens,
     maxTurns: s.maxTurns,
     maxPrograms: s.maxPrograms,
     holdLimit: duration.ms(s.holdLimitMs),
@@ -112,7 +116,7 @@
   open: (runtime: Runtime, me: string, changed: () => void, plain = false, zone = ''): Admission => {
     const { clock } = runtime;
     const log = runtime.log('admission');
-    const st = admissionScheduler.open(admissionScheduler.defaults(), clock.now());
+    const st = admissionScheduler.open(admissionScheduler.defaults());
     const balancer: LoadBalancer = loadBalancer.open(clock.now, me, () => Math.floor(clock.wall() / newsLag));
     const take = (worker: string, cls: string): void => {
       balancer.take(worker, cls);
@@ -129,37 +133,38 @@
     let closed = false;
     const c = { slotWaits: 0, slotRejects: 0 };
 
-    const apply = (effects: Effect[]): void => {
+    const apply = (effects: SchedulerEffect[]): void => {
       for (const e of effects) {
-        if (e.kind === 'release') {
-          if (e.why !== 'ordinary') log(`${e.why} ${e.program} after ${duration.toMs(e.waited)} ms.`);
-          waiting.get(e.turn)?.({ ok: true, worker: e.worker, why: e.why, waited: e.waited });
+        if (e.type === 'turn-released') {
+          if (e.reason !== 'ordinary') log(`${e.reason} ${e.program} after ${duration.toMs(e.waited)} ms.`);
+          waiting.get(e.turn)?.({ ok: true, worker: e.worker, why: e.reason, waited: e.waited });
           waiting.delete(e.turn);
-        } else if (e.kind === 'reject') {
-          waiting.get(e.turn)?.({ ok: false, why: e.why });
+        } else if (e.type === 'turn-rejected') {
+          waiting.get(e.turn)?.({ ok: false, why: e.reason });
           waiting.delete(e.turn);
-        } else if (e.kind === 'paused' || e.kind === 'marked') log(`${e.kind} ${e.program} at ${e.worker}.`);
+        } else if (e.type === 'program-paused') log(`paused ${e.program} at ${e.worker}.`);
+        else if (e.type === 'program-marked') log(`marked ${e.program} at ${e.worker}.`);
       }
       arm();
     };
-    const step = (e: Event): void => apply(admissionScheduler.step(st, e, clock.now()).effects);
+    const step = (e: SchedulerEvent): void => apply(admissionScheduler.step(st, e, clock.now()).effects);
     let armedAt = Infinity;
     let disarm: Cancel = () => undefined;
     const arm = (): void => {
-      const at = admissionScheduler.dueAt(st);
+      const at = admissionScheduler.nextForcedRelease(st);
       if (at === undefined || closed || at >= armedAt) return;
       disarm();
       armedAt = at;
       disarm = clock.schedule(Math.max(0, at - clock.now()), () => {
         armedAt = Infinity;
-        step({ kind: 'due' });
+        step({ type: 'forced-release-due' });
       });
     };
 
     const giveWorkers = (): void =>
       step({
-        kind: 'workers',
-        list: list
+        type: 'workers-changed',
+        workers: list
           .filter((w) => w.kind === 'model')
           .map((w) => ({
             id: w.id,
@@ -193,7 +198,7 @@
       await measure(list);
       if (closed) return;
       giveWorkers();
-      step({ kind: 'tick' });
+      step({ type: 'tick' });
     };
     let stopTick: Cancel = () => undefined;
     let interval = 0;
@@ -265,20 +270,20 @@
           done = fin;
         });
         waiting.set(e.turn, done);
-        step(e);
+        step({ type: 'turn-arrived', ...e });
         if (waiting.has(e.turn)) onHold();
         return {
           released,
           gone: () => {
             if (!waiting.delete(e.turn)) return;
-            step({ kind: 'gone', turn: e.turn });
+            step({ type: 'turn-abandoned', turn: e.turn });
             done({ ok: false, why: 'gone' });
           },
         };
       },
       knows: (program) => st.programs.has(program),
-      grow: (program, tokens) => step({ kind: 'grow', program, tokens }),
-      end: (turn, e) => step({ kind: 'end', turn, ...e }),
+      grow: (program, tokens) => step({ type: 'context-grew', program, tokens }),
+      end: (turn, e) => step({ type: 'turn-ended', turn, ...e }),
       slot: (cls, o) => {
         const of = o.service === undefined ? {} : { service: o.service };
         const warm = o.warm ?? false;
@@ -361,13 +366,13 @@
         const tokens = new Map<string, number>();
         for (const e of l) for (const [w, n] of Object.entries(e.tokens)) tokens.set(w, (tokens.get(w) ?? 0) + n);
         balancer.siblings(l.map((e) => ({ id: e.id, load: e.load ?? loads.empty() })));
-        for (const e of l) for (const program of e.took ?? []) step({ kind: 'moved', program });
+        for (const e of l) for (const program of e.took ?? []) step({ type: 'program-moved', program });
         step({
-          kind: 'siblings',
-          siblings: {
-            tokens,
-            sharers: l.filter((e) => e.paused > 0).length,
-            smallest: Math.min(Infinity, ...l.map((e) => e.smallest ?? Infinity)),
+          type: 'peers-changed',
+          peers: {
+            tokensByWorker: tokens,
+            gatewaysWithPaused: l.filter((e) => e.paused > 0).length,
+            smallestPausedTokens: Math.min(Infinity, ...l.map((e) => e.smallest ?? Infinity)),
           },
         });
         pump();
@@ -376,17 +381,25 @@
         config = cfg;
         balancer.config(cfg);
         const options = optionsOf(cfg);
-        step({ kind: 'options', options });
-        if (options.interval !== interval) {
-          interval = options.interval;
+        step({ type: 'options-changed', options });
+        if (options.tickInterval !== interval) {
+          interval = options.tickInterval;
           stopTick();
           stopTick = time.every(clock, interval, tick);
         }
         pump();
       },
-      load: () => ({ load: balancer.load(), ...admissionScheduler.totals(st) }),
+      load: () => {
+        const { tokensByWorker, pausedPrograms, smallestPausedTokens } = admissionScheduler.load(st);
+        return {
+          load: balancer.load(),
+          tokens: tokensByWorker,
+          paused: pausedPrograms,
+          smallest: smallestPausedTokens,
+        };
+      },
       runningAt: balancer.runningAt,
-      held: () => st.held.size,
+      held: () => st.heldTurns.size,
       waits: () => buffers.size > 0,
       counts: () => ({ ...st.counts, ...c }),
       state: () => st,
--- a/packages/data-plane/src/chat.ts
+++ b/packages/data-plane/src/chat.ts
@@ -1,4 +1,5 @@
 // Carrying out a turn of a program (§5.1), a function for each stage: claim, context, admission, slot, charge, send.
+import type { RejectionReason } from '@thornsail/admission-scheduler';
 import { formats, type WorkerEntry } from '@thornsail/load-balancer';
 import { fault, invariant, duration, type HttpResponseWriter, type Microseconds } from '@thornsail/runtime';
 import type { Released } from './admission.js';
@@ -106,14 +107,13 @@
   const { x, p } = r;
   const t = x.adm.turn(
     {
-      kind: 'arrive',
       turn: r.turn,
       program: p.program,
       tokens: c.guess,
       timeLeft: p.timeLeft - spent(r),
-      expected: x.adm.expected(p.cls),
+      expectedService: x.adm.expected(p.cls),
       // A hold that runs out ends forced.
-      silence: quiet(r, true),
+      patience: quiet(r, true),
       known: c.known,
     },
     onHold,
@@ -122,11 +122,11 @@
   if (r.say.gone()) t.gone();
   return t.released;
 };
-const notAdmitted = (r: Run, why: 'turns' | 'programs' | 'busy' | 'gone'): 'done' => {
+const notAdmitted = (r: Run, why: RejectionReason | 'gone'): 'done' => {
   if (why === 'gone') return gone(r);
   const again = r.x.say.backoff();
-  if (why === 'busy') return no(r, 'turn_open', 'another turn of this program is open', again);
-  return no(r, 'full', `the table of ${why} is full`, again);
+  if (why === 'program-busy') return no(r, 'turn_open', 'another turn of this program is open', again);
+  return no(r, 'full', `the table of ${why === 'turn-limit' ? 'turns' : 'programs'} is full`, again);
 };
 
 const slot = async (r: Run): Promise<WorkerEntry | 'done'> => {
--- a/packages/data-plane/src/forward/place.ts
+++ b/packages/data-plane/src/forward/place.ts
@@ -14,15 +14,14 @@
   const known = placement.preferred === null ? {} : { known: { tokens: context.prompt, worker: placement.preferred } };
   const asked = edge.adm.turn(
     {
-      kind: 'arrive',
       turn: request.id,
       program: lineOf(turn),
       tokens: context.prompt,
       timeLeft: requests.left(request),
-      expected: edge.adm.expected(plan.cls),
-      silence: requests.untilGivenUp(request) - edge.adm.ahead(plan.cls, true),
+      expectedService: edge.adm.expected(plan.cls),
+      patience: requests.untilGivenUp(request) - edge.adm.ahead(plan.cls, true),
       ...known,
-      ...(turn.remaining === null ? {} : { remaining: turn.remaining }),
+      ...(turn.remaining === null ? {} : { programTimeLeft: turn.remaining }),
     },
     () => request.stages.go('hold'),
   );
@@ -32,8 +31,14 @@
     const { why } = released;
     if (why === 'gone') return requests.clientGone(request);
     const again = requests.soon(request);
-    if (why === 'busy') return requests.reject(request, 'turn_open', 'another turn of this session is open', again);
-    return requests.reject(request, 'full', `the table of ${why} is full`, again);
+    if (why === 'program-busy')
+      return requests.reject(request, 'turn_open', 'another turn of this session is open', again);
+    return requests.reject(
+      request,
+      'full',
+      `the table of ${why === 'turn-limit' ? 'turns' : 'programs'} is full`,
+      again,
+    );
   }
   placement.scheduled = true;
   request.stages.go('admit');
--- a/tools/simulation/src/guards/admission-scheduler.ts
+++ b/tools/simulation/src/guards/admission-scheduler.ts
@@ -6,17 +6,17 @@
   guard({
     name: 'a hold ends before the silence limit',
     rule: '2 hold',
-    file: 'admission-scheduler/src/index.js',
-    find: 'Math.min(s.options.resumeTimeout, s.options.holdLimit, e.timeLeft - e.expected, e.silence)',
-    replacement: 's.options.resumeTimeout',
+    file: 'admission-scheduler/src/forced-release.js',
+    find: 'Math.min(resumeTimeout, holdLimit, untilDeadline, arrival.patience)',
+    replacement: 'resumeTimeout',
     noticedBy: { scenario: 'hold' },
   }),
   guard({
     name: 'a program is paused only between turns',
     rule: '3 uncut',
-    file: 'admission-scheduler/src/index.js',
-    find: "p.phase === 'acting' && p.turn === null",
+    file: 'admission-scheduler/src/pause.js',
+    find: "program.phase === 'acting' && program.runningTurn === null",
     replacement: 'true',
-    noticedBy: { test: 'admission-scheduler/test/admission-scheduler.test.js' },
+    noticedBy: { test: 'admission-scheduler/test/pause.test.js' },
   }),
 ];
--- a/tools/simulation/src/measurement/capacity/fixtures.ts
+++ b/tools/simulation/src/measurement/capacity/fixtures.ts
@@ -107,19 +107,20 @@
 export const mostWorkers = 12_000;
 
 export const programsOf = (programs: number, workers: number): ReturnType<typeof admissionScheduler.open> => {
-  const s = admissionScheduler.open(
-    { ...admissionScheduler.defaults(), maxPrograms: 1_000_000, maxTurns: 1_000_000 },
-    0,
-  );
-  const list = workerList(workers).map((w) => ({ id: w.id, capacity: 2_000_000, eligible: true }));
-  admissionScheduler.step(s, { kind: 'workers', list }, 0);
-  const limits = { timeLeft: duration.s(600), expected: duration.s(10), silence: duration.s(2) };
+  const s = admissionScheduler.open({
+    ...admissionScheduler.defaults(),
+    maxPrograms: 1_000_000,
+    maxTurns: 1_000_000,
+  });
+  const models = workerList(workers).map((w) => ({ id: w.id, capacity: 2_000_000, eligible: true }));
+  admissionScheduler.step(s, { type: 'workers-changed', workers: models }, 0);
+  const limits = { timeLeft: duration.s(600), expectedService: duration.s(10), patience: duration.s(2) };
   for (let i = 0; i < programs; i++) {
-    const known = { tokens: 240_000, worker: list[i % list.length]!.id };
-    const e = { kind: 'arrive' as const, turn: `t${i}`, program: `p${i}`, tokens: 240_000, ...limits, known };
+    const known = { tokens: 240_000, worker: models[i % models.length]!.id };
+    const e = { type: 'turn-arrived' as const, turn: `t${i}`, program: `p${i}`, tokens: 240_000, ...limits, known };
     admissionScheduler.step(s, e, 0);
     if (i % 2)
-      admissionScheduler.step(s, { kind: 'end', turn: `t${i}`, tokens: 240_000, final: false, worker: null }, 0);
+      admissionScheduler.step(s, { type: 'turn-ended', turn: `t${i}`, tokens: 240_000, final: false, worker: null }, 0);
   }
   return s;
 };
--- a/tools/simulation/src/measurement/capacity/processor.ts
+++ b/tools/simulation/src/measurement/capacity/processor.ts
@@ -38,18 +38,22 @@
 const turnCost = (programs: number, workers: number): number => {
   const s = programsOf(programs, workers);
   for (const p of s.programs.values())
-    if (p.turn === null && Number(p.id.slice(1)) % 100 === 1) {
-      p.standing = 'paused';
+    if (p.runningTurn === null && Number(p.id.slice(1)) % 100 === 1) {
+      p.status = 'paused';
       p.tokens = 3_000_000;
     }
   let n = 0;
   return cpuOf(() => {
     const turn = `x${n}`;
-    const limits = { timeLeft: duration.s(600), expected: duration.s(10), silence: duration.s(2) };
+    const limits = { timeLeft: duration.s(600), expectedService: duration.s(10), patience: duration.s(2) };
     const program = `p${((n++ * 2 + 3) % programs) | 1}`;
-    admissionScheduler.step(s, { kind: 'arrive', turn, program, tokens: 240_000, ...limits }, duration.s(1));
-    admissionScheduler.step(s, { kind: 'end', turn, tokens: 240_000, final: false, worker: null }, duration.s(1));
-    admissionScheduler.step(s, { kind: 'gone', turn }, duration.s(1));
+    admissionScheduler.step(s, { type: 'turn-arrived', turn, program, tokens: 240_000, ...limits }, duration.s(1));
+    admissionScheduler.step(
+      s,
+      { type: 'turn-ended', turn, tokens: 240_000, final: false, worker: null },
+      duration.s(1),
+    );
+    admissionScheduler.step(s, { type: 'turn-abandoned', turn }, duration.s(1));
   }, 100);
 };
 
--- a/tools/simulation/src/measurement/day.ts
+++ b/tools/simulation/src/measurement/day.ts
@@ -22,11 +22,12 @@
 
 /** Tokens of active programs at each worker; each program once: for a moment after it moved, two edges count it. */
 const tokensAtWorkers = (f: Fleet): Map<string, number> => {
-  const last = new Map<string, { worker: string; tokens: number; touched: number }>();
+  const last = new Map<string, { worker: string; tokens: number; activeAt: number }>();
   for (const p of f.procs)
     for (const x of p.node?.dataPlane?.admission.state().programs.values() ?? []) {
-      if (x.standing !== 'active' || x.worker === null || (last.get(x.id)?.touched ?? -1) >= x.touched) continue;
-      last.set(x.id, { worker: x.worker, tokens: x.tokens, touched: x.touched });
+      if (x.status !== 'active' || x.assignedWorker === null) continue;
+      if ((last.get(x.id)?.activeAt ?? -1) >= x.lastActiveAt) continue;
+      last.set(x.id, { worker: x.assignedWorker, tokens: x.tokens, activeAt: x.lastActiveAt });
     }
   const tokens = new Map<string, number>();
   for (const x of last.values()) tokens.set(x.worker, (tokens.get(x.worker) ?? 0) + x.tokens);
