--- a/programs/thornsail/src/roles.ts
+++ b/programs/thornsail/src/roles.ts
@@ -20,7 +20,7 @@
 import { rpc, type Rpc } from '@thornsail/rpc';
 import { control, root, signal, type Control, type NewsResult, type SignalNode } from '@thornsail/admin-api';
 import { configuration, core, order, snapshotCodec, type Ordered, type Marked } from '@thornsail/consensus';
-import { watch } from '@thornsail/leases';
+import { leaseVoter } from '@thornsail/leases';
 import { obeyDrain } from './drain.js';
 import { groupOf, sweepDuty } from './sweep-duty.js';
 
@@ -161,7 +161,7 @@
     const p = await rpc.open(runtime, o.place);
     const disk = diskOf(runtime);
     const durable = await durableStore.open(runtime.disk, disk.failed);
-    const voter = watch.voter({ runtime, rpc: p });
+    const voter = leaseVoter.open({ runtime, rpc: p });
     const here: { membership?: Membership } = {};
     const give = (v: Marked<Ordered>): void => {
       const { view: term, seq: index, members, state } = v;
@@ -196,7 +196,9 @@
         loads: Object.fromEntries(
           (here.membership?.dissemination.all('load/') ?? []).map((x) => [x.name.slice(5), x.item.value]),
         ),
-        duties: Object.fromEntries(Object.entries(voter.grants()).map(([k, g]) => [k, { by: g.by, mark: g.mark }])),
+        duties: Object.fromEntries(
+          Object.entries(voter.grants()).map(([k, g]) => [k, { by: g.holder, mark: g.fencingToken }]),
+        ),
       }),
     });
     const m = membership.open({
--- a/programs/thornsail/src/sweep-duty.ts
+++ b/programs/thornsail/src/sweep-duty.ts
@@ -2,7 +2,7 @@
 // lives does at once, without a lease: the lease may be with the very store that was lost, and two sweeps at once do
 // no harm, as every key is settled by a ballot.
 import { time, duration, type Runtime, type Address, type Microseconds } from '@thornsail/runtime';
-import { watch } from '@thornsail/leases';
+import { lease } from '@thornsail/leases';
 import type { Membership } from '@thornsail/membership';
 import { sweep, type Group, type Registers, type SweepPace, type SweepResult } from '@thornsail/register-store';
 import type { Ordered } from '@thornsail/consensus';
@@ -74,7 +74,7 @@
   const { runtime, rpc, membership, id, voters } = options;
   const { clock } = runtime;
   const log = runtime.log('store');
-  const lease = watch.duty({ runtime, rpc, name: 'sweep', by: id, voters });
+  const sweepLease = lease.open({ runtime, rpc, name: 'sweep', holder: id, voters });
   let lastFull = clock.now();
   let changed: { mark: number; at: Microseconds } = { mark: 0, at: clock.now() };
   let closed = false;
@@ -90,7 +90,7 @@
     if (await pass(group, 'fill')) lastFull = clock.now();
   };
   const isMine = (ordered: Ordered): boolean =>
-    firstMember(ordered) === id || (lease.holds() && clock.now() - changed.at > firstWithin);
+    firstMember(ordered) === id || (sweepLease.holds() && clock.now() - changed.at > firstWithin);
   return {
     once: async () => {
       const ordered = membership.state();
@@ -101,12 +101,12 @@
         if (isMine(ordered)) await sweepChange(group);
         return;
       }
-      if (!lease.holds() || clock.now() - lastFull < fullEvery) return;
+      if (!sweepLease.holds() || clock.now() - lastFull < fullEvery) return;
       if (await pass(group, 'usual')) lastFull = clock.now();
     },
     close: () => {
       closed = true;
-      lease.close();
+      sweepLease.close();
     },
   };
 };
--- a/tools/simulation/src/guards/leases.ts
+++ b/tools/simulation/src/guards/leases.ts
@@ -6,8 +6,8 @@
   guard({
     name: 'one grant at a time',
     rule: 'duties',
-    file: 'leases/src/index.js',
-    find: 'if (held && g.by !== by)',
+    file: 'leases/src/voter.js',
+    find: 'if (isHeld && grant.holder !== holder)',
     replacement: 'if (false)',
     noticedBy: {
       test: 'simulation/test/parts.test.js',
@@ -16,9 +16,9 @@
   guard({
     name: 'a late leave ends no later grant',
     rule: 'late messages',
-    file: 'leases/src/index.js',
-    find: '(left ?? grant.mark) >= grant.mark',
+    file: 'leases/src/voter.js',
+    find: '(fencingToken ?? grant.fencingToken) >= grant.fencingToken',
     replacement: 'true',
-    noticedBy: { test: 'leases/test/late.test.js' },
+    noticedBy: { test: 'leases/test/voter.test.js' },
   }),
 ];
--- a/tools/simulation/src/measurement/duties.ts
+++ b/tools/simulation/src/measurement/duties.ts
@@ -1,5 +1,5 @@
 // How long a duty is vacant when its holder goes (§3.6).
-import { type Duty, watch } from '@thornsail/leases';
+import { lease, leaseVoter, type Lease } from '@thornsail/leases';
 import { rpc } from '@thornsail/rpc';
 import { duration } from '@thornsail/runtime';
 import { world } from '../world.js';
@@ -15,17 +15,20 @@
       const voters = [1, 2, 3].map((i) => `127.0.3.${i}:1`);
       for (const [i, at] of voters.entries()) {
         const runtime = w.runtime(w.host(`127.0.3.${i + 1}`, `z${i}`));
-        void rpc.open(runtime, at).then((p) => watch.voter({ runtime, rpc: p }));
+        void rpc.open(runtime, at).then((p) => leaseVoter.open({ runtime, rpc: p }));
       }
       const hosts = [1, 2, 3, 4].map((i) => w.host(`127.0.1.${i}`, 'z1'));
-      const duties = new Map<number, Duty>();
+      const duties = new Map<number, Lease>();
       let gen = 0;
       const boot = (i: number): void => {
         const runtime = w.runtime(hosts[i]!);
         void rpc
           .open(runtime, `127.0.1.${i + 1}:1`)
           .then((p) =>
-            duties.set(i, watch.duty({ runtime, rpc: p, name: 'sweep', by: `n${i}.${gen++}`, voters: () => voters })),
+            duties.set(
+              i,
+              lease.open({ runtime, rpc: p, name: 'sweep', holder: `n${i}.${gen++}`, voters: () => voters }),
+            ),
           );
       };
       for (let i = 0; i < 4; i++) boot(i);
--- a/tools/simulation/test/late.test.ts
+++ b/tools/simulation/test/late.test.ts
@@ -4,7 +4,7 @@
 import * as assert from 'uvu/assert';
 import { invariant, duration } from '@thornsail/runtime';
 import { rpc, validate, type Rpc } from '@thornsail/rpc';
-import { watch, type Duty } from '@thornsail/leases';
+import { lease, leaseVoter, type Lease } from '@thornsail/leases';
 import { world, type Host, type World } from '@thornsail/simulation';
 
 const open = (seed: number): World => {
@@ -65,13 +65,13 @@
     const voterHosts = Array.from({ length: voters }, (_, i) => w.host(`127.0.3.${i + 1}`, `z${i}`));
     const places = voterHosts.map((_, i) => `127.0.3.${i + 1}:1`);
     for (const [i, host] of voterHosts.entries())
-      watch.voter({ runtime: w.runtime(host), rpc: await rpc.open(w.runtime(host), places[i]!) });
-    const duties: Duty[] = [];
+      leaseVoter.open({ runtime: w.runtime(host), rpc: await rpc.open(w.runtime(host), places[i]!) });
+    const duties: Lease[] = [];
     const nodes = Array.from({ length: holders }, (_, i) => w.host(`127.0.1.${i + 1}`, 'z1'));
     for (const [i, host] of nodes.entries()) {
       const runtime = w.runtime(host);
       const own: Rpc = await rpc.open(runtime, `127.0.1.${i + 1}:1`);
-      duties.push(watch.duty({ runtime, rpc: own, name: 'sweep', by: `n${i}`, voters: () => places }));
+      duties.push(lease.open({ runtime, rpc: own, name: 'sweep', holder: `n${i}`, voters: () => places }));
     }
     troubles(w, nodes, voterHosts);
     let held = 0;
--- a/tools/simulation/test/parts.test.ts
+++ b/tools/simulation/test/parts.test.ts
@@ -5,7 +5,7 @@
 import { durableStore } from '@thornsail/durable-files';
 import { failureDetector, ring } from '@thornsail/failure-detector';
 import { rpc } from '@thornsail/rpc';
-import { watch, type Duty } from '@thornsail/leases';
+import { lease, leaseVoter, type Lease } from '@thornsail/leases';
 import { world, type Host } from '@thornsail/simulation';
 
 const open = (seed: number): ReturnType<typeof world.open> => {
@@ -171,10 +171,10 @@
     const voters = [1, 2, 3].map((i) => ({ host: w.host(`127.0.3.${i}`, `z${i}`), at: `127.0.3.${i}:1` }));
     const bootVoter = (v: { host: Host; at: string }): void => {
       const runtime = w.runtime(v.host);
-      void rpc.open(runtime, v.at).then((p) => watch.voter({ runtime, rpc: p }));
+      void rpc.open(runtime, v.at).then((p) => leaseVoter.open({ runtime, rpc: p }));
     };
     voters.forEach(bootVoter);
-    const duties: { d: Duty; host: Host }[] = [];
+    const duties: { d: Lease; host: Host }[] = [];
     const won: number[] = [];
     for (let i = 1; i <= 4; i++) {
       const host = w.host(`127.0.1.${i}`, 'z1');
@@ -182,13 +182,13 @@
       void rpc.open(runtime, `127.0.1.${i}:1`).then((p) =>
         duties.push({
           host,
-          d: watch.duty({
+          d: lease.open({
             runtime,
             rpc: p,
             name: 'sweep',
-            by: `n${i}`,
+            holder: `n${i}`,
             voters: () => voters.map((v) => v.at),
-            onWon: (m) => won.push(m),
+            onAcquired: (m) => won.push(m),
           }),
         }),
       );
