--- a/packages/durable-files/test/batches.test.ts
+++ b/packages/durable-files/test/batches.test.ts
@@ -85,7 +85,7 @@
   assert.is(o.at.size, 200);
   // Those that come while a sync is under way wait for the next one, all together.
   const more: Promise<void>[] = [];
-  for (let i = 0; i < 50; i++) w.at(w.now() + i * 100, () => more.push(o.records.write(`m${i}`, value(i))));
+  for (let i = 0; i < 50; i++) w.scheduleAt(w.now() + i * 100, () => more.push(o.records.write(`m${i}`, value(i))));
   const mark = w.syncs();
   await w.run(w.now() + duration.ms(40));
   await until(w, Promise.all(more));
@@ -116,9 +116,9 @@
       may.set(k, [got]);
     }
     for (const k of o.at.keys()) if (!may.has(k)) lost.push(`life ${life}: ${k} was never written`);
-    const inc = h.inc;
+    const inc = h.incarnation;
     const writer = async (id: number): Promise<void> => {
-      while (h.inc === inc) {
+      while (h.incarnation === inc) {
         const key = `w${id}k${r.int(6)}`;
         const v = r.int(5) === 0 ? 0 : ++n;
         const list = may.get(key) ?? [0];
@@ -126,7 +126,7 @@
         await (v === 0 ? o.records.remove(key) : o.records.write(key, value(v)));
         may.set(key, [v]);
         acks += 1;
-        if (r.int(3) === 0) await new Promise<void>((fin) => w.at(w.now() + r.int(duration.ms(4)), fin));
+        if (r.int(3) === 0) await new Promise<void>((fin) => w.scheduleAt(w.now() + r.int(duration.ms(4)), fin));
       }
     };
     for (let i = 0; i < 8; i++) void writer(i);
--- a/packages/register-store/test/registers.test.ts
+++ b/packages/register-store/test/registers.test.ts
@@ -82,7 +82,7 @@
       }),
     wait: (t) =>
       new Promise((fin) => {
-        w.at(w.now() + t, fin);
+        w.scheduleAt(w.now() + t, fin);
       }),
   };
   let done = '';
@@ -227,7 +227,7 @@
     assert.ok(frozen.took < duration.ms(12), `${frozen.took} with the nearest one frozen`);
     const change = await cost(w, () => writer.regs.change('k1', append('x')));
     assert.ok(change.took < duration.ms(12), `${change.took} for a change`);
-    w.wake(hosts[0]!);
+    w.thaw(hosts[0]!);
   }));
 test('keys of which the stores differ are settled, the others of the same read are not', () =>
   stage(5, async ({ w, hosts, edge }) => {
@@ -236,7 +236,7 @@
     // The accept of a second append reaches store3 alone: the other two lose power before it comes.
     const b = await edge(3);
     await b.regs.reserve('y');
-    const heal = w.cut([b.host], [hosts[0]!, hosts[1]!]);
+    const heal = w.partition([b.host], [hosts[0]!, hosts[1]!]);
     assert.is(await codeOf(b.regs.change('y', append('2'), duration.ms(200))), 'no-majority');
     heal();
     const rounds = a.regs.counts().rounds;
@@ -335,7 +335,7 @@
     await a.regs.change('gone', put('w', duration.s(10)));
     // Edge 2 remembers the value with its old end; then the extension reaches stores 1 and 2 only.
     await b.regs.change('k', put('v', duration.s(10)));
-    const heal = w.cut([a.host], [hosts[2]!]);
+    const heal = w.partition([a.host], [hosts[2]!]);
     assert.equal(await a.regs.extend(['k', 'gone'], wallAt(w, duration.s(4000))), []);
     await wait(duration.s(30));
     heal();
@@ -419,7 +419,7 @@
     await stage(seed, async ({ w, hosts, edge, wait }) => {
       const a = await edge(1);
       await a.regs.change('k', put('v', duration.s(10)));
-      const heal = w.cut([a.host], [hosts[1]!, hosts[2]!]);
+      const heal = w.partition([a.host], [hosts[1]!, hosts[2]!]);
       assert.is(await codeOf(a.regs.extend(['k'], wallAt(w, duration.s(4000)), duration.ms(300))), 'no-majority');
       heal();
       await wait(duration.s(20));
@@ -427,7 +427,7 @@
       const seen: unknown[] = [];
       const b = await edge(2);
       for (let i = 0; i < 6; i++) {
-        const healOne = w.cut([b.host], [hosts[(seed + i) % 3]!]);
+        const healOne = w.partition([b.host], [hosts[(seed + i) % 3]!]);
         // A change that leaves the value as it is tells of it just as a read does.
         const look = (): Promise<unknown> => b.regs.change('k', (v) => ({ keep: true, result: v }));
         seen.push(await (seed % 2 ? b.regs.read('k') : look()));
@@ -474,7 +474,7 @@
         if (i % 12 === 5) {
           const at = r.int(3);
           w.kill(hosts[at]!, 'power');
-          w.at(w.now() + r.int(duration.ms(300)), () => {
+          w.scheduleAt(w.now() + r.int(duration.ms(300)), () => {
             w.start(hosts[at]!);
             void boot(at + 1);
           });
@@ -488,7 +488,7 @@
         const left = (most.get(k) ?? 0) - wallAt(w, 0);
         if (left > duration.s(2)) await wait(left - duration.s(1));
         for (let i = 0; i < 3; i++) {
-          const heal = w.cut([es[1]!.host], [hosts[i]!]);
+          const heal = w.partition([es[1]!.host], [hosts[i]!]);
           const v = (await es[1]!.regs.read(k)) as string[] | undefined;
           assert.ok(v?.includes('0'), `seed ${seed}: ${k} ended before what was promised, without store ${i + 1}`);
           heal();
@@ -582,13 +582,16 @@
         await wait(duration.s(40));
         // Store 3 answers what is due, and the word to drop it does not reach it.
         let heal = (): void => undefined;
-        w.at(w.now() + duration.ms(4) + w.rand.int(duration.ms(3)), () => (heal = w.cut([a.host], [hosts[2]!])));
+        w.scheduleAt(
+          w.now() + duration.ms(4) + w.rand.int(duration.ms(3)),
+          () => (heal = w.partition([a.host], [hosts[2]!])),
+        );
         await pass(a, false);
         heal();
         const b = await edge(2);
         await b.regs.change('k', put('again', duration.s(500)));
         for (const i of [0, 1, 2]) {
-          const healOne = w.cut([b.host], [hosts[i]!]);
+          const healOne = w.partition([b.host], [hosts[i]!]);
           assert.is(await b.regs.read('k'), 'again', `seed ${seed}, without store ${i + 1}`);
           healOne();
         }
@@ -626,7 +629,7 @@
         (await cost(w, () => a.regs.change(key, append('x'), duration.s(2), fresh))).took;
       const usual = (await cost(w, () => a.regs.change('usual', append('x')))).took;
       if (how === 'lost') w.kill(hosts[2]!, 'power');
-      else if (how === 'cut') w.cut([a.host], [hosts[2]!]);
+      else if (how === 'cut') w.partition([a.host], [hosts[2]!]);
       else w.freeze(hosts[2]!);
       const [first, next] = [await took('k1'), await took('k2')];
       assert.ok(first < usual + duration.ms(20), `${how}: the first took ${first}, usual is ${usual}`);
@@ -661,7 +664,7 @@
       await a.regs.change('k', put('v'), duration.s(2), fresh);
       assert.is(a.regs.counts().opened, 1);
       // Store 2 alone has this one: its opening was never decided, nor told to be.
-      const heal = w.cut([a.host], [hosts[0]!, hosts[2]!]);
+      const heal = w.partition([a.host], [hosts[0]!, hosts[2]!]);
       await a.regs.change('alone', put('w'), duration.ms(100), fresh).catch(() => undefined);
       heal();
       w.kill(hosts[lost]!, 'power');
@@ -678,7 +681,7 @@
     await a.regs.change('warm', put(1));
     await wait(duration.s(1));
     // Stores 1 and 2 take it, store 3 and its proposer do not get further.
-    w.cut([a.host], [hosts[2]!]);
+    w.partition([a.host], [hosts[2]!]);
     void a.regs.change('k', append('a'), duration.s(2), fresh).catch(() => undefined);
     await wait(duration.ms(4));
     w.kill(a.host, 'power');
@@ -697,7 +700,7 @@
     const [a, b, c] = [await edge(1), await edge(2, (id) => (id === 'k3' ? 0 : 1)), await edge(3)];
     for (const x of [a, b, c]) await x.regs.change('warm', put(1));
     await wait(duration.s(1));
-    const heal = w.cut([a.host], [hosts[0]!, hosts[1]!]);
+    const heal = w.partition([a.host], [hosts[0]!, hosts[1]!]);
     assert.is(await codeOf(a.regs.change('k', append('1'), duration.ms(20), fresh)), 'no-majority');
     heal();
     await wait(duration.s(1));
@@ -714,7 +717,7 @@
   const e = await s.edge(n);
   await e.regs.change(`warm${n}`, put(1));
   await s.wait(duration.s(1));
-  s.w.cut(
+  s.w.partition(
     [e.host],
     s.hosts.filter((_, i) => !reached.includes(i + 1)),
   );
--- a/tools/simulation/src/disk.ts
+++ b/tools/simulation/src/disk.ts
@@ -24,7 +24,7 @@
   busyUntil: Microseconds;
 };
 /** What the disk needs of the process that it belongs to; `inc` counts the starts of this process. */
-export type DiskHost = { inc: number; files: Map<string, string>; disk: DiskState };
+export type DiskHost = { incarnation: number; files: Map<string, string>; disk: DiskState };
 /** What the disk needs of the simulated world; `syncTime` is the longest time of one sync. */
 export type DiskGround<H extends DiskHost> = {
   rand: Random;
--- a/tools/simulation/src/fleet.ts
+++ b/tools/simulation/src/fleet.ts
@@ -24,7 +24,7 @@
 import { roles, type Node } from '@thornsail/thornsail';
 import { world, type Host, type World } from './world.js';
 
-export type Proc = {
+export type FleetProcess = {
   name: string;
   role: 'gateway' | 'agent' | 'coordinator' | 'store';
   host: Host;
@@ -33,17 +33,17 @@
   seeds: Address[];
 };
 export type Fleet = {
-  w: World;
+  world: World;
   shape: Shape;
   layout: Layout;
   requestLog: RequestLog;
-  procs: Proc[];
+  processes: FleetProcess[];
   models: StandIn[];
   apps: StandIn[];
   callers: Callers;
   callerRuntime: Runtime;
   platform: Platform;
-  proc: (name: string) => Proc;
+  process: (name: string) => FleetProcess;
   hostOf: (ip: string) => Host;
   kill: (name: string, how?: 'process' | 'power' | 'disk') => void;
   start: (name: string) => void;
@@ -55,7 +55,7 @@
   /** A worker of its own machine, not yet on the platform's list. */
   addWorker: (w: Listed) => Promise<StandIn>;
   freeze: (name: string, forUs: Microseconds) => void;
-  cut: (a: string[], b: string[]) => () => void;
+  partition: (a: string[], b: string[]) => () => void;
   /** Cuts a machine that is not one of the fleet's own (a worker, the platform) off from some hosts. */
   cutMachine: (ip: string, from: Host[]) => () => void;
   http: (
@@ -74,7 +74,7 @@
     done: () => boolean;
   };
   breaches: () => string[];
-  expectBreach: string[];
+  breachesOfItsOwn: string[];
 };
 
 export const fleet = {
@@ -111,7 +111,7 @@
       clientDelay: shape.clientDelay,
       clientIp: lay.callers,
     });
-    if (o.log) w.logs((at, ip, part, text) => o.log!(`${(at / 1e6).toFixed(3)} ${ip} ${part}: ${text}`));
+    if (o.log) w.onLog((at, ip, part, text) => o.log!(`${(at / 1e6).toFixed(3)} ${ip} ${part}: ${text}`));
     const recorded = requestLog.open();
     const hosts = new Map<string, Host>();
     const host = (ip: string, zone: string): Host => {
@@ -152,10 +152,10 @@
       workers: lay.workers,
     });
 
-    const procs: Proc[] = [];
+    const procs: FleetProcess[] = [];
     const add = (
       name: string,
-      role: Proc['role'],
+      role: FleetProcess['role'],
       ip: string,
       zone: string,
       options: Record<string, unknown>,
@@ -186,20 +186,20 @@
       else if (m.kind === 'store') add(m.name, 'store', m.host, m.zone, { ...common, data: 'data' });
       else addEdge(m.name, m.host, m.zone);
     }
-    const proc = (name: string): Proc => {
+    const proc = (name: string): FleetProcess => {
       const p = procs.find((x) => x.name === name);
       if (!p) throw new Error(`no process ${name}`);
       return p;
     };
-    const boot = (p: Proc): void => {
+    const boot = (p: FleetProcess): void => {
       const c = configSchema.options(p.role, { ...p.options, seeds: p.seeds });
       if (!c.ok) throw new Error(JSON.stringify(c.problems));
-      const inc = p.host.inc;
+      const inc = p.host.incarnation;
       (roles[p.role] as (l: Runtime, x: never, extra: object) => Promise<Node>)(w.runtime(p.host), c.value as never, {
         plain: o.plain ?? false,
       }).then(
         (node) => {
-          if (p.host.inc !== inc) return;
+          if (p.host.incarnation !== inc) return;
           p.node = node;
           node.onFailed(() => f.kill(p.name));
         },
@@ -211,19 +211,19 @@
       );
     };
     const f: Fleet = {
-      w,
+      world: w,
       shape,
       layout: lay,
       requestLog: recorded,
-      procs,
+      processes: procs,
       models,
       apps,
       platform,
       hostOf: (ip) => host(ip, 'z1'),
       callers: undefined as unknown as Callers,
       callerRuntime: w.runtime(host(lay.callers, 'c')),
-      proc,
-      expectBreach: extraBreaches,
+      process: proc,
+      breachesOfItsOwn: extraBreaches,
       kill: (name, how = 'process') => {
         const p = proc(name);
         strike(p.host).to = w.now();
@@ -268,21 +268,21 @@
         const h = proc(name).host;
         const t = strike(h);
         w.freeze(h);
-        w.at(w.now() + forUs, () => {
+        w.scheduleAt(w.now() + forUs, () => {
           t.to = w.now();
-          w.wake(h);
+          w.thaw(h);
         });
       },
-      cut: (a, b) => {
+      partition: (a, b) => {
         const hosts = [a, b].map((list) => list.map((x) => proc(x).host));
         const marks = hosts.flat().map((h) => strike(h));
-        const heal = w.cut(hosts[0]!, hosts[1]!);
+        const heal = w.partition(hosts[0]!, hosts[1]!);
         return () => {
           heal();
           for (const t of marks) t.to = w.now();
         };
       },
-      cutMachine: (ip, from) => w.cut([host(ip, 'z1')], from),
+      cutMachine: (ip, from) => w.partition([host(ip, 'z1')], from),
       http: async (at, method, path, body, headers = {}) => {
         const r = await f.callerRuntime.net.call({
           at,
@@ -323,7 +323,7 @@
         const later = (fn: () => Promise<void>): void => {
           work.push(
             new Promise((fin) => {
-              w.at(
+              w.scheduleAt(
                 w.now() + w.rand.int(over),
                 () =>
                   void fn().then(fin, (e) => {
--- a/tools/simulation/src/guards/simulation.ts
+++ b/tools/simulation/src/guards/simulation.ts
@@ -7,7 +7,7 @@
     name: 'a call receives what was written before its server ended',
     rule: 'answers',
     file: 'simulation/src/world.js',
-    find: 'h.inc === hInc && !powerLost',
+    find: 'h.incarnation === hInc && !powerLost',
     replacement: 'same() && !powerLost',
     noticedBy: { test: 'simulation/test/link.test.js' },
   }),
--- a/tools/simulation/src/link.ts
+++ b/tools/simulation/src/link.ts
@@ -44,7 +44,7 @@
 /** One direction: in order, held up by a cut, gone with its sender's power. */
 type Lane = { send: (fn: () => void) => void; lose: () => void };
 const laneOf = (g: Ground, a: Host, b: Host, reset: () => void): Lane => {
-  const inc = b.inc;
+  const inc = b.incarnation;
   let held: (() => void)[] = [];
   let lost = false;
   const flush = (): void => {
@@ -59,9 +59,9 @@
   const send = (fn: () => void): void => {
     if (lost) return;
     if (held.length || g.severed(a, b)) return hold(fn);
-    if (b.inc !== inc) {
+    if (b.incarnation !== inc) {
       // Another process, or none: the machine says so if it has power.
-      if (!b.dark) g.later(2 * g.delay(a, b), a, reset);
+      if (!b.poweredOff) g.later(2 * g.delay(a, b), a, reset);
       return;
     }
     g.deliver(a, b, () => {
@@ -204,7 +204,7 @@
   const end = (): void => {
     if (!up) return;
     up = false;
-    t.open.delete(broken);
+    t.connections.delete(broken);
     served.room(-1);
     reply?.gone();
   };
@@ -224,7 +224,7 @@
       if (rest === mine && !reply) shut('UND_ERR_SOCKET');
     });
   };
-  t.open.add(broken);
+  t.connections.add(broken);
   idle();
   return {
     ask: (x) => {
@@ -275,8 +275,8 @@
   };
   const leave = (): void => {
     state = 'closed';
-    h.open.delete(mine);
-    there.host?.open.delete(theirs);
+    h.connections.delete(mine);
+    there.host?.connections.delete(theirs);
   };
   const closed = (): void => {
     if (state === 'closed') return;
@@ -366,18 +366,18 @@
   };
   const open = (t: Turn): void => {
     state = 'connecting';
-    h.open.add(mine);
+    h.connections.add(mine);
     const unless = (code: string) => (): void => {
       if (state === 'connecting') broke(code);
     };
     g.later(o.connectWithin, h, unless('UND_ERR_CONNECT_TIMEOUT'));
     const to = g.hostOf(at);
     if (!to) return g.later(duration.ms(1), h, unless('ECONNREFUSED'));
-    if (!to.alive && !to.dark && !g.severed(h, to)) return g.later(2 * g.delay(h, to), h, unless('ECONNREFUSED'));
+    if (!to.alive && !to.poweredOff && !g.severed(h, to)) return g.later(2 * g.delay(h, to), h, unless('ECONNREFUSED'));
     const down = laneOf(g, to, h, () => undefined);
     there.up = laneOf(g, h, to, () => broke('ECONNRESET'));
     there.host = to;
-    to.open.add(theirs);
+    to.connections.add(theirs);
     there.up.send(() => accept(to, t, down));
   };
   const start = (t: Turn): void => {
--- a/tools/simulation/src/measurement/capacity/messages.ts
+++ b/tools/simulation/src/measurement/capacity/messages.ts
@@ -38,7 +38,7 @@
       else void adm.slot('chat', { hint: worker.id, not: new Set(), force: true, limit: 0, service: 'model-0' });
     }
   };
-  for (let i = 0; i * every < stirred * 1000; i++) h.w.at(h.w.now() + i * duration.ms(every), () => step(i));
+  for (let i = 0; i * every < stirred * 1000; i++) h.w.scheduleAt(h.w.now() + i * duration.ms(every), () => step(i));
 };
 
 export const messages: Part = async (sizes) => {
--- a/tools/simulation/src/measurement/day.ts
+++ b/tools/simulation/src/measurement/day.ts
@@ -23,7 +23,7 @@
 /** Tokens of active programs at each worker; each program once: for a moment after it moved, two edges count it. */
 const tokensAtWorkers = (f: Fleet): Map<string, number> => {
   const last = new Map<string, { worker: string; tokens: number; activeAt: number }>();
-  for (const p of f.procs)
+  for (const p of f.processes)
     for (const x of p.node?.dataPlane?.admission.state().programs.values() ?? []) {
       if (x.status !== 'active' || x.assignedWorker === null) continue;
       if ((last.get(x.id)?.activeAt ?? -1) >= x.lastActiveAt) continue;
@@ -71,8 +71,8 @@
   });
   const l = f.load({ chats: o.chats, kept: Math.round(o.chats / 8), jobs: 0, over: duration.s(20) });
   const over = overCapacity();
-  while (!l.done() && f.w.now() < duration.s(120)) {
-    await f.w.run(f.w.now() + duration.ms(250));
+  while (!l.done() && f.world.now() < duration.s(120)) {
+    await f.world.run(f.world.now() + duration.ms(250));
     over.sample(f, o.capacity);
   }
   const e = f.requestLog.entries.filter((x) => x.program !== null);
--- a/tools/simulation/src/measurement/detection.ts
+++ b/tools/simulation/src/measurement/detection.ts
@@ -52,7 +52,7 @@
           accused.clear();
           w.freeze(x.host);
           await w.run(w.now() + duration.ms(200 + w.rand.int(700)));
-          w.wake(x.host);
+          w.thaw(x.host);
           await w.run(w.now() + duration.s(1));
           if (two.has(x.id)) wrong += 1;
         }
--- a/tools/simulation/src/measurement/duties.ts
+++ b/tools/simulation/src/measurement/duties.ts
@@ -53,7 +53,7 @@
         if (how === 'it is killed') {
           w.start(hosts[h]!);
           boot(h);
-        } else if (how === 'it is frozen') w.wake(hosts[h]!);
+        } else if (how === 'it is frozen') w.thaw(hosts[h]!);
         else {
           w.kill(hosts[h]!, 'process');
           w.start(hosts[h]!);
--- a/tools/simulation/src/measurement/registers.ts
+++ b/tools/simulation/src/measurement/registers.ts
@@ -105,7 +105,7 @@
   const before = { syncs: w.syncs(), frames: w.frames(), bytes: w.zoneBytes() };
   const turns = Math.round((o.rate / 3) * (o.span / 1e6));
   for (let n = 0; n < turns; n++)
-    w.at(w.now() + Math.round((n * o.span) / turns), () => void turn(timed(edges[n % 3]!), r, n));
+    w.scheduleAt(w.now() + Math.round((n * o.span) / turns), () => void turn(timed(edges[n % 3]!), r, n));
   await w.run(w.now() + o.span + duration.s(6));
   const all = Math.max(1, started);
   row(
--- a/tools/simulation/src/measurement/spread.ts
+++ b/tools/simulation/src/measurement/spread.ts
@@ -22,7 +22,7 @@
       const f = await fleet.open({ seed: 7, shape });
       let mark = 1;
       for (let i = 0; i < 20; i++) {
-        const begun = f.w.now();
+        const begun = f.world.now();
         let got = -1;
         if (kill && i % 5 === 0) {
           const p = `agent-edge${1 + i / 5}`;
@@ -33,7 +33,7 @@
             { ...f.shape.config, limits: { onceKeepSeconds: 1000 + i } },
             mark,
             `m${i}`,
-            f.proc('gateway-edge7').options['http'] as string,
+            f.process('gateway-edge7').options['http'] as string,
           )
           .then(
             (r) => {
@@ -43,14 +43,14 @@
               got = 0;
             },
           );
-        while (got < 0) await f.w.run(f.w.now() + duration.ms(1));
-        const at = f.w.now();
+        while (got < 0) await f.world.run(f.world.now() + duration.ms(1));
+        const at = f.world.now();
         acks.push(duration.toMs(at - begun));
         mark = got;
-        while (f.procs.some((p) => p.role === 'gateway' && (p.node?.counts()['config_mark'] ?? 0) < mark))
-          await f.w.run(f.w.now() + duration.ms(1));
-        (kill ? dead : used).push(duration.toMs(f.w.now() - at));
-        await f.w.run(f.w.now() + duration.ms(400));
+        while (f.processes.some((p) => p.role === 'gateway' && (p.node?.counts()['config_mark'] ?? 0) < mark))
+          await f.world.run(f.world.now() + duration.ms(1));
+        (kill ? dead : used).push(duration.toMs(f.world.now() - at));
+        await f.world.run(f.world.now() + duration.ms(400));
       }
     }
     row(shape, pct(acks, 0.5), pct(used, 0.5), Math.max(...used), Math.max(...dead));
@@ -64,9 +64,9 @@
     const took: number[] = [];
     for (let seed = 1; seed <= 20; seed++) {
       const f = await fleet.open({ seed, shape });
-      await f.w.run(f.w.now() + duration.ms(w100(f)));
-      f.kill(f.procs.find((p) => p.role === 'coordinator' && p.node?.counts()['leads'] === 1)!.name, 'power');
-      const begun = f.w.now();
+      await f.world.run(f.world.now() + duration.ms(w100(f)));
+      f.kill(f.processes.find((p) => p.role === 'coordinator' && p.node?.counts()['leads'] === 1)!.name, 'power');
+      const begun = f.world.now();
       let got = -1;
       void f.push({ ...f.shape.config, limits: { onceKeepSeconds: 1001 } }, 1, 'x').then(
         (r) => {
@@ -76,12 +76,12 @@
           got = 0;
         },
       );
-      while (got < 0) await f.w.run(f.w.now() + duration.ms(5));
-      if (got === 200) took.push(duration.toMs(f.w.now() - begun));
+      while (got < 0) await f.world.run(f.world.now() + duration.ms(5));
+      if (got === 200) took.push(duration.toMs(f.world.now() - begun));
       else out(`seed ${seed}: ${got}`);
     }
     row(shape, Math.round(mean(took)), Math.max(...took));
   }
 };
 
-const w100 = (f: Fleet): number => f.w.rand.int(100);
+const w100 = (f: Fleet): number => f.world.rand.int(100);
--- a/tools/simulation/src/measurement/turns.ts
+++ b/tools/simulation/src/measurement/turns.ts
@@ -24,18 +24,18 @@
       const f = await fleet.open({ seed: 1, shape });
       const idle = await fleet.open({ seed: 1, shape });
       const l = f.load({ ...o, over: duration.s(5) });
-      const [s0, fr0] = [f.w.syncs(), f.w.frames()];
+      const [s0, fr0] = [f.world.syncs(), f.world.frames()];
       await f.until('the load', l.done, duration.s(60));
-      const span = f.w.now();
-      const [si, fi] = [idle.w.syncs(), idle.w.frames()];
-      await idle.w.run(span);
+      const span = f.world.now();
+      const [si, fi] = [idle.world.syncs(), idle.world.frames()];
+      await idle.world.run(span);
       const n = f.callers.summary.turns + f.callers.summary.jobs;
       row(
         shape,
         name,
         n,
-        ((f.w.syncs() - s0 - (idle.w.syncs() - si)) / n).toFixed(1),
-        ((f.w.frames() - fr0 - (idle.w.frames() - fi)) / n).toFixed(1),
+        ((f.world.syncs() - s0 - (idle.world.syncs() - si)) / n).toFixed(1),
+        ((f.world.frames() - fr0 - (idle.world.frames() - fi)) / n).toFixed(1),
         (sum(f, 'register_rounds') / n).toFixed(2),
         (sum(f, 'register_quick') / n).toFixed(2),
       );
--- a/tools/simulation/src/operator-calls.ts
+++ b/tools/simulation/src/operator-calls.ts
@@ -6,11 +6,12 @@
 import { gatewayAt } from './scene.js';
 
 /** Runs `fn` once `after` microseconds of simulated time have passed. */
-export const later = (f: Fleet, after: Microseconds, fn: () => void): void => f.w.at(f.w.now() + after, fn);
+export const later = (f: Fleet, after: Microseconds, fn: () => void): void =>
+  f.world.scheduleAt(f.world.now() + after, fn);
 
 /** The coordinator that leads now; `coordinator1` while none does. */
 export const headOf = (f: Fleet): string =>
-  f.procs.find((p) => p.role === 'coordinator' && p.node?.counts()['leads'] === 1)?.name ?? 'coordinator1';
+  f.processes.find((p) => p.role === 'coordinator' && p.node?.counts()['leads'] === 1)?.name ?? 'coordinator1';
 
 /** Configurations that can be told apart: the n-th has a class `only-n`, by which callers see it in use. */
 const nth = (f: Fleet, n: number): Record<string, unknown> => ({
@@ -30,7 +31,7 @@
       const now = await f.http(at, 'GET', `${root}/config`);
       if (now.status !== 200) return;
       const r = await f.push(nth(f, mine), Number(now.body['mark']), `op-${mine}`, at);
-      if (r.status === 200) acked.push({ n: mine, mark: r.mark, ackedAt: f.w.now() });
+      if (r.status === 200) acked.push({ n: mine, mark: r.mark, ackedAt: f.world.now() });
     } catch {
       /* Not known: it may have been taken or not. */
     }
@@ -39,15 +40,15 @@
 
 /** The newest acknowledged configuration is in use, or a newer one, two seconds later, wherever a gateway serves. */
 export const inUse = async (f: Fleet, acked: Pushed[], gateway: string): Promise<void> => {
-  const sent = f.w.now();
+  const sent = f.world.now();
   const due = acked.filter((a) => sent - a.ackedAt > duration.s(2)).sort((a, b) => b.mark - a.mark)[0];
   const older = acked.filter((a) => due && a.mark < due.mark);
   if (!due || older.length === 0) return;
   const old = older[older.length - 1]!;
-  const at = f.proc(gateway).options['http'] as Address;
+  const at = f.process(gateway).options['http'] as Address;
   const r = await f.http(at, 'POST', '/v1/jobs', {}, { 'x-thornsail-class': `only-${old.n}` }).catch(() => undefined);
   if (r?.status === 200)
-    f.expectBreach.push(
+    f.breachesOfItsOwn.push(
       `${gateway} served by configuration ${old.mark}, ${duration.toMs(sent - due.ackedAt)} ms after ${due.mark}`,
     );
 };
--- a/tools/simulation/src/repair-load.ts
+++ b/tools/simulation/src/repair-load.ts
@@ -46,7 +46,7 @@
   let n = 0;
   const every = (end: Microseconds): void => {
     void write(`load/${++n}`);
-    if (stage.world.now() + loadEvery < end) stage.world.at(stage.world.now() + loadEvery, () => every(end));
+    if (stage.world.now() + loadEvery < end) stage.world.scheduleAt(stage.world.now() + loadEvery, () => every(end));
   };
   return { write, acknowledged, every };
 };
@@ -70,7 +70,7 @@
   };
   const every = (end: Microseconds): void => {
     void push();
-    if (stage.world.now() + pushEvery < end) stage.world.at(stage.world.now() + pushEvery, () => every(end));
+    if (stage.world.now() + pushEvery < end) stage.world.scheduleAt(stage.world.now() + pushEvery, () => every(end));
   };
   return { every, newest: () => newest };
 };
--- a/tools/simulation/src/repair-losses.ts
+++ b/tools/simulation/src/repair-losses.ts
@@ -45,7 +45,7 @@
       loss.role,
       known.map((coordinator) => coordinator.at),
     );
-  stage.world.at(stage.world.now() + loss.backAfter, () => {
+  stage.world.scheduleAt(stage.world.now() + loss.backAfter, () => {
     returned();
     for (const process of leaving)
       void process.node?.drain().then(() => {
@@ -63,7 +63,7 @@
     process.node = undefined;
     stage.world.kill(process.host, how);
   }
-  stage.world.at(stage.world.now() + loss.backAfter, () => {
+  stage.world.scheduleAt(stage.world.now() + loss.backAfter, () => {
     for (const process of lost) restart(stage, loss, process);
     returned();
   });
--- a/tools/simulation/src/repair-run.ts
+++ b/tools/simulation/src/repair-run.ts
@@ -39,7 +39,7 @@
   const fullAfter: Microseconds[] = losses.map(() => Infinity);
   const returned: { loss: Loss; i: number; at: Microseconds }[] = [];
   for (const [i, loss] of losses.entries())
-    world.at(begun + loss.at, () => lose(stage, loss, () => void returned.push({ loss, i, at: world.now() })));
+    world.scheduleAt(begun + loss.at, () => lose(stage, loss, () => void returned.push({ loss, i, at: world.now() })));
   while (world.now() < end) {
     await world.run(world.now() + step);
     for (const { loss, i, at } of returned)
--- a/tools/simulation/src/repair-stage.ts
+++ b/tools/simulation/src/repair-stage.ts
@@ -80,7 +80,7 @@
     clientIp: '127.0.9.9',
     diskTime: plan.diskTime,
   });
-  if (plan.log) simulated.logs((at, ip, part, text) => plan.log!(`${(at / 1e6).toFixed(3)} ${ip} ${part}: ${text}`));
+  if (plan.log) simulated.onLog((at, ip, part, text) => plan.log!(`${(at / 1e6).toFixed(3)} ${ip} ${part}: ${text}`));
   return simulated;
 };
 
@@ -102,10 +102,10 @@
   const { role, host } = process;
   const checked = configSchema.options(role, optionsOf(plan, process));
   if (!checked.ok) throw new Error(JSON.stringify(checked.problems));
-  const { inc } = host;
+  const { incarnation } = host;
   const started = (roles[role] as StartRole)(simulated.runtime(host), checked.value as never);
   void started.then((node) => {
-    if (host.inc === inc) process.node = node;
+    if (host.incarnation === incarnation) process.node = node;
   });
 };
 
--- a/tools/simulation/src/scenarios/budget.ts
+++ b/tools/simulation/src/scenarios/budget.ts
@@ -8,7 +8,7 @@
   rule: 'never more tokens than the budget plus one turn',
   run: async (seed, shape, log) => {
     const f = await fleet.open({ seed, shape, log, config: patch({ '*model': { budgetTokens: 900 } }) });
-    const r = f.w.rand;
+    const r = f.world.rand;
     const cls = Object.entries(
       f.shape.config['classes'] as Record<string, { kind: string; keepSeconds?: number }>,
     ).find(([, c]) => c.kind === 'model')![0];
@@ -36,16 +36,16 @@
         await pause(f, duration.ms(400 + r.int(500)));
         const e = gateways[r.int(7)]!;
         const k = r.int(4);
-        if (k === 0 && f.proc(e).host.alive) {
+        if (k === 0 && f.process(e).host.alive) {
           f.kill(e);
-          f.w.at(f.w.now() + duration.ms(300 + r.int(1500)), () => f.start(e));
-        } else if (k === 1 && f.proc(e).host.alive && !f.proc(e).host.frozen)
+          f.world.scheduleAt(f.world.now() + duration.ms(300 + r.int(1500)), () => f.start(e));
+        } else if (k === 1 && f.process(e).host.alive && !f.process(e).host.frozen)
           f.freeze(e, duration.ms(800 + r.int(3000)));
         else if (k === 2) {
           const n = keepers[r.int(3)]!;
-          if (f.proc(n).host.alive && ofLive(f, 'store').length === 3) {
+          if (f.process(n).host.alive && ofLive(f, 'store').length === 3) {
             f.kill(n, 'power');
-            f.w.at(f.w.now() + duration.ms(500 + r.int(1500)), () => f.start(n));
+            f.world.scheduleAt(f.world.now() + duration.ms(500 + r.int(1500)), () => f.start(n));
           }
         } else f.models[r.int(f.models.length)]!.faults.dieMidStream = 0.5;
       }
--- a/tools/simulation/src/scenarios/burst.ts
+++ b/tools/simulation/src/scenarios/burst.ts
@@ -10,9 +10,9 @@
   rule: 'urgent jobs at all edges in one instant, among crowds, with claims behind model turns at slow stores',
   run: async (seed, shape, log) => {
     const f = await fleet.open({ seed, shape, log });
-    const r = f.w.rand;
+    const r = f.world.rand;
     for (const a of f.apps) a.faults.slow = 10;
-    for (const k of keepers) f.proc(k).host.disk.slow = 4;
+    for (const k of keepers) f.process(k).host.disk.slow = 4;
     const names = classNames[shape];
     const limit = shape === 'lautoka' ? 2000 : 1500;
     const l = f.load({ chats: 160, kept: 10, jobs: 0, over: duration.s(6) });
@@ -32,7 +32,7 @@
     let open = 0;
     const urgent = async (edge: number, id: string): Promise<void> => {
       open += 1;
-      const begun = f.w.now();
+      const begun = f.world.now();
       const head = {
         'x-thornsail-class': names.urgent,
         'x-thornsail-time-left-ms': String(limit),
@@ -40,7 +40,7 @@
         'x-thornsail-once': 'true',
       };
       const x = await f.http(gatewayAt(f, edge), 'POST', '/v1/jobs', { id }, head).catch(() => undefined);
-      if (x?.status === 200) waits.push(f.w.now() - begun);
+      if (x?.status === 200) waits.push(f.world.now() - begun);
       else bad += 1;
       open -= 1;
     };
--- a/tools/simulation/src/scenarios/clocks.ts
+++ b/tools/simulation/src/scenarios/clocks.ts
@@ -10,20 +10,20 @@
   run: async (seed, shape, log) => {
     const small = { model: 8, app: 1 };
     const f = await fleet.open({ seed, shape, log, config: (c) => ({ ...c, slots: small }) });
-    const r = f.w.rand;
+    const r = f.world.rand;
     for (const a of f.apps) a.faults.slow = 6;
     const l = f.load({ chats: 60, kept: 14, jobs: 250, over: duration.s(14) });
     const day = duration.s(86_400);
     const jump = (name: string): void => {
       // Of the stores one clock at a time is wrong, by up to 400 days either way.
-      const role = f.proc(name).role;
-      for (const p of f.procs) if (p.role === role && role !== 'gateway') p.host.skew = 0;
-      f.proc(name).host.skew = (r.int(2) ? 1 : -1) * r.int(400) * day;
+      const role = f.process(name).role;
+      for (const p of f.processes) if (p.role === role && role !== 'gateway') p.host.skew = 0;
+      f.process(name).host.skew = (r.int(2) ? 1 : -1) * r.int(400) * day;
     };
     const all = [...keepers, ...keepers, ...towers, ...gateways];
     for (let i = 0; i < 24; i++) later(f, r.int(duration.s(16)), () => jump(all[r.int(all.length)]!));
     later(f, duration.s(3), () => f.kill(keepers[r.int(3)]!, 'power'));
-    later(f, duration.s(5), () => keepers.forEach((k) => f.proc(k).host.alive || f.start(k)));
+    later(f, duration.s(5), () => keepers.forEach((k) => f.process(k).host.alive || f.start(k)));
     later(f, duration.s(6), () => f.kill(gateways[r.int(7)]!));
     const acked: Pushed[] = [];
     const push = operator(f, acked);
--- a/tools/simulation/src/scenarios/closing.ts
+++ b/tools/simulation/src/scenarios/closing.ts
@@ -33,17 +33,17 @@
       },
       duration.s(1),
     );
-    await time('core_cut_in_two', () => f.cut(['coordinator1'], ['coordinator2', 'coordinator3']), duration.s(4));
+    await time('core_cut_in_two', () => f.partition(['coordinator1'], ['coordinator2', 'coordinator3']), duration.s(4));
     await time(
       'core_cut_off',
       () =>
-        f.cut(
+        f.partition(
           towers,
-          f.procs.filter((p) => p.role !== 'coordinator').map((p) => p.name),
+          f.processes.filter((p) => p.role !== 'coordinator').map((p) => p.name),
         ),
       duration.s(5),
     );
-    const zone = f.procs.filter((p) => p.host.zone === 'z2');
+    const zone = f.processes.filter((p) => p.host.zone === 'z2');
     await time(
       'zone_lost',
       () => {
@@ -61,8 +61,8 @@
     await time(
       'all_at_once',
       () => {
-        for (const p of f.procs) f.kill(p.name, 'power');
-        return () => f.procs.forEach((p) => f.start(p.name));
+        for (const p of f.processes) f.kill(p.name, 'power');
+        return () => f.processes.forEach((p) => f.start(p.name));
       },
       duration.s(1),
     );
--- a/tools/simulation/src/scenarios/config.ts
+++ b/tools/simulation/src/scenarios/config.ts
@@ -9,7 +9,7 @@
   rule: 'a configuration takes effect in two seconds, never slips back; losers and invalid ones never',
   run: async (seed, shape, log) => {
     const f = await fleet.open({ seed, shape, log });
-    const r = f.w.rand;
+    const r = f.world.rand;
     const base = f.shape.config;
     const nth = (n: number): Record<string, unknown> => ({ ...base, limits: { onceKeepSeconds: 1000 + n } });
     const acked = new Map<number, { at: Microseconds; n: number }>();
@@ -22,7 +22,7 @@
       open += 1;
       const mine = ++n;
       const agents = ofLive(f, 'agent');
-      const at = f.proc(agents[r.int(agents.length)]!).options['http'] as Address;
+      const at = f.process(agents[r.int(agents.length)]!).options['http'] as Address;
       try {
         const now = await f.http(at, 'GET', `${root}/config`);
         if (now.status === 200) {
@@ -34,10 +34,11 @@
             `push-${mine}`,
             at,
           );
-          if (bad && res.status === 200) f.expectBreach.push('an invalid configuration was acknowledged');
+          if (bad && res.status === 200) f.breachesOfItsOwn.push('an invalid configuration was acknowledged');
           if (res.status === 200) {
-            if (acked.has(res.mark)) f.expectBreach.push(`two configurations were acknowledged with mark ${res.mark}`);
-            acked.set(res.mark, { at: f.w.now(), n: mine });
+            if (acked.has(res.mark))
+              f.breachesOfItsOwn.push(`two configurations were acknowledged with mark ${res.mark}`);
+            acked.set(res.mark, { at: f.world.now(), n: mine });
           } else if (res.status === 409 || res.status === 422) losers.add(mine);
         }
       } catch {
@@ -47,13 +48,13 @@
     };
     // Two operators at once, and quick succession.
     for (let i = 0; i < 14; i++)
-      f.w.at(f.w.now() + r.int(duration.s(12)), () => {
+      f.world.scheduleAt(f.world.now() + r.int(duration.s(12)), () => {
         void push();
         if (r.int(2)) void push();
       });
-    const later = (at: Microseconds, fn: () => void): void => f.w.at(f.w.now() + at, fn);
+    const later = (at: Microseconds, fn: () => void): void => f.world.scheduleAt(f.world.now() + at, fn);
     const head = (): string =>
-      f.procs.find((p) => p.role === 'coordinator' && p.node?.counts()['leads'] === 1)?.name ?? 'coordinator1';
+      f.processes.find((p) => p.role === 'coordinator' && p.node?.counts()['leads'] === 1)?.name ?? 'coordinator1';
     later(duration.s(1) + r.int(duration.s(2)), () => {
       const t = head();
       f.kill(t, 'power');
@@ -61,7 +62,7 @@
     });
     later(duration.s(5) + r.int(duration.s(1)), () => {
       const t = head();
-      const heal = f.cut([t], [...towers.filter((x) => x !== t)]);
+      const heal = f.partition([t], [...towers.filter((x) => x !== t)]);
       later(duration.s(2), heal);
     });
     later(duration.s(4), () => {
@@ -72,38 +73,39 @@
     later(duration.s(8), () => {
       const e = gateways[r.int(7)]!;
       f.freeze(e, duration.s(2));
-      frozenUntil.set(e, f.w.now() + duration.s(2));
+      frozenUntil.set(e, f.world.now() + duration.s(2));
     });
-    const end = f.w.now() + duration.s(16);
+    const end = f.world.now() + duration.s(16);
     let slowest = 0;
     const arrived = new Map<string, Microseconds>();
-    while (f.w.now() < end || open > 0) {
+    while (f.world.now() < end || open > 0) {
       await run(f, duration.ms(50));
-      if (f.w.now() > end + duration.s(30)) {
-        f.expectBreach.push('an operator was never answered');
+      if (f.world.now() > end + duration.s(30)) {
+        f.breachesOfItsOwn.push('an operator was never answered');
         break;
       }
       for (const name of gateways) {
-        const node = f.proc(name).node;
-        if (!node || f.proc(name).host.frozen) continue;
+        const node = f.process(name).node;
+        if (!node || f.process(name).host.frozen) continue;
         const mark = node.counts()['config_mark'] ?? 0;
-        if (mark < (seen.get(name) ?? 0)) f.expectBreach.push(`${name} slipped back from ${seen.get(name)} to ${mark}`);
+        if (mark < (seen.get(name) ?? 0))
+          f.breachesOfItsOwn.push(`${name} slipped back from ${seen.get(name)} to ${mark}`);
         seen.set(name, mark);
         const value = node.membership.state()?.config.value;
         const v = (value?.limits.onceKeepSeconds ?? 1000) - 1000;
-        if (losers.has(v)) f.expectBreach.push(`the losing configuration ${v} took effect at ${name}`);
+        if (losers.has(v)) f.breachesOfItsOwn.push(`the losing configuration ${v} took effect at ${name}`);
         for (const [m, a] of acked)
           if (mark < m) {
-            const late = f.w.now() - Math.max(a.at, frozenUntil.get(name) ?? 0);
+            const late = f.world.now() - Math.max(a.at, frozenUntil.get(name) ?? 0);
             if (late > duration.s(2))
-              f.expectBreach.push(`${name} is at ${mark}, ${duration.toMs(late)} ms after ${m} was acknowledged`);
+              f.breachesOfItsOwn.push(`${name} is at ${mark}, ${duration.toMs(late)} ms after ${m} was acknowledged`);
           } else if (!arrived.has(`${name}.${m}`)) {
-            arrived.set(`${name}.${m}`, f.w.now() - a.at);
-            slowest = Math.max(slowest, f.w.now() - a.at);
+            arrived.set(`${name}.${m}`, f.world.now() - a.at);
+            slowest = Math.max(slowest, f.world.now() - a.at);
           }
       }
     }
-    if (acked.size < 3) f.expectBreach.push(`only ${acked.size} configurations were acknowledged`);
+    if (acked.size < 3) f.breachesOfItsOwn.push(`only ${acked.size} configurations were acknowledged`);
     return finish(f, { acknowledged: acked.size, losers: losers.size, slowest_spread_ms: duration.toMs(slowest) });
   },
 };
--- a/tools/simulation/src/scenarios/disk.ts
+++ b/tools/simulation/src/scenarios/disk.ts
@@ -9,13 +9,13 @@
   rule: 'a failed write is never acknowledged; a full disk refuses; slow ones only slow down',
   run: async (seed, shape, log) => {
     const f = await fleet.open({ seed, shape, log });
-    const r = f.w.rand;
+    const r = f.world.rand;
     const l = f.load({ chats: 50, kept: 10, jobs: 60, over: duration.s(18) });
     const acked: Pushed[] = [];
     const push = operator(f, acked);
     for (let i = 0; i < 14; i++)
       later(f, duration.ms(300) + r.int(duration.s(18)), () => void push(gatewayAt(f, r.int(7))));
-    const disk = (name: string): Fleet['procs'][number]['host']['disk'] => f.proc(name).host.disk;
+    const disk = (name: string): Fleet['processes'][number]['host']['disk'] => f.process(name).host.disk;
     const [a, b, c] = r.int(2) ? keepers : [...keepers].reverse();
     disk(c!).slow = 30;
     later(f, duration.s(1), () => (disk(a!).full = true));
@@ -29,7 +29,7 @@
     const breaks = (name: string, how: 'write' | 'sync' | 'rename'): void => {
       disk(name).fail[how] = 1;
       later(f, duration.s(2), () => {
-        if (f.proc(name).host.alive) f.expectBreach.push(`${name} goes on with a disk that fails at ${how}`);
+        if (f.process(name).host.alive) f.breachesOfItsOwn.push(`${name} goes on with a disk that fails at ${how}`);
         stopped.push(name);
         disk(name).fail[how] = 0;
         // Its first start fails as well: it cannot read what it has.
@@ -37,7 +37,7 @@
         f.start(name);
         later(f, duration.s(1), () => {
           disk(name).fail.read = 0;
-          if (f.proc(name).host.alive) f.expectBreach.push(`${name} runs though it could not read its disk`);
+          if (f.process(name).host.alive) f.breachesOfItsOwn.push(`${name} runs though it could not read its disk`);
           else f.start(name);
         });
       });
@@ -55,8 +55,8 @@
     await settleLoad(f, l);
     const now = await read(f);
     const top = Math.max(0, ...acked.map((x) => x.mark));
-    if (now.mark < top) f.expectBreach.push(`acknowledged mark ${top} is gone, ${now.mark} is there`);
-    if (stopped.length < 2) f.expectBreach.push('no disk failed: the scenario shows nothing');
+    if (now.mark < top) f.breachesOfItsOwn.push(`acknowledged mark ${top} is gone, ${now.mark} is there`);
+    if (stopped.length < 2) f.breachesOfItsOwn.push('no disk failed: the scenario shows nothing');
     return finish(f, { acknowledged: acked.length, back_ms: duration.toMs(back) });
   },
 };
--- a/tools/simulation/src/scenarios/durable.ts
+++ b/tools/simulation/src/scenarios/durable.ts
@@ -9,7 +9,7 @@
   rule: 'an acknowledged configuration survives the loss of any one machine with a disk',
   run: async (seed, shape, log) => {
     const f = await fleet.open({ seed, shape, log });
-    const r = f.w.rand;
+    const r = f.world.rand;
     let mark = 1;
     for (let i = 0; i < 3; i++) {
       let res: { status: number; mark: number } | undefined;
@@ -25,7 +25,7 @@
       await f.until('the acknowledgement', () => res !== undefined, duration.s(10));
       if (res!.status === 200) mark = res!.mark;
       // Right after the acknowledgement: power or disk of one machine, the head more often than not.
-      const head = f.procs.find((p) => p.role === 'coordinator' && p.node?.counts()['leads'] === 1)?.name;
+      const head = f.processes.find((p) => p.role === 'coordinator' && p.node?.counts()['leads'] === 1)?.name;
       const live = ofLive(f, 'coordinator');
       const t = head && r.int(3) > 0 ? head : live[r.int(live.length)]!;
       if (r.int(2) === 0) {
@@ -36,12 +36,14 @@
       await f.until(
         'three coordinators in the view again',
         () => {
-          const p = f.procs.find((x) => x.role === 'coordinator' && x.node?.counts()['leads'] === 1);
+          const p = f.processes.find((x) => x.role === 'coordinator' && x.node?.counts()['leads'] === 1);
           const v = p?.node?.membership.marked();
           return (
             v !== undefined &&
             v.members.length === 3 &&
-            v.members.every((m) => f.procs.some((x) => x.role === 'coordinator' && x.host.alive && x.node?.id === m.id))
+            v.members.every((m) =>
+              f.processes.some((x) => x.role === 'coordinator' && x.host.alive && x.node?.id === m.id),
+            )
           );
         },
         duration.s(25),
@@ -58,9 +60,9 @@
       await f.until('a read of the configuration', () => got !== undefined, duration.s(10));
       const value = (got!.body['config'] as { limits?: { onceKeepSeconds?: number } } | undefined)?.limits
         ?.onceKeepSeconds;
-      if (got!.status !== 200) f.expectBreach.push(`round ${i}: no agreed configuration (${got!.status})`);
+      if (got!.status !== 200) f.breachesOfItsOwn.push(`round ${i}: no agreed configuration (${got!.status})`);
       else if (Number(got!.body['mark']) < mark || (res!.status === 200 && value !== 2000 + i))
-        f.expectBreach.push(`round ${i}: acknowledged mark ${mark} is gone, ${String(got!.body['mark'])} is there`);
+        f.breachesOfItsOwn.push(`round ${i}: acknowledged mark ${mark} is gone, ${String(got!.body['mark'])} is there`);
       else mark = Number(got!.body['mark']);
     }
     return finish(f, { mark });
--- a/tools/simulation/src/scenarios/hold.ts
+++ b/tools/simulation/src/scenarios/hold.ts
@@ -20,13 +20,13 @@
     const l = f.load({ chats: 150, kept: 20, jobs: 20, over: duration.s(12) });
     // On every third seed the stores' disks are slow, and one store is lost on top of that.
     if (seed % 3 === 0) {
-      for (const k of keepers) f.proc(k).host.disk.slow = 25;
-      f.w.at(f.w.now() + duration.s(5), () => f.kill(keepers[f.w.rand.int(3)]!, 'power'));
+      for (const k of keepers) f.process(k).host.disk.slow = 25;
+      f.world.scheduleAt(f.world.now() + duration.s(5), () => f.kill(keepers[f.world.rand.int(3)]!, 'power'));
     }
     // The news between edges goes missing for a while.
-    f.w.at(f.w.now() + duration.s(3), () => {
-      const heal = f.cut(gateways, ['agent-edge1', 'agent-edge2', 'agent-edge3']);
-      f.w.at(f.w.now() + duration.s(4), heal);
+    f.world.scheduleAt(f.world.now() + duration.s(3), () => {
+      const heal = f.partition(gateways, ['agent-edge1', 'agent-edge2', 'agent-edge3']);
+      f.world.scheduleAt(f.world.now() + duration.s(4), heal);
     });
     await settleLoad(f, l);
     const out = finish(f, { paused: sum(f, 'paused'), marked: sum(f, 'marked') });
--- a/tools/simulation/src/scenarios/kept.ts
+++ b/tools/simulation/src/scenarios/kept.ts
@@ -8,13 +8,13 @@
   rule: 'a kept conversation is never reported missing within its keeping time',
   run: async (seed, shape, log) => {
     const f = await fleet.open({ seed, shape, log });
-    const r = f.w.rand;
+    const r = f.world.rand;
     const l = f.load({ chats: 5, kept: 16, jobs: 0, over: duration.s(4) });
-    const later = (at: Microseconds, fn: () => void): void => f.w.at(f.w.now() + at, fn);
+    const later = (at: Microseconds, fn: () => void): void => f.world.scheduleAt(f.world.now() + at, fn);
     const k = keepers[r.int(3)]!;
     const other = keepers.find((x) => x !== k)!;
     later(duration.s(2), () => {
-      f.proc(other).host.skew = (r.int(2) === 0 ? 1 : -1) * duration.s(400 * 86_400);
+      f.process(other).host.skew = (r.int(2) === 0 ? 1 : -1) * duration.s(400 * 86_400);
     });
     later(duration.s(2) + r.int(duration.s(2)), () => f.kill(gateways[r.int(7)]!));
     later(duration.s(3), () => f.replace(k, 'store9', '127.77.2.9'));
@@ -22,7 +22,7 @@
     await f.until(
       'the group to be whole again',
       () => {
-        const s = f.proc('agent-edge1').node?.membership.state()?.storeGroup;
+        const s = f.process('agent-edge1').node?.membership.state()?.storeGroup;
         return (
           s !== undefined &&
           s.members.length === 3 &&
@@ -40,12 +40,12 @@
       f.requestLog.entries.map((e) => e.program).filter((x): x is string => x !== null && x.startsWith('k')),
     )) {
       open += 1;
-      const alive = f.procs.filter((x) => x.role === 'gateway' && x.host.alive);
+      const alive = f.processes.filter((x) => x.role === 'gateway' && x.host.alive);
       void f
         .http(alive[r.int(alive.length)]!.options['http'] as Address, 'GET', `/v1/conversations/c-${p}`)
         .then((x) => {
           if (x.status === 404)
-            f.expectBreach.push(`conversation c-${p} reported missing after its stores were replaced`);
+            f.breachesOfItsOwn.push(`conversation c-${p} reported missing after its stores were replaced`);
         })
         .catch(() => undefined)
         .then(() => {
--- a/tools/simulation/src/scenarios/leaving.ts
+++ b/tools/simulation/src/scenarios/leaving.ts
@@ -8,11 +8,13 @@
   rule: 'no new request to a leaving worker after three seconds',
   run: async (seed, shape, log) => {
     const f = await fleet.open({ seed, shape, log, capacity: 900, gap: duration.ms(300) });
-    const r = f.w.rand;
+    const r = f.world.rand;
     const l = f.load({ chats: 120, kept: 6, jobs: 60, over: duration.s(12) });
-    const later = (at: Microseconds, fn: () => void): void => f.w.at(f.w.now() + at, fn);
+    const later = (at: Microseconds, fn: () => void): void => f.world.scheduleAt(f.world.now() + at, fn);
     const heal: (() => void)[] = [];
-    later(duration.s(1), () => heal.push(f.cut(towers, [...gateways, ...edges.map((e) => `agent-${e}`), ...keepers])));
+    later(duration.s(1), () =>
+      heal.push(f.partition(towers, [...gateways, ...edges.map((e) => `agent-${e}`), ...keepers])),
+    );
     later(duration.s(1.5), () => f.kill(`agent-edge${1 + r.int(7)}`));
     for (let i = 0; i < 4; i++) later(duration.s(2 + i), () => f.platform.leave(f.layout.workers[i * 2]!.id));
     const e = gateways[r.int(7)]!;
--- a/tools/simulation/src/scenarios/notrun.ts
+++ b/tools/simulation/src/scenarios/notrun.ts
@@ -16,7 +16,7 @@
         slots: { model: 8, app: 2 },
       }),
     });
-    const r = f.w.rand;
+    const r = f.world.rand;
     let open = 0;
     const requestLogKeys = (): Set<string> =>
       new Set(f.requestLog.entries.map((e) => e.key ?? (JSON.parse(e.body || '{}') as { key?: string }).key ?? ''));
@@ -36,7 +36,7 @@
       const story = f.callers.keys.get(key) ?? { ran: [], ok: false, sent: [], no: [] };
       if (keyed) {
         f.callers.keys.set(key, story);
-        story.sent.push(f.w.now());
+        story.sent.push(f.world.now());
         if (r.int(3) === 0) void copy(key);
       }
       const res = await f
@@ -54,18 +54,19 @@
         .catch(() => undefined);
       if (res && res.status !== 200 && res.body['ran'] === 'no') {
         said.push(key);
-        story.no.push(f.w.now());
+        story.no.push(f.world.now());
         if (copies.has(key)) mixed.add(key);
       }
       story.ran.push(res?.status === 200 ? 'yes' : res?.body['ran'] === 'no' ? 'no' : 'unknown');
       if (res?.status === 200) story.ok = true;
       open -= 1;
     };
-    for (let i = 0; i < 900; i++) f.w.at(f.w.now() + r.int(duration.s(3)), () => void one(`n-${i}`, i % 2 === 0));
+    for (let i = 0; i < 900; i++)
+      f.world.scheduleAt(f.world.now() + r.int(duration.s(3)), () => void one(`n-${i}`, i % 2 === 0));
     for (let i = 0; i < 3; i++)
-      f.w.at(f.w.now() + r.int(duration.s(4)), () => {
+      f.world.scheduleAt(f.world.now() + r.int(duration.s(4)), () => {
         const e = gateways[r.int(7)]!;
-        if (!f.proc(e).host.frozen) f.freeze(e, duration.ms(700 + r.int(2500)));
+        if (!f.process(e).host.frozen) f.freeze(e, duration.ms(700 + r.int(2500)));
       });
     await run(f, duration.s(5));
     await f.until('the callers to end', () => open === 0, duration.s(30));
--- a/tools/simulation/src/scenarios/once.ts
+++ b/tools/simulation/src/scenarios/once.ts
@@ -8,7 +8,7 @@
   rule: 'a request that may run only once never runs twice',
   run: async (seed, shape, log) => {
     const f = await fleet.open({ seed, shape, log });
-    const r = f.w.rand;
+    const r = f.world.rand;
     for (const a of f.apps) a.faults.loseResult = 0.2;
     let open = 0;
     const one = async (key: string): Promise<void> => {
@@ -21,14 +21,14 @@
       await f.callers.job({ urgent: true, once: true, key });
       open -= 1;
     };
-    for (let i = 0; i < 60; i++) f.w.at(f.w.now() + r.int(duration.s(6)), () => void one(`once-${i}`));
+    for (let i = 0; i < 60; i++) f.world.scheduleAt(f.world.now() + r.int(duration.s(6)), () => void one(`once-${i}`));
     for (let i = 0; i < 4; i++)
-      f.w.at(f.w.now() + duration.s(0.5) + r.int(duration.s(5)), () => {
+      f.world.scheduleAt(f.world.now() + duration.s(0.5) + r.int(duration.s(5)), () => {
         const e = gateways[r.int(7)]!;
-        if (!f.proc(e).host.alive || f.proc(e).host.frozen) return;
+        if (!f.process(e).host.alive || f.process(e).host.frozen) return;
         if (r.int(2) === 0) {
           f.kill(e);
-          f.w.at(f.w.now() + duration.s(1), () => f.start(e));
+          f.world.scheduleAt(f.world.now() + duration.s(1), () => f.start(e));
         } else f.freeze(e, duration.ms(900 + r.int(2000)));
       });
     await run(f, duration.s(8));
--- a/tools/simulation/src/scenarios/random.ts
+++ b/tools/simulation/src/scenarios/random.ts
@@ -8,48 +8,48 @@
   rule: 'two faults of any kind in one run',
   run: async (seed, shape, log) => {
     const f = await fleet.open({ seed, shape, log });
-    const r = f.w.rand;
+    const r = f.world.rand;
     const l = f.load({ chats: 50, kept: 8, jobs: 50, over: duration.s(10) });
-    const all = f.procs.map((p) => p.name);
+    const all = f.processes.map((p) => p.name);
     const some = (): string => all[r.int(all.length)]!;
     const disks = new Set<string>();
     const faults: (() => void)[] = [
       () => {
         const p = some();
-        if (f.proc(p).host.alive) {
+        if (f.process(p).host.alive) {
           f.kill(p, 'power');
-          f.w.at(f.w.now() + r.int(duration.s(3)), () => f.start(p));
+          f.world.scheduleAt(f.world.now() + r.int(duration.s(3)), () => f.start(p));
         }
       },
       () => {
         const p = some();
-        if (f.proc(p).host.alive && !f.proc(p).host.frozen) f.freeze(p, duration.ms(300) + r.int(duration.s(4)));
+        if (f.process(p).host.alive && !f.process(p).host.frozen) f.freeze(p, duration.ms(300) + r.int(duration.s(4)));
       },
       () => {
         const a = all.filter(() => r.int(2) === 0);
         const b = all.filter((x) => !a.includes(x));
-        const heal = f.cut(a, b);
-        f.w.at(f.w.now() + r.int(duration.s(4)), heal);
+        const heal = f.partition(a, b);
+        f.world.scheduleAt(f.world.now() + r.int(duration.s(4)), heal);
       },
       () => {
         const k = [...keepers, ...towers][r.int(6)]!;
-        if (disks.size === 0 && f.proc(k).host.alive) {
+        if (disks.size === 0 && f.process(k).host.alive) {
           disks.add(k);
           f.kill(k, 'disk');
-          f.w.at(f.w.now() + r.int(duration.s(2)), () => f.start(k));
+          f.world.scheduleAt(f.world.now() + r.int(duration.s(2)), () => f.start(k));
         }
       },
       () => f.platform.leave(oneToLeave(f).id),
       () => {
-        f.w.rough(r.next() * 0.2, r.int(duration.ms(30)));
-        f.w.at(f.w.now() + duration.s(3), () => f.w.rough(0, 0));
+        f.world.rough(r.next() * 0.2, r.int(duration.ms(30)));
+        f.world.scheduleAt(f.world.now() + duration.s(3), () => f.world.rough(0, 0));
       },
       () => {
-        f.proc(some()).host.skew = (r.int(2) === 0 ? 1 : -1) * duration.s(r.int(10_000_000));
+        f.process(some()).host.skew = (r.int(2) === 0 ? 1 : -1) * duration.s(r.int(10_000_000));
       },
       () => {
-        f.w.slow(duration.ms(r.int(60)));
-        f.w.at(f.w.now() + duration.s(3), () => f.w.slow(0));
+        f.world.slow(duration.ms(r.int(60)));
+        f.world.scheduleAt(f.world.now() + duration.s(3), () => f.world.slow(0));
       },
       () =>
         void f
@@ -57,7 +57,7 @@
           .catch(() => undefined),
     ];
     const n = 2 + r.int(2);
-    for (let i = 0; i < n; i++) f.w.at(f.w.now() + r.int(duration.s(8)), faults[r.int(faults.length)]!);
+    for (let i = 0; i < n; i++) f.world.scheduleAt(f.world.now() + r.int(duration.s(8)), faults[r.int(faults.length)]!);
     await run(f, duration.s(13));
     const back = await serving(f, duration.s(12));
     await settleLoad(f, l);
--- a/tools/simulation/src/scenarios/rolling.ts
+++ b/tools/simulation/src/scenarios/rolling.ts
@@ -18,7 +18,7 @@
     await f.until(
       'the new store in the group',
       () => {
-        const k = f.proc('agent-edge2').node?.membership.state()?.storeGroup;
+        const k = f.process('agent-edge2').node?.membership.state()?.storeGroup;
         return (
           k !== undefined &&
           k.swept === k.mark &&
@@ -28,24 +28,24 @@
       },
       duration.s(30),
     );
-    for (const p of f.procs)
-      p.seeds = [f.proc('agent-edge2'), f.proc('store8'), f.proc('coordinator1')].map(
+    for (const p of f.processes)
+      p.seeds = [f.process('agent-edge2'), f.process('store8'), f.process('coordinator1')].map(
         (x) => x.options['place'] as Address,
       );
     f.replace('coordinator1', 'coordinator8', '127.77.3.8');
     await f.until(
       'the new coordinator in the view',
       () => {
-        const v = f.proc('agent-edge2').node?.membership.marked();
+        const v = f.process('agent-edge2').node?.membership.marked();
         return v !== undefined && v.members.length === 3 && v.members.some((m) => m.at.startsWith('127.77.3.8'));
       },
       duration.s(30),
     );
     // None of the first seeds is left; a node that restarts finds the fleet by the new ones.
-    const seeds = [f.proc('agent-edge2'), f.proc('store8'), f.proc('coordinator8')].map(
+    const seeds = [f.process('agent-edge2'), f.process('store8'), f.process('coordinator8')].map(
       (p) => p.options['place'] as Address,
     );
-    for (const p of f.procs) p.seeds = seeds;
+    for (const p of f.processes) p.seeds = seeds;
     f.kill('agent-edge5');
     f.start('agent-edge5');
     f.kill('gateway-edge5');
@@ -54,7 +54,7 @@
     f.addEdge(8);
     await f.until(
       'the added gateway to serve',
-      () => f.proc('gateway-edge8').node?.ready().ok === true,
+      () => f.process('gateway-edge8').node?.ready().ok === true,
       duration.s(10),
     );
     // A store machine is emptied: with a spare its records move, without one the group shrinks to two.
--- a/tools/simulation/src/scenarios/split.ts
+++ b/tools/simulation/src/scenarios/split.ts
@@ -20,7 +20,7 @@
   rule: 'whatever way the fleet is cut in two, nothing acknowledged is not in use where a gateway serves',
   run: async (seed, shape, log) => {
     const f = await fleet.open({ seed, shape, log });
-    const r = f.w.rand;
+    const r = f.world.rand;
     const l = f.load({ chats: 50, kept: 8, jobs: 50, over: duration.s(26) });
     const acked: Pushed[] = [];
     const push = operator(f, acked);
@@ -38,11 +38,15 @@
       const machine = (name: string): string => name.replace(/^(gateway|agent)-/, '');
       const side = new Map([...edges, ...keepers, ...towers].map((m) => [m, r.int(2)]));
       if (rounds === 0) for (const t of towers) side.set(t, 1);
-      const names = f.procs.map((p) => p.name);
+      const names = f.processes.map((p) => p.name);
       const [a, b] = [0, 1].map((k) => names.filter((n) => side.get(machine(n)) === k));
-      const heal = f.cut(a!, b!);
+      const heal = f.partition(a!, b!);
       for (let i = 0; i < 6; i++)
-        later(f, r.int(duration.s(3)), () => void push(f.proc(names[r.int(names.length)]!).options['http'] as Address));
+        later(
+          f,
+          r.int(duration.s(3)),
+          () => void push(f.process(names[r.int(names.length)]!).options['http'] as Address),
+        );
       await run(f, duration.s(4));
       heal();
       later(f, duration.ms(r.int(500)), () => void push(gatewayAt(f, r.int(7))));
--- a/tools/simulation/src/scenarios/streams.ts
+++ b/tools/simulation/src/scenarios/streams.ts
@@ -8,18 +8,18 @@
   rule: 'a stream never skips, repeats or splices, and a cut one never looks complete',
   run: async (seed, shape, log) => {
     const f = await fleet.open({ seed, shape, log });
-    const r = f.w.rand;
+    const r = f.world.rand;
     for (const m of f.models) {
       m.faults.dieMidStream = 0.15;
       m.faults.loseResult = 0.05;
     }
     const l = f.load({ chats: 80, kept: 10, jobs: 10, over: duration.s(6) });
     for (let i = 0; i < 3; i++)
-      f.w.at(f.w.now() + duration.s(1) + r.int(duration.s(5)), () => {
+      f.world.scheduleAt(f.world.now() + duration.s(1) + r.int(duration.s(5)), () => {
         const e = gateways[r.int(7)]!;
-        if (f.proc(e).host.alive) {
+        if (f.process(e).host.alive) {
           f.kill(e);
-          f.w.at(f.w.now() + duration.s(1), () => f.start(e));
+          f.world.scheduleAt(f.world.now() + duration.s(1), () => f.start(e));
         }
       });
     await settleLoad(f, l);
--- a/tools/simulation/src/scenarios/uncut.ts
+++ b/tools/simulation/src/scenarios/uncut.ts
@@ -9,8 +9,8 @@
   run: async (seed, shape, log) => {
     const f = await fleet.open({ seed, shape, log, capacity: 1500, perToken: duration.ms(40) });
     const l = f.load({ chats: 60, kept: 8, jobs: 20, over: duration.s(8) });
-    const r = f.w.rand;
-    const later = (at: Microseconds, fn: () => void): void => f.w.at(f.w.now() + at, fn);
+    const r = f.world.rand;
+    const later = (at: Microseconds, fn: () => void): void => f.world.scheduleAt(f.world.now() + at, fn);
     later(duration.s(2), () => f.platform.leave(f.layout.workers[r.int(3)]!.id));
     later(
       duration.s(3),
@@ -25,13 +25,13 @@
       [3 + r.int(4), duration.s(5)],
     ] as const)
       later(at, () => {
-        const p = f.proc(gateways[i]!);
+        const p = f.process(gateways[i]!);
         const node = p.node;
         if (node)
           void node
             .drain()
             .then(() => node.close())
-            .then(() => f.w.kill(p.host, 'process'));
+            .then(() => f.world.kill(p.host, 'process'));
       });
     await settleLoad(f, l);
     const out = finish(f);
--- a/tools/simulation/src/scenarios/urgent.ts
+++ b/tools/simulation/src/scenarios/urgent.ts
@@ -29,7 +29,7 @@
         scheduler: { holdLimitMs: 1500 },
       }),
     });
-    const r = f.w.rand;
+    const r = f.world.rand;
     const l = f.load({ chats: 400, kept: 0, jobs: 0, over: duration.s(8) });
     const waits: Microseconds[] = [];
     let refused = 0;
@@ -37,7 +37,7 @@
     const limit = duration.ms(shape === 'lautoka' ? 2000 : 1500);
     const one = async (i: number): Promise<void> => {
       open += 1;
-      const begun = f.w.now();
+      const begun = f.world.now();
       const res = await f
         .http(
           gatewayAt(f, i),
@@ -47,11 +47,12 @@
           { 'x-thornsail-program': `u-${i}`, 'x-thornsail-class': 'notice', 'x-thornsail-time-left-ms': '2000' },
         )
         .catch(() => undefined);
-      if (res?.status === 200) waits.push(f.w.now() - begun);
+      if (res?.status === 200) waits.push(f.world.now() - begun);
       else refused += 1;
       open -= 1;
     };
-    for (let i = 0; i < 60; i++) f.w.at(f.w.now() + duration.s(1) + r.int(duration.s(7)), () => void one(i));
+    for (let i = 0; i < 60; i++)
+      f.world.scheduleAt(f.world.now() + duration.s(1) + r.int(duration.s(7)), () => void one(i));
     await run(f, duration.s(10));
     await f.until('the urgent callers to end', () => open === 0, duration.s(20));
     await settleLoad(f, l);
--- a/tools/simulation/src/scenarios/workers.ts
+++ b/tools/simulation/src/scenarios/workers.ts
@@ -10,7 +10,7 @@
   rule: 'workers replaced one after another, some unmarked, frozen or ill; a platform that is ill',
   run: async (seed, shape, log) => {
     const f = await fleet.open({ seed, shape, log, stalls: true });
-    const r = f.w.rand;
+    const r = f.world.rand;
     const l = f.load({ chats: 110, kept: 14, jobs: 110, over: duration.s(22) });
     const replace = async (old: Listed, i: number): Promise<void> => {
       const s = await replaceWorker(f, old, i, r.int(4) === 0 ? 'drop' : 'leave');
@@ -22,8 +22,8 @@
     for (let i = 0; i < 2; i++)
       later(f, duration.s(3) + r.int(duration.s(10)), () => {
         const h = f.hostOf(f.layout.workers[r.int(f.layout.workers.length)]!.at.split(':')[0]!);
-        f.w.freeze(h);
-        later(f, duration.s(2), () => f.w.wake(h));
+        f.world.freeze(h);
+        later(f, duration.s(2), () => f.world.thaw(h));
       });
     const moods = ['slow', 'failing', 'silent', 'rubbish', 'empty'] as const;
     for (const [i, m] of moods.entries()) {
--- a/tools/simulation/src/scene.ts
+++ b/tools/simulation/src/scene.ts
@@ -14,16 +14,16 @@
 export const gateways = edges.map((e) => `gateway-${e}`);
 export const keepers = ['store1', 'store2', 'store3'];
 export const towers = ['coordinator1', 'coordinator2', 'coordinator3'];
-export const gatewayAt = (f: Fleet, i: number): Address => f.proc(gateways[i % 7]!).options['http'] as Address;
+export const gatewayAt = (f: Fleet, i: number): Address => f.process(gateways[i % 7]!).options['http'] as Address;
 export const sum = (f: Fleet, k: string): number =>
-  f.procs.filter((p) => p.role === 'gateway').reduce((a, p) => a + (p.node?.counts()[k] ?? 0), 0);
+  f.processes.filter((p) => p.role === 'gateway').reduce((a, p) => a + (p.node?.counts()[k] ?? 0), 0);
 export const ofLive = (f: Fleet, role: string): string[] =>
-  f.procs.filter((p) => p.role === role && p.host.alive).map((p) => p.name);
+  f.processes.filter((p) => p.role === role && p.host.alive).map((p) => p.name);
 export const finish = (f: Fleet, figures: Record<string, number> = {}): Outcome => {
   const s = f.callers.summary;
   return {
     breaches: f.breaches(),
-    hash: f.w.hash(),
+    hash: f.world.hash(),
     figures: {
       turns: s.turns,
       results: s.results,
@@ -47,7 +47,7 @@
 export const oneToLeave = (f: Fleet, follows = false): Listed => {
   const here = f.layout.workers.filter((x) => !f.platform.leftAt.has(x.id));
   const able = here.filter((x) => follows || here.some((y) => y !== x && y.kind === x.kind));
-  return able[f.w.rand.int(able.length)]!;
+  return able[f.world.rand.int(able.length)]!;
 };
 /** A worker leaves, marked or not, and another of its kind comes at an address of its own; the n-th to do so. */
 export const replaceWorker = async (
@@ -62,13 +62,13 @@
   const s = await f.addWorker(next);
   f.platform.add(next);
   // The old one ends once it has had the time to finish.
-  f.w.at(f.w.now() + duration.s(5), () => {
+  f.world.scheduleAt(f.world.now() + duration.s(5), () => {
     f.platform.drop(old.id);
-    f.w.kill(f.hostOf(old.at.split(':')[0]!), 'process');
+    f.world.kill(f.hostOf(old.at.split(':')[0]!), 'process');
   });
   return s;
 };
-export const run = (f: Fleet, span: Microseconds): Promise<void> => f.w.run(f.w.now() + span);
+export const run = (f: Fleet, span: Microseconds): Promise<void> => f.world.run(f.world.now() + span);
 export const patch =
   (classes: Record<string, Record<string, unknown>>) =>
   (c: Record<string, unknown>): Record<string, unknown> => {
@@ -82,7 +82,7 @@
   Object.entries(f.shape.config['classes'] as Record<string, { kind: string }>).find(([, c]) => c.kind === kind)![0];
 /** One gateway serves again when a turn, its recall and a job all do. */
 const servesAll = async (f: Fleet, name: string, n: number): Promise<boolean> => {
-  const at = f.proc(name).options['http'] as Address;
+  const at = f.process(name).options['http'] as Address;
   const id = `probe-${name}-${n}`;
   const messages = [{ role: 'user', content: 'probe [last]' }];
   const ok = async (method: string, path: string, body?: unknown, headers?: Record<string, string>): Promise<boolean> =>
@@ -98,29 +98,29 @@
 };
 /** One push, at any node that is up, against the mark that is read there. */
 const pushes = async (f: Fleet): Promise<boolean> => {
-  const up = f.procs.filter((p) => p.host.alive && !p.host.frozen);
-  const at = up[f.w.rand.int(up.length)]!.options['http'] as Address;
+  const up = f.processes.filter((p) => p.host.alive && !p.host.frozen);
+  const at = up[f.world.rand.int(up.length)]!.options['http'] as Address;
   try {
     const now = await f.http(at, 'GET', `${root}/config`);
-    return (await f.push(now.body['raw'], Number(now.body['mark']), `back-${f.w.now()}`, at)).status === 200;
+    return (await f.push(now.body['raw'], Number(now.body['mark']), `back-${f.world.now()}`, at)).status === 200;
   } catch {
     return false;
   }
 };
 /** How long until every gateway that should serve does, and a configuration can be pushed at any node. */
 export const serving = async (f: Fleet, limit: Microseconds): Promise<Microseconds> => {
-  const begun = f.w.now();
-  const up = f.procs.filter((p) => p.role === 'gateway' && p.host.alive && !p.host.frozen);
+  const begun = f.world.now();
+  const up = f.processes.filter((p) => p.role === 'gateway' && p.host.alive && !p.host.frozen);
   const ok = new Set<string>();
   let pushed = false;
-  for (let n = 0; (ok.size < up.length || !pushed) && f.w.now() - begun < limit; n++) {
+  for (let n = 0; (ok.size < up.length || !pushed) && f.world.now() - begun < limit; n++) {
     for (const p of up) if (!ok.has(p.name)) void servesAll(f, p.name, n).then((yes) => void (yes && ok.add(p.name)));
     if (!pushed) void pushes(f).then((yes) => void (pushed ||= yes));
     await run(f, duration.ms(250));
   }
   const not = [...up.filter((p) => !ok.has(p.name)).map((p) => p.name), ...(pushed ? [] : ['a push'])];
-  if (not.length) f.expectBreach.push(`not serving again within ${duration.toMs(limit)} ms: ${not.join(', ')}`);
-  return f.w.now() - begun;
+  if (not.length) f.breachesOfItsOwn.push(`not serving again within ${duration.toMs(limit)} ms: ${not.join(', ')}`);
+  return f.world.now() - begun;
 };
 export const settleLoad = async (f: Fleet, l: { done: () => boolean }): Promise<void> => {
   await f.until('the load to end', l.done, duration.s(90));
@@ -128,5 +128,5 @@
 
 export const pause = (f: Fleet, after: Microseconds): Promise<void> =>
   new Promise((fin) => {
-    f.w.at(f.w.now() + after, fin);
+    f.world.scheduleAt(f.world.now() + after, fin);
   });
--- a/tools/simulation/src/world.ts
+++ b/tools/simulation/src/world.ts
@@ -26,10 +26,10 @@
   ip: string;
   zone: string;
   alive: boolean;
-  dark: boolean;
-  inc: number;
+  poweredOff: boolean;
+  incarnation: number;
   frozen: boolean;
-  late: Ev[];
+  deferred: Ev[];
   files: Map<string, string>;
   disk: DiskState;
   skew: Microseconds;
@@ -39,7 +39,7 @@
   >;
   http: Map<Address, Served>;
   /** Connections that this host has a part in; told when its process ends, or that it fell silent. */
-  open: Set<(silent: boolean) => void>;
+  connections: Set<(silent: boolean) => void>;
 };
 export type World = {
   rand: Random;
@@ -57,21 +57,21 @@
   /** Servers on this host that may misbehave. */
   wire: (h: Host) => Wire;
   run: (until: Microseconds) => Promise<void>;
-  at: (at: Microseconds, fn: () => void) => void;
+  scheduleAt: (at: Microseconds, fn: () => void) => void;
   kill: (h: Host, how: 'process' | 'power' | 'disk') => void;
   start: (h: Host) => void;
   freeze: (h: Host) => void;
-  wake: (h: Host) => void;
+  thaw: (h: Host) => void;
   /** Cuts all traffic between two sets of hosts; returns how to heal it. */
-  cut: (a: Host[], b: Host[]) => () => void;
+  partition: (a: Host[], b: Host[]) => () => void;
   /** Cuts what goes from one set of hosts to another, and not what comes back. */
-  cutOneWay: (from: Host[], to: Host[]) => () => void;
+  partitionOneWay: (from: Host[], to: Host[]) => () => void;
   slow: (by: Microseconds) => void;
   /** Frames get lost with this chance, come twice with half of it, and overtake one another by up to `jumble`. */
   rough: (loss: number, jumble: Microseconds) => void;
   /** Whether frames that a cut holds up arrive once it is over, as TCP sends them again, instead of being lost. */
   holdFrames: (on: boolean) => void;
-  logs: (fn: (at: Microseconds, ip: string, part: string, text: string) => void) => void;
+  onLog: (fn: (at: Microseconds, ip: string, part: string, text: string) => void) => void;
 };
 const base = 1_790_000_000_000_000;
 
@@ -173,7 +173,7 @@
       return top;
     };
     const later = (after: Microseconds, host: Host | null, fn: () => void): Ev => {
-      const e = { at: now + Math.max(0, Math.round(after)), n: n++, host, inc: host?.inc ?? 0, fn };
+      const e = { at: now + Math.max(0, Math.round(after)), n: n++, host, inc: host?.incarnation ?? 0, fn };
       push(e);
       return e;
     };
@@ -222,11 +222,11 @@
       const room = (by: 1 | -1): boolean => (open += by) <= most;
       h.http.set(at, { ...x, room });
       bound.set(at, h);
-      const inc = h.inc;
+      const inc = h.incarnation;
       return {
         at,
         close: async () => {
-          if (h.inc === inc) h.http.delete(at);
+          if (h.incarnation === inc) h.http.delete(at);
         },
       };
     };
@@ -259,17 +259,17 @@
         const mine = { got: onFrame, down: onDown ?? ((): void => undefined), to: new Set<Address>() };
         h.frames.set(at, mine);
         bound.set(at, h);
-        const inc = h.inc;
+        const inc = h.incarnation;
         return {
           at,
           send: (to, text) => {
             const t = hostOf(to);
-            if (!t || h.inc !== inc || !h.alive) return;
+            if (!t || h.incarnation !== inc || !h.alive) return;
             c.frames += 1;
             if (t.zone !== h.zone) c.bytes += Buffer.byteLength(text);
             mine.to.add(to);
             // Nobody listens there: the connection does not come up. (A cut is silent.)
-            if (!t.frames.has(to) && !t.dark && !severed(h, t)) {
+            if (!t.frames.has(to) && !t.poweredOff && !severed(h, t)) {
               later(delay(h, t) * 2, h, () => mine.down(to));
               return;
             }
@@ -279,7 +279,7 @@
                 ? (fn: () => void): void => void later(delay(h, t) + rand.int(jumble), t, fn)
                 : (fn: () => void): void => deliver(h, t, fn);
             const resend = (): void => {
-              if (h.inc === inc) later(rand.int(duration.ms(300)), null, () => send(arrive));
+              if (h.incarnation === inc) later(rand.int(duration.ms(300)), null, () => send(arrive));
             };
             const arrive = (): void => {
               if (severed(h, t)) return holding ? void heals.push(resend) : undefined;
@@ -291,7 +291,7 @@
             if (loss > 0 && rand.next() < loss / 2) send(arrive);
           },
           close: async () => {
-            if (h.inc === inc) h.frames.delete(at);
+            if (h.incarnation === inc) h.frames.delete(at);
           },
         };
       },
@@ -353,7 +353,7 @@
           let buffered = 0;
           let drainFns: (() => void)[] = [];
           const goneNow = (): void => {
-            h.open.delete(mine);
+            h.connections.delete(mine);
             if (isGone) return;
             if (!severed(h, t))
               later(delay(h, t), t, () => {
@@ -386,7 +386,7 @@
           /** The other process ended: the connection breaks behind what it wrote; with its power that is lost too. */
           const theirs = (silent: boolean): void => {
             if (silent) powerLost = true;
-            else if (!severed(t, h)) deliver(t, h, () => void (h.inc === hInc && broke()));
+            else if (!severed(t, h)) deliver(t, h, () => void (h.incarnation === hInc && broke()));
           };
           /** This side's process ended. */
           const mine = (silent: boolean): void => {
@@ -399,7 +399,7 @@
                 for (const g of f) g();
               });
           };
-          h.open.add(mine);
+          h.connections.add(mine);
           const say: HttpResponseWriter = {
             head: (status, headers) =>
               toCaller(() => {
@@ -439,7 +439,7 @@
                   pieces.push(bytesOf(piece));
                 });
               toCaller(() => {
-                t.open.delete(theirs);
+                t.connections.delete(theirs);
                 if (over === null) {
                   over = 'end';
                   nudge();
@@ -449,7 +449,7 @@
             cut: () => {
               isGone = true;
               toCaller(() => {
-                t.open.delete(theirs);
+                t.connections.delete(theirs);
                 broke();
               });
             },
@@ -460,13 +460,13 @@
             },
           };
           // A connection belongs to two processes: what either host runs after a restart is not its end any more.
-          const [hInc, tInc] = [h.inc, t.inc];
-          const same = (): boolean => h.inc === hInc && t.inc === tInc;
+          const [hInc, tInc] = [h.incarnation, t.incarnation];
+          const same = (): boolean => h.incarnation === hInc && t.incarnation === tInc;
           const toCaller = (fn: () => void): void => {
             if (severed(t, h) || !same()) return;
             deliver(t, h, () => {
               // The system still sends what a process wrote before it ended.
-              if (!severed(t, h) && h.inc === hInc && !powerLost) fn();
+              if (!severed(t, h) && h.incarnation === hInc && !powerLost) fn();
             });
           };
           const silence = req.silence ?? duration.s(30);
@@ -508,7 +508,7 @@
                 phase = 'end';
                 goneNow();
               }
-              h.open.delete(mine);
+              h.connections.delete(mine);
             }
           };
           if (severed(h, t)) return;
@@ -522,14 +522,14 @@
             // The connection is open; the request itself follows.
             if (phase !== 'connect') return;
             phase = 'sent';
-            t.open.add(theirs);
+            t.connections.add(theirs);
             const ask = askOf(req);
             fold(`${req.method}${req.path}`);
             Promise.resolve()
               .then(() => handler(ask, say))
               .catch(() => say.cut());
           });
-          if (!t.alive && !t.dark) later(delay(h, t) * 2, h, rejectCall);
+          if (!t.alive && !t.poweredOff) later(delay(h, t) * 2, h, rejectCall);
         });
 
     const diskGround: DiskGround<Host> = {
@@ -554,16 +554,16 @@
           ip,
           zone,
           alive: true,
-          dark: false,
-          inc: 1,
+          poweredOff: false,
+          incarnation: 1,
           frozen: false,
-          late: [],
+          deferred: [],
           files: new Map(),
           disk: simulatedDisk.state(),
           skew: 0,
           frames: new Map(),
           http: new Map(),
-          open: new Set(),
+          connections: new Set(),
         };
         hosts.set(ip, h);
         processes.add(h);
@@ -598,9 +598,9 @@
           const e = pop();
           now = e.at;
           if (e.host) {
-            if (!e.host.alive || e.host.inc !== e.inc) continue;
+            if (!e.host.alive || e.host.incarnation !== e.inc) continue;
             if (e.host.frozen) {
-              e.host.late.push(e);
+              e.host.deferred.push(e);
               continue;
             }
           }
@@ -611,7 +611,7 @@
         }
         now = until;
       },
-      at: (at, fn) => {
+      scheduleAt: (at, fn) => {
         later(at - now, null, fn);
       },
       kill: (h, how) => {
@@ -622,32 +622,32 @@
               for (const f of o2.frames.values())
                 if (o2 !== h && f.to.has(place_) && !severed(o2, h)) later(delay(h, o2), o2, () => f.down(place_));
         h.alive = false;
-        h.dark = how !== 'process';
-        h.inc += 1;
+        h.poweredOff = how !== 'process';
+        h.incarnation += 1;
         h.frozen = false;
-        h.late = [];
+        h.deferred = [];
         h.frames.clear();
         h.http.clear();
         // A process that ends breaks its connections; without power they fall silent, until somebody asks the machine
         // again.
-        const open = [...h.open];
-        h.open.clear();
+        const open = [...h.connections];
+        h.connections.clear();
         for (const f of open) f(how !== 'process');
         simulatedDisk.end(rand, h, how);
       },
       start: (h) => {
         h.alive = true;
-        h.dark = false;
+        h.poweredOff = false;
       },
       freeze: (h) => {
         h.frozen = true;
       },
-      wake: (h) => {
+      thaw: (h) => {
         h.frozen = false;
-        const late = h.late.sort((a, b) => a.at - b.at || a.n - b.n);
-        h.late = [];
+        const late = h.deferred.sort((a, b) => a.at - b.at || a.n - b.n);
+        h.deferred = [];
         // Ticks and messages that came due during the freeze all run now, in their order.
-        for (const e of late) if (e.inc === h.inc) later(0, h, e.fn);
+        for (const e of late) if (e.inc === h.incarnation) later(0, h, e.fn);
       },
       wire: (h) => ({
         serve: async (at, handler: WireHandler, o2) => {
@@ -663,8 +663,8 @@
           return listens(h, at, { handler: plain, wire: handler, idleFor: () => o2.idleFor }, o2.connections);
         },
       }),
-      cut: (a, b) => cutting(a, b, false),
-      cutOneWay: (from, to) => cutting(from, to, true),
+      partition: (a, b) => cutting(a, b, false),
+      partitionOneWay: (from, to) => cutting(from, to, true),
       slow: (by) => {
         extra = by;
       },
@@ -675,7 +675,7 @@
         loss = l;
         jumble = j;
       },
-      logs: (fn) => {
+      onLog: (fn) => {
         logger = fn;
       },
     };
--- a/tools/simulation/test/api.test.ts
+++ b/tools/simulation/test/api.test.ts
@@ -22,7 +22,7 @@
   return r!;
 };
 const chat = (f: Fleet, headers: Record<string, string>, body: unknown): Promise<Reply> =>
-  get(f, f.http(f.proc('gateway-edge1').options['http'] as Address, 'POST', '/v1/chat/completions', body, headers));
+  get(f, f.http(f.process('gateway-edge1').options['http'] as Address, 'POST', '/v1/chat/completions', body, headers));
 const good = { 'x-thornsail-program': 'p1', 'x-thornsail-class': 'chat' };
 const say = { messages: [{ role: 'user', content: 'hello [last]' }], max_tokens: 8 };
 
@@ -48,7 +48,7 @@
     const r = await chat(f, h, b);
     assert.equal([r.status, r.body['error'], r.body['field'], r.body['ran']], [status, error, field, 'no']);
   }
-  const raw = await get(f, f.http(f.proc('gateway-edge1').options['http'] as Address, 'POST', '/nosuch', {}));
+  const raw = await get(f, f.http(f.process('gateway-edge1').options['http'] as Address, 'POST', '/nosuch', {}));
   assert.is(raw.status, 404);
   assert.is(f.requestLog.entries.length, 0);
 });
@@ -68,7 +68,7 @@
   const b = await get(
     f,
     f.http(
-      f.proc('gateway-edge5').options['http'] as Address,
+      f.process('gateway-edge5').options['http'] as Address,
       'POST',
       '/v1/chat/completions',
       { ...say, stream: false },
@@ -77,18 +77,19 @@
   );
   assert.equal([b.status, b.headers['x-thornsail-replayed'], b.body['choices']], [200, 'true', a.body['choices']]);
   assert.is(f.requestLog.entries.length, 1);
-  await f.w.run(f.w.now() + duration.s(1));
+  await f.world.run(f.world.now() + duration.s(1));
   for (const n of ['gateway-edge1', 'gateway-edge5'])
-    assert.is(f.proc(n).node!.counts()['in_flight'], 0, `${n} still counts a turn as open`);
+    assert.is(f.process(n).node!.counts()['in_flight'], 0, `${n} still counts a turn as open`);
   let spent = a;
   for (let i = 0; i < 6 && spent.status === 200; i++) spent = await chat(f, good, { ...say, stream: false });
   assert.equal([spent.status, spent.body['error'], spent.body['ran']], [403, 'budget_spent', 'no']);
   const tutor = { 'x-thornsail-program': 't1', 'x-thornsail-class': 'tutor', 'x-thornsail-conversation': 'c1' };
   assert.is((await chat(f, tutor, { ...say, stream: false })).status, 200);
-  const c = await get(f, f.http(f.proc('gateway-edge6').options['http'] as Address, 'GET', '/v1/conversations/c1'));
+  const c = await get(f, f.http(f.process('gateway-edge6').options['http'] as Address, 'GET', '/v1/conversations/c1'));
   assert.equal([c.status, (c.body['messages'] as unknown[]).length], [200, 2]);
   assert.is(
-    (await get(f, f.http(f.proc('gateway-edge6').options['http'] as Address, 'GET', '/v1/conversations/none'))).status,
+    (await get(f, f.http(f.process('gateway-edge6').options['http'] as Address, 'GET', '/v1/conversations/none')))
+      .status,
     404,
   );
 });
@@ -96,7 +97,7 @@
 test('operators get the same from any node; with the core cut off a node says so', async () => {
   const f = await fleet.open({ seed: 4, shape: 'granite' });
   const ask = (name: string, what: string): Promise<Reply> =>
-    get(f, f.http(f.proc(name).options['http'] as Address, 'GET', `${root}/${what}`));
+    get(f, f.http(f.process(name).options['http'] as Address, 'GET', `${root}/${what}`));
   for (const what of ['config', 'classes', 'nodes', 'workers', 'status', 'marks', 'keepers']) {
     const all: Reply[] = [];
     for (const n of ['gateway-edge1', 'agent-edge4', 'coordinator2', 'store3']) all.push(await ask(n, what));
@@ -106,7 +107,7 @@
   const bad = await get(
     f,
     f.http(
-      f.proc('agent-edge2').options['http'] as Address,
+      f.process('agent-edge2').options['http'] as Address,
       'PATCH',
       `${root}/config`,
       { classes: { repair: { weight: -1 } } },
@@ -117,7 +118,7 @@
   const old = await get(
     f,
     f.http(
-      f.proc('store1').options['http'] as Address,
+      f.process('store1').options['http'] as Address,
       'PATCH',
       `${root}/config`,
       { slots: { model: 9 } },
@@ -129,7 +130,7 @@
     get(
       f,
       f.http(
-        f.proc('gateway-edge7').options['http'] as Address,
+        f.process('gateway-edge7').options['http'] as Address,
         'PATCH',
         `${root}/config`,
         { slots: { model: 9 } },
@@ -139,7 +140,7 @@
   assert.equal([(await push()).body['mark'], (await push()).body['repeated']], [2, true]);
   const json = { 'content-type': 'application/json-patch+json', 'if-match': '2' };
   const patch = [{ op: 'replace', path: '/slots/model', value: 11 }];
-  const at = f.proc('store2').options['http'] as Address;
+  const at = f.process('store2').options['http'] as Address;
   const plan = await get(f, f.http(at, 'PATCH', `${root}/config?plan=true`, patch, json));
   assert.equal(
     [plan.status, plan.body['plan']],
@@ -178,9 +179,9 @@
         ill.findings.some((x) => x.severity === 'bad' && x.about === n && /does not answer/.test(x.text)),
       ),
   );
-  f.cut(
+  f.partition(
     ['coordinator1', 'coordinator2', 'coordinator3'],
-    f.procs.filter((p) => p.role !== 'coordinator').map((p) => p.name),
+    f.processes.filter((p) => p.role !== 'coordinator').map((p) => p.name),
   );
   const r = await ask('gateway-edge1', 'config');
   assert.equal([r.status, r.body['error']], [503, 'not_agreed']);
@@ -189,13 +190,13 @@
 test('a drain can be taken back, asked again and repeated; with a spare the group stays at three', async () => {
   const f = await fleet.open({ seed: 8, shape: 'granite' });
   const ask = (method: string): Promise<Reply> =>
-    get(f, f.http(f.proc('agent-edge2').options['http'] as Address, method, `${root}/drain/store3`));
+    get(f, f.http(f.process('agent-edge2').options['http'] as Address, method, `${root}/drain/store3`));
   const group = (): { mark: number; members: { at: string }[]; swept: number; draining: string[] } =>
-    f.proc('agent-edge2').node!.membership.state()!.storeGroup;
+    f.process('agent-edge2').node!.membership.state()!.storeGroup;
   f.addStore('store7', '127.77.2.7');
   await f.until(
     'the spare in the roster',
-    () => Object.values(f.proc('agent-edge2').node!.membership.state()!.roster).some((n) => n.name === 'store7'),
+    () => Object.values(f.process('agent-edge2').node!.membership.state()!.roster).some((n) => n.name === 'store7'),
     duration.s(10),
   );
   assert.is((await ask('GET')).body['state'], 'not draining');
@@ -207,7 +208,7 @@
   let safe = false;
   for (let i = 0; i < 60 && !safe; i++) {
     safe = (await ask('GET')).body['safe'] === true;
-    await f.w.run(f.w.now() + duration.ms(250));
+    await f.world.run(f.world.now() + duration.ms(250));
   }
   assert.ok(safe);
   assert.equal(
@@ -219,11 +220,11 @@
     [3, true, false],
   );
   assert.equal(
-    (await get(f, f.http(f.proc('agent-edge2').options['http'] as Address, 'POST', `${root}/drain/nosuch`))).status,
+    (await get(f, f.http(f.process('agent-edge2').options['http'] as Address, 'POST', `${root}/drain/nosuch`))).status,
     404,
   );
   assert.equal(
-    (await get(f, f.http(f.proc('agent-edge2').options['http'] as Address, 'POST', `${root}/drain/coordinator1`)))
+    (await get(f, f.http(f.process('agent-edge2').options['http'] as Address, 'POST', `${root}/drain/coordinator1`)))
       .status,
     400,
   );
@@ -236,7 +237,7 @@
     perToken: duration.ms(60),
     config: (c) => ({ ...c, slots: { model: 1, app: 1 } }),
   });
-  const at = f.proc('gateway-edge1').options['http'] as Address;
+  const at = f.process('gateway-edge1').options['http'] as Address;
   const head = { 'x-thornsail-class': 'diagnose', 'x-thornsail-time-left-ms': '9000' };
   // Six workers with a slot each are taken; the seventh turn waits, and its client goes.
   for (let i = 0; i < 6; i++)
@@ -249,7 +250,7 @@
         { ...head, 'x-thornsail-program': `p${i}` },
       )
       .catch(() => undefined);
-  await f.w.run(f.w.now() + duration.ms(100));
+  await f.world.run(f.world.now() + duration.ms(100));
   let left = false;
   void f.callerRuntime.net
     .call({
@@ -263,18 +264,18 @@
     .catch(() => {
       left = true;
     });
-  await f.w.run(f.w.now() + duration.s(12));
+  await f.world.run(f.world.now() + duration.s(12));
   assert.ok(left);
   assert.equal(f.requestLog.entries.map((e) => e.program).sort(), ['p0', 'p1', 'p2', 'p3', 'p4', 'p5']);
-  const c = f.proc('gateway-edge1').node!.counts();
+  const c = f.process('gateway-edge1').node!.counts();
   assert.equal([c['holding'], c['in_flight']], [0, 0]);
   assert.equal(f.breaches(), []);
 });
 
 test('gateways are not ready before there is a configuration, nor when leaving', async () => {
   const f = await fleet.open({ seed: 5, shape: 'lautoka', noConfig: true });
-  await f.w.run(duration.s(4));
-  const at = f.proc('gateway-edge1').options['http'] as Address;
+  await f.world.run(duration.s(4));
+  const at = f.process('gateway-edge1').options['http'] as Address;
   const r = await get(f, f.http(at, 'GET', '/ready'));
   assert.equal([r.status, (r.body['why'] as string[]).includes('no configuration')], [503, true]);
   const no = await chat(f, good, say);
@@ -284,8 +285,8 @@
     f.push(f.shape.config, 0).then((x) => ({ status: x.status, body: {}, headers: {} })),
   );
   await f.until('readiness', () => f.ready() === 7, duration.s(5));
-  await get(f, f.http(f.proc('agent-edge3').options['http'] as Address, 'POST', `${root}/drain/gateway-edge1`));
-  await f.w.run(f.w.now() + duration.s(1));
+  await get(f, f.http(f.process('agent-edge3').options['http'] as Address, 'POST', `${root}/drain/gateway-edge1`));
+  await f.world.run(f.world.now() + duration.s(1));
   const gone = await get(f, f.http(at, 'GET', '/ready'));
   assert.equal([gone.status, (gone.body['why'] as string[]).includes('leaving')], [503, true]);
   assert.equal(f.breaches(), []);
--- a/tools/simulation/test/config.test.ts
+++ b/tools/simulation/test/config.test.ts
@@ -6,7 +6,7 @@
 
 const edges = [1, 2, 3, 4, 5, 6, 7];
 const towers = ['coordinator1', 'coordinator2', 'coordinator3'];
-const at = (f: Fleet, name: string): Address => f.proc(name).options['http'] as Address;
+const at = (f: Fleet, name: string): Address => f.process(name).options['http'] as Address;
 /** The configuration in which a class of this name stands, and no other test class. */
 const only = (f: Fleet, name: string): unknown => ({
   ...f.shape.config,
@@ -49,9 +49,9 @@
 
   test(`${shape}: a core cut off from every edge acknowledges nothing, and the edges serve on`, async () => {
     const f = await start(shape);
-    const heal = f.cut(
+    const heal = f.partition(
       towers,
-      f.procs.filter((p) => p.role !== 'coordinator').map((p) => p.name),
+      f.processes.filter((p) => p.role !== 'coordinator').map((p) => p.name),
     );
     const r = await settled(
       f,
@@ -62,13 +62,13 @@
     );
     assert.equal([r.status, r.body['error'], r.body['mark']], [503, 'unconfirmed', 3]);
     assert.is((r.body['fronts'] as string[]).length, 7);
-    await f.w.run(f.w.now() + duration.s(4));
+    await f.world.run(f.world.now() + duration.s(4));
     assert.equal(
       await served(f, 'old'),
       edges.map(() => 200),
     );
     heal();
-    await f.w.run(f.w.now() + duration.s(3));
+    await f.world.run(f.world.now() + duration.s(3));
     assert.equal(
       await served(f, 'new'),
       edges.map(() => 200),
@@ -82,11 +82,11 @@
   test(`${shape}: a core with the smaller part of the edges acknowledges nothing; the others serve on`, async () => {
     const f = await start(shape);
     const far = [4, 5, 6, 7].flatMap((i) => [`gateway-edge${i}`, `agent-edge${i}`]).concat(['store2', 'store3']);
-    f.cut(
+    f.partition(
       far,
-      f.procs.filter((p) => !far.includes(p.name)).map((p) => p.name),
+      f.processes.filter((p) => !far.includes(p.name)).map((p) => p.name),
     );
-    await f.w.run(f.w.now() + duration.s(4));
+    await f.world.run(f.world.now() + duration.s(4));
     const r = await settled(
       f,
       f.http(at(f, 'coordinator2'), 'PUT', '/thornsail/v1/config', only(f, 'new'), {
@@ -98,7 +98,7 @@
       [r.status, r.body['error'], r.body['fronts']],
       [503, 'unconfirmed', far.slice(0, 8).filter((n) => n.startsWith('gateway'))],
     );
-    await f.w.run(f.w.now() + duration.s(3));
+    await f.world.run(f.world.now() + duration.s(3));
     assert.equal(await served(f, 'old'), [400, 400, 400, 200, 200, 200, 200]);
     assert.equal(f.breaches(), []);
   });
@@ -106,17 +106,17 @@
   test(`${shape}: an edge cut off from all siblings, yet reached by callers, takes nothing new`, async () => {
     const f = await start(shape);
     const mine = ['gateway-edge3', 'agent-edge3'];
-    const heal = f.cut(
+    const heal = f.partition(
       mine,
-      f.procs.filter((p) => !mine.includes(p.name)).map((p) => p.name),
+      f.processes.filter((p) => !mine.includes(p.name)).map((p) => p.name),
     );
     const r = await settled(f, f.push(only(f, 'new'), 2, 'new'));
     assert.is(r.status, 200);
-    await f.w.run(f.w.now() + duration.s(2));
+    await f.world.run(f.world.now() + duration.s(2));
     const old = await served(f, 'old');
     assert.equal(old, [400, 400, 503, 400, 400, 400, 400]);
     heal();
-    await f.w.run(f.w.now() + duration.s(4));
+    await f.world.run(f.world.now() + duration.s(4));
     assert.equal(
       await served(f, 'new'),
       edges.map(() => 200),
@@ -129,7 +129,7 @@
     f.freeze('agent-edge4', duration.s(20));
     const r = await settled(f, f.push(only(f, 'new'), 2, 'new'));
     assert.is(r.status, 200);
-    await f.w.run(f.w.now() + duration.s(1));
+    await f.world.run(f.world.now() + duration.s(1));
     assert.equal(
       await served(f, 'new'),
       edges.map(() => 200),
--- a/tools/simulation/test/disk-trouble.test.ts
+++ b/tools/simulation/test/disk-trouble.test.ts
@@ -55,7 +55,7 @@
             () => acknowledged.push({ at: g.world.now(), id }),
             () => undefined,
           );
-    if (g.world.now() < until) g.world.at(g.world.now() + duration.ms(20), ask);
+    if (g.world.now() < until) g.world.scheduleAt(g.world.now() + duration.ms(20), ask);
   };
   ask();
   return {
@@ -74,7 +74,7 @@
     const from = g.world.now();
     const made = calls(g, from + duration.s(8));
     const stalled = g.leader()!;
-    g.world.at(from + duration.s(1), () => (stalled.host.disk.hangsUntil = from + duration.s(6)));
+    g.world.scheduleAt(from + duration.s(1), () => (stalled.host.disk.hangsUntil = from + duration.s(6)));
     await g.world.run(from + duration.s(8));
     const gap = made.longestGap(from, from + duration.s(8));
     worst = Math.max(worst, gap);
@@ -93,7 +93,7 @@
     const from = g.world.now();
     const made = calls(g, from + duration.s(8));
     const stalled = g.members.find((m) => m !== g.leader())!;
-    g.world.at(from + duration.s(1), () => (stalled.host.disk.hangsUntil = from + duration.s(6)));
+    g.world.scheduleAt(from + duration.s(1), () => (stalled.host.disk.hangsUntil = from + duration.s(6)));
     await g.world.run(from + duration.s(8));
     assert.ok(made.longestGap(from, from + duration.s(8)) < duration.ms(150), `seed ${seed}`);
   }
@@ -116,8 +116,8 @@
     const from = g.world.now();
     const made = calls(g, from + duration.s(8));
     const full = g.leader()!;
-    g.world.at(from + duration.s(1), () => (full.host.disk.full = true));
-    g.world.at(from + duration.s(5), () => (full.host.disk.full = false));
+    g.world.scheduleAt(from + duration.s(1), () => (full.host.disk.full = true));
+    g.world.scheduleAt(from + duration.s(5), () => (full.host.disk.full = false));
     await g.world.run(from + duration.s(10));
     const gap = made.longestGap(from, from + duration.s(8));
     assert.ok(gap < duration.s(2), `seed ${seed}: nothing was acknowledged for ${gap / 1000} ms`);
@@ -167,7 +167,7 @@
     const from = g.world.now();
     const leader = g.leader()!;
     for (let i = 0; i < 100; i++)
-      g.world.at(from + i * duration.ms(30), () => {
+      g.world.scheduleAt(from + i * duration.ms(30), () => {
         const id = `x${i}`;
         leader
           .views!.propose((s) => ({ state: { list: [...s.list, id] }, result: id }))
@@ -175,7 +175,7 @@
             if (fault.info(e).code === 'moved') refused.add(id);
           });
       });
-    g.world.at(from + duration.s(0.5), () => (leader.host.disk.hangsUntil = from + duration.s(2)));
+    g.world.scheduleAt(from + duration.s(0.5), () => (leader.host.disk.hangsUntil = from + duration.s(2)));
     await g.world.run(from + duration.s(8));
     for (const m of g.members)
       for (const id of m.views!.done()!.state.list) assert.not.ok(refused.has(id), `seed ${seed}: ${id}`);
--- a/tools/simulation/test/input.test.ts
+++ b/tools/simulation/test/input.test.ts
@@ -146,7 +146,7 @@
   const ask = (i: number): Promise<number> =>
     f
       .http(
-        f.proc(`gateway-edge${i}`).options['http'] as Address,
+        f.process(`gateway-edge${i}`).options['http'] as Address,
         'POST',
         '/v1/chat/completions',
         { messages: [{ role: 'user', content: 'hi [last]' }], max_tokens: 4, stream: false },
@@ -164,14 +164,14 @@
 test('siblings: no message of any kind, whatever its body, ends a node or stops the fleet', async () => {
   for (let seed = 1; seed <= 3; seed++) {
     const f = await fleet.open({ seed, shape: 'lautoka' });
-    const r = f.w.rand;
-    const runtime = f.w.runtime(f.hostOf('127.77.8.8'));
+    const r = f.world.rand;
+    const runtime = f.world.runtime(f.hostOf('127.77.8.8'));
     const frames = await runtime.net.frames('127.77.8.8:7101', () => true);
     for (let i = 0; i < 1500; i++) {
       const t = pick(r, everyMessage);
       // A drain is a sibling's right; the rest has to be survived.
       if (t === 'node.drain') continue;
-      const p = pick(r, f.procs);
+      const p = pick(r, f.processes);
       frames.send(
         p.options['place'] as Address,
         stringify({
@@ -183,7 +183,7 @@
         }),
       );
     }
-    await f.w.run(f.w.now() + duration.s(3));
+    await f.world.run(f.world.now() + duration.s(3));
     assert.equal(await serves(f), [200, 200, 200, 200, 200, 200, 200], `seed ${seed}`);
     assert.equal(f.breaches(), [], `seed ${seed}`);
   }
--- a/tools/simulation/test/keep.test.ts
+++ b/tools/simulation/test/keep.test.ts
@@ -16,7 +16,7 @@
   if ('e' in got) throw got.e;
   return got.v!;
 };
-const at = (f: Fleet, i: number): Address => f.proc(`gateway-edge${i}`).options['http'] as Address;
+const at = (f: Fleet, i: number): Address => f.process(`gateway-edge${i}`).options['http'] as Address;
 const chat = (f: Fleet, i: number, say: string, headers: Record<string, string>): Promise<Reply> =>
   settled(
     f,
@@ -64,16 +64,16 @@
       .then((r) => r.status)
       .catch(() => 0);
     // Killed at some moment between its sending and its end: most often while its records are being closed.
-    while (!f.requestLog.entries.some((e) => e.ended)) await f.w.run(f.w.now() + duration.ms(0.2));
-    await f.w.run(f.w.now() + duration.ms(seed - 1));
+    while (!f.requestLog.entries.some((e) => e.ended)) await f.world.run(f.world.now() + duration.ms(0.2));
+    await f.world.run(f.world.now() + duration.ms(seed - 1));
     f.kill('gateway-edge1', 'power');
     let again: Reply | undefined;
-    const end = f.w.now() + duration.s(8);
-    while (again?.status !== 200 && f.w.now() < end) {
+    const end = f.world.now() + duration.s(8);
+    while (again?.status !== 200 && f.world.now() < end) {
       again = await chat(f, 2, 'look at the pump', cls);
       // Not known, and never will be: what is kept says whether to ask anew.
       if (again.body['error'] === 'outcome_unknown') break;
-      await f.w.run(f.w.now() + duration.s(1));
+      await f.world.run(f.world.now() + duration.s(1));
     }
     const lost = again!.body['error'] === 'outcome_unknown';
     if (lost) assert.is((await chat(f, 3, 'look at the pump', { ...cls, 'idempotency-key': 'k2' })).status, 200);
@@ -93,7 +93,7 @@
   let late = 0;
   for (let seed = 1; seed <= 6; seed++) {
     const f = await fleet.open({ seed, shape: 'lautoka' });
-    const others = f.procs.filter((p) => p.role !== 'store' && p.name !== 'gateway-edge1').map((p) => p.name);
+    const others = f.processes.filter((p) => p.role !== 'store' && p.name !== 'gateway-edge1').map((p) => p.name);
     const first = f
       .http(
         at(f, 1),
@@ -110,22 +110,23 @@
       .then((r) => r.status)
       .catch(() => 0);
     // Its edge sleeps from some moment between its sending and its end, and is taken for dead meanwhile.
-    while (!f.requestLog.entries.some((e) => (seed > 4 ? e.ended : true))) await f.w.run(f.w.now() + duration.ms(0.2));
-    await f.w.run(f.w.now() + duration.ms(seed % 3));
-    const woke = f.w.now() + duration.s(6);
+    while (!f.requestLog.entries.some((e) => (seed > 4 ? e.ended : true)))
+      await f.world.run(f.world.now() + duration.ms(0.2));
+    await f.world.run(f.world.now() + duration.ms(seed % 3));
+    const woke = f.world.now() + duration.s(6);
     f.freeze('gateway-edge1', duration.s(6));
-    const heal = f.cut(['gateway-edge1'], others);
+    const heal = f.partition(['gateway-edge1'], others);
     let told: unknown;
-    while (told !== 'outcome_unknown' && f.w.now() < woke - duration.s(1)) {
+    while (told !== 'outcome_unknown' && f.world.now() < woke - duration.s(1)) {
       const r = await chat(f, 2, 'look at the pump', { 'idempotency-key': 'k1' });
       told = r.status === 200 ? 'kept' : r.body['error'];
       if (told === 'kept') break;
-      await f.w.run(f.w.now() + duration.ms(300));
+      await f.world.run(f.world.now() + duration.ms(300));
     }
     assert.ok(told === 'outcome_unknown' || told === 'kept', `seed ${seed}: ${String(told)}`);
     const was = await settled(f, f.http(at(f, 3), 'GET', '/v1/conversations/c1'));
     assert.is(was.status, told === 'kept' ? 200 : 404, `seed ${seed}`);
-    await f.w.run(woke + duration.s(2));
+    await f.world.run(woke + duration.s(2));
     heal();
     if (told === 'outcome_unknown') {
       late += 1;
@@ -208,7 +209,7 @@
   classes['tutor']!['keepSeconds'] = 2;
   assert.is((await settled(f, f.push({ ...f.shape.config, classes }, 1))).status, 200);
   assert.is((await chat(f, 2, 'two', {})).status, 200);
-  await f.w.run(f.w.now() + duration.s(6));
+  await f.world.run(f.world.now() + duration.s(6));
   assert.is((await kept(f, 3)).length, 4);
 });
 test.run();
--- a/tools/simulation/test/late.test.ts
+++ b/tools/simulation/test/late.test.ts
@@ -27,7 +27,7 @@
       (answer) => void got.push(`${n}: ${answer}`),
       () => void got.push(`${n}: late`),
     );
-  const heal = w.cut([client], [server]);
+  const heal = w.partition([client], [server]);
   void ask(1);
   await w.run(w.now() + duration.s(20));
   assert.equal([served, got], [[], ['1: late']]);
@@ -43,18 +43,18 @@
 /** Cuts and standstills between holders and voters; what they held up arrives late. */
 const troubles = (w: World, nodes: Host[], voterHosts: Host[]): void => {
   for (let n = 0; n < 8; n++)
-    w.at(duration.s(4) + w.rand.int(duration.s(20)), () => {
+    w.scheduleAt(duration.s(4) + w.rand.int(duration.s(20)), () => {
       const holder = nodes[w.rand.int(nodes.length)]!;
       const some = voterHosts.filter(() => w.rand.int(2) === 0);
-      const heal = w.cut([holder], some);
-      w.at(w.now() + w.rand.int(duration.s(4)), heal);
+      const heal = w.partition([holder], some);
+      w.scheduleAt(w.now() + w.rand.int(duration.s(4)), heal);
     });
   for (let n = 0; n < 4; n++)
-    w.at(duration.s(4) + w.rand.int(duration.s(20)), () => {
+    w.scheduleAt(duration.s(4) + w.rand.int(duration.s(20)), () => {
       const voter = voterHosts[w.rand.int(voters)]!;
       if (voter.frozen) return;
       w.freeze(voter);
-      w.at(w.now() + w.rand.int(duration.s(3)), () => w.wake(voter));
+      w.scheduleAt(w.now() + w.rand.int(duration.s(3)), () => w.thaw(voter));
     });
 };
 test('duties: one holder at a time though ballots and leaves arrive late and overtake one another', async () => {
--- a/tools/simulation/test/link.test.ts
+++ b/tools/simulation/test/link.test.ts
@@ -226,7 +226,7 @@
   simulated(2, async (p) => {
     const c = p.connect();
     await ask(c, '/a');
-    const heal = p.w.cutOneWay([p.client], [p.server]);
+    const heal = p.w.partitionOneWay([p.client], [p.server]);
     const got = ask(c, '/b');
     await p.sleep(duration.ms(200));
     heal();
@@ -248,7 +248,7 @@
     );
     const d = p.runtime.net.connect('10.0.0.2:81', { connectWithin });
     await ask(d, '/a');
-    const heal = p.w.cutOneWay([p.server], [p.client]);
+    const heal = p.w.partitionOneWay([p.server], [p.client]);
     const got = ask(d, '/b');
     await p.sleep(duration.ms(200));
     assert.is(ran, 2);
--- a/tools/simulation/test/parts.test.ts
+++ b/tools/simulation/test/parts.test.ts
@@ -96,7 +96,7 @@
   assert.equal([...accused.keys()], ['n4']);
   assert.is(accused.get('n4')!.size, 3);
   accused.clear();
-  w.wake(all[4]!.host);
+  w.thaw(all[4]!.host);
   await w.run(duration.s(7));
   assert.equal(
     [...accused.values()].flatMap((s) => [...s]).filter((by) => by === 'n4'),
@@ -195,17 +195,17 @@
     }
     const r = w.rand;
     for (let i = 0; i < 6; i++)
-      w.at(duration.s(4) + r.int(duration.s(20)), () => {
+      w.scheduleAt(duration.s(4) + r.int(duration.s(20)), () => {
         const x = duties[r.int(4)]!;
         if (!x.host.frozen) {
           w.freeze(x.host);
-          w.at(w.now() + r.int(duration.s(5)), () => w.wake(x.host));
+          w.scheduleAt(w.now() + r.int(duration.s(5)), () => w.thaw(x.host));
         }
       });
-    w.at(duration.s(9), () => {
+    w.scheduleAt(duration.s(9), () => {
       const v = voters[r.int(3)]!;
       w.kill(v.host, 'power');
-      w.at(w.now() + duration.ms(300), () => {
+      w.scheduleAt(w.now() + duration.ms(300), () => {
         w.start(v.host);
         bootVoter(v);
       });
--- a/tools/simulation/test/path.test.ts
+++ b/tools/simulation/test/path.test.ts
@@ -10,7 +10,7 @@
   const f = await fleet.open({ seed, shape });
   const l = f.load({ chats: 20, kept: 3, jobs: 30, over: duration.s(4) });
   await f.until('the load', l.done, duration.s(60));
-  return { hash: f.w.hash(), breaches: f.breaches(), results: f.callers.summary.results, ready: f.ready() };
+  return { hash: f.world.hash(), breaches: f.breaches(), results: f.callers.summary.results, ready: f.ready() };
 };
 
 for (const shape of ['lautoka', 'granite'] as const) {
--- a/tools/simulation/test/registers.test.ts
+++ b/tools/simulation/test/registers.test.ts
@@ -121,7 +121,7 @@
     for (const k of places.slice(0, 3))
       if (k.host.alive) {
         w.kill(k.host, 'power');
-        w.at(w.now() + duration.ms(50), () => {
+        w.scheduleAt(w.now() + duration.ms(50), () => {
           w.start(k.host);
           void boot(k.host, k.at, k.id);
         });
@@ -141,7 +141,7 @@
     const e = r.int(3);
     const no = o.fresh ? i % keys : r.int(3);
     const key = `key${no}`;
-    w.at(duration.ms(50) + (o.fresh ? no * pace + r.int(duration.ms(8)) : r.int(span)), () => {
+    w.scheduleAt(duration.ms(50) + (o.fresh ? no * pace + r.int(duration.ms(8)) : r.int(span)), () => {
       const op: Op = { id: `a${i}`, key, from: w.now(), to: Infinity, saw: null, ok: false };
       ops.push(op);
       open += 1;
@@ -188,7 +188,7 @@
   if (o.mixed)
     for (let i = 0; i < 60; i++) {
       const [e, what, key] = [r.int(3), r.int(4), all[r.int(keys)]!];
-      w.at(duration.ms(50) + r.int(span), () => {
+      w.scheduleAt(duration.ms(50) + r.int(span), () => {
         const edge = edges[e]!;
         if (what === 0) void edge.reserve(key, duration.ms(500)).catch(() => undefined);
         else if (what === 1)
@@ -199,20 +199,20 @@
   // Every other history has a network that loses, doubles and reorders.
   if (o.faults && seed % 2 === 0) {
     w.rough(0.05, duration.ms(10));
-    w.at(span + duration.s(2), () => w.rough(0, 0));
+    w.scheduleAt(span + duration.s(2), () => w.rough(0, 0));
   }
   if (o.faults)
     for (let i = 0; i < 5; i++)
-      w.at(r.int(span), () => {
+      w.scheduleAt(r.int(span), () => {
         const k = places[r.int(3)]!;
         if (!k.host.alive) return;
         if (r.int(3) === 0) {
           w.freeze(k.host);
-          w.at(w.now() + r.int(duration.ms(600)), () => w.wake(k.host));
+          w.scheduleAt(w.now() + r.int(duration.ms(600)), () => w.thaw(k.host));
           return;
         }
         w.kill(k.host, 'power');
-        w.at(w.now() + r.int(duration.ms(500)), () => {
+        w.scheduleAt(w.now() + r.int(duration.ms(500)), () => {
           w.start(k.host);
           void boot(k.host, k.at, k.id);
         });
@@ -242,9 +242,9 @@
         await time.sleep(clock, duration.ms(60));
       }
     };
-    w.at(duration.ms(100), () => void sweeps());
+    w.scheduleAt(duration.ms(100), () => void sweeps());
     if (o.regroup && seed % 3 > 0) w.rough(0.03, duration.ms(8));
-    w.at(span + duration.s(2), () => w.rough(0, 0));
+    w.scheduleAt(span + duration.s(2), () => w.rough(0, 0));
   } else if (o.regroup) {
     // Add k4, settle every key under the new mark, take k1 out, settle again.
     const step = async (): Promise<void> => {
@@ -254,10 +254,10 @@
       for (const k of all) await edges[0]!.settleKey(k, duration.s(3));
       w.kill(places[0]!.host, 'disk');
     };
-    w.at(duration.ms(900), () => void step());
+    w.scheduleAt(duration.ms(900), () => void step());
     // Two edges each miss another store, so that their majorities differ.
-    const heal = [w.cut([hosts[1]!], [places[2]!.host]), w.cut([hosts[2]!], [places[1]!.host])];
-    w.at(duration.s(5), () => heal.forEach((h) => h()));
+    const heal = [w.partition([hosts[1]!], [places[2]!.host]), w.partition([hosts[2]!], [places[1]!.host])];
+    w.scheduleAt(duration.s(5), () => heal.forEach((h) => h()));
   }
   await w.run(span + duration.s(3));
   const last = new Map<string, string[]>();
@@ -395,7 +395,7 @@
         sweep.pass({ clock: runtime.clock, rpc: p, registers: regs, group, all, pause: 0, still: () => true }),
       wait: (t) =>
         new Promise((fin) => {
-          w.at(w.now() + t, fin);
+          w.scheduleAt(w.now() + t, fin);
         }),
     });
     done = 'yes';
--- a/tools/simulation/test/streams.test.ts
+++ b/tools/simulation/test/streams.test.ts
@@ -15,7 +15,7 @@
   }
   for (const x of f.layout.workers.filter((y) => y.kind === 'model')) {
     const host = x.at.split(':')[0]!;
-    const runtime = f.w.runtime(f.hostOf(host));
+    const runtime = f.world.runtime(f.hostOf(host));
     await runtime.net.serve(
       x.at,
       (ask, say) => {
@@ -35,7 +35,7 @@
   let ended: 'clean' | 'cut' | null = null;
   const read = async (): Promise<void> => {
     const r = await f.callerRuntime.net.call({
-      at: f.proc('gateway-edge1').options['http'] as Address,
+      at: f.process('gateway-edge1').options['http'] as Address,
       method: 'POST',
       path: '/v1/chat/completions',
       headers,
@@ -61,7 +61,7 @@
   let written = 0;
   let ended = false;
   for (const x of f.layout.workers.filter((y) => y.kind === 'model')) {
-    const runtime = f.w.runtime(f.hostOf(x.at.split(':')[0]!));
+    const runtime = f.world.runtime(f.hostOf(x.at.split(':')[0]!));
     await runtime.net.serve(
       x.at,
       async (ask, say) => {
@@ -86,7 +86,7 @@
   let r: HttpClientResponse | undefined;
   void f.callerRuntime.net
     .call({
-      at: f.proc('gateway-edge1').options['http'] as Address,
+      at: f.process('gateway-edge1').options['http'] as Address,
       method: 'POST',
       path: '/v1/chat/completions',
       headers,
@@ -97,19 +97,19 @@
       r = x;
     });
   await f.until('the head of the stream', () => r !== undefined, duration.s(5));
-  await f.w.run(f.w.now() + duration.s(3));
+  await f.world.run(f.world.now() + duration.s(3));
   assert.ok(written < 200, `${written} pieces were read ahead of a reader that reads nothing`);
   await f.until('the worker to finish', () => ended, duration.s(20));
   let budgetRecord: { spent: number; open: unknown } | undefined;
   void f
-    .proc('gateway-edge2')
+    .process('gateway-edge2')
     .node!.registers.read('program/p1')
     .then((v) => {
       budgetRecord = v as typeof budgetRecord;
     });
-  await f.w.run(f.w.now() + duration.s(2));
+  await f.world.run(f.world.now() + duration.s(2));
   assert.equal([budgetRecord!.spent, budgetRecord!.open], [12, null]);
-  assert.is(f.proc('gateway-edge1').node!.counts()['slow_cut'], 1);
+  assert.is(f.process('gateway-edge1').node!.counts()['slow_cut'], 1);
 });
 test('an edge killed in the middle of streams costs its own and no others', async () => {
   const f = await fleet.open({ seed: 6, shape: 'granite', perToken: duration.ms(40) });
@@ -119,7 +119,7 @@
       let text = '';
       try {
         const r = await f.callerRuntime.net.call({
-          at: f.proc(name).options['http'] as Address,
+          at: f.process(name).options['http'] as Address,
           method: 'POST',
           path: '/v1/chat/completions',
           headers: {
@@ -138,7 +138,7 @@
     };
     void read();
   }
-  await f.w.run(f.w.now() + duration.ms(300));
+  await f.world.run(f.world.now() + duration.ms(300));
   f.kill('gateway-edge2', 'power');
   await f.until('the streams to end', () => ended.size === 4, duration.s(30));
   assert.equal(Object.fromEntries([...ended].sort()), {
@@ -149,12 +149,12 @@
   });
   // The program of the lost turn is served by another edge; its turn stays charged.
   let again: number | undefined;
-  const end = f.w.now() + duration.s(10);
-  while (again !== 200 && f.w.now() < end) {
+  const end = f.world.now() + duration.s(10);
+  while (again !== 200 && f.world.now() < end) {
     let r: { status: number } | undefined;
     void f
       .http(
-        f.proc('gateway-edge5').options['http'] as Address,
+        f.process('gateway-edge5').options['http'] as Address,
         'POST',
         '/v1/chat/completions',
         { messages: [{ role: 'user', content: 'more [last]' }], max_tokens: 8, stream: false },
--- a/tools/simulation/test/views.test.ts
+++ b/tools/simulation/test/views.test.ts
@@ -33,7 +33,7 @@
   }));
   const boot = async (t: Coordinator): Promise<void> => {
     const runtime = w.runtime(t.host);
-    const inc = t.host.inc;
+    const inc = t.host.incarnation;
     let last = -1;
     const v = await views.open<List>({
       runtime,
@@ -51,7 +51,7 @@
         t.log.push(m);
       },
     });
-    if (t.host.inc === inc) t.v = v;
+    if (t.host.incarnation === inc) t.v = v;
   };
   for (const t of towers) void boot(t);
   await w.run(duration.s(3));
@@ -59,7 +59,7 @@
   const acked: string[] = [];
   const refused = new Set<string>();
   for (let i = 0; i < 80; i++)
-    w.at(duration.s(3) + r.int(duration.s(12)), () => {
+    w.scheduleAt(duration.s(3) + r.int(duration.s(12)), () => {
       const t = towers[r.int(3)]!;
       if (!t.host.alive || !t.v) return;
       const id = `x${i}`;
@@ -73,30 +73,30 @@
         );
     });
   if (faults === 'any' && seed % 2 === 0) {
-    w.at(duration.s(3), () => w.rough(0.05, duration.ms(10)));
-    w.at(duration.s(16), () => w.rough(0, 0));
+    w.scheduleAt(duration.s(3), () => w.rough(0.05, duration.ms(10)));
+    w.scheduleAt(duration.s(16), () => w.rough(0, 0));
   }
   if (faults === 'any')
     for (let i = 0; i < 6; i++)
-      w.at(duration.s(3) + r.int(duration.s(11)), () => {
+      w.scheduleAt(duration.s(3) + r.int(duration.s(11)), () => {
         const t = towers[r.int(3)]!;
         const k = r.int(3);
         if (k === 0 && t.host.alive) {
           w.kill(t.host, 'power');
           t.v = null;
-          w.at(w.now() + r.int(duration.s(2)), () => {
+          w.scheduleAt(w.now() + r.int(duration.s(2)), () => {
             w.start(t.host);
             void boot(t);
           });
         } else if (k === 1 && t.host.alive && !t.host.frozen) {
           w.freeze(t.host);
-          w.at(w.now() + r.int(duration.s(3)), () => w.wake(t.host));
+          w.scheduleAt(w.now() + r.int(duration.s(3)), () => w.thaw(t.host));
         } else {
-          const heal = w.cut(
+          const heal = w.partition(
             [t.host],
             towers.filter((x) => x !== t).map((x) => x.host),
           );
-          w.at(w.now() + r.int(duration.s(3)), heal);
+          w.scheduleAt(w.now() + r.int(duration.s(3)), heal);
         }
       });
   await w.run(duration.s(24));
@@ -154,7 +154,7 @@
     const h = head();
     const other = [0, 1, 2].find((i) => i !== h && i !== lost)!;
     // The order that adds it reaches nobody but the head itself.
-    const heal = w.cut([hosts[h]!], [hosts[other]!, hosts[3]!]);
+    const heal = w.partition([hosts[h]!], [hosts[other]!, hosts[3]!]);
     const add = { id: all[3]!.id, at: at[3]! };
     all[h]!.propose((s, members) => ({ state: s, members: [...members, add], result: 0 })).catch(() => undefined);
     await w.run(duration.s(7));
@@ -205,7 +205,7 @@
     // Processes of a fleet do not start in the same moment.
     const starts = x.hosts.map(() => duration.s(4) + w.rand.int(duration.ms(50)));
     for (const [i, h] of x.hosts.entries())
-      w.at(starts[i]!, () => {
+      w.scheduleAt(starts[i]!, () => {
         w.start(h);
         void x.boot(i);
       });
@@ -301,7 +301,7 @@
       for (const h of x.hosts) w.kill(h, w.rand.int(2) ? 'power' : 'process');
       await w.run(w.now() + duration.ms(100));
       for (const [i, h] of x.hosts.entries())
-        w.at(w.now() + w.rand.int(duration.ms(300)), () => {
+        w.scheduleAt(w.now() + w.rand.int(duration.ms(300)), () => {
           w.start(h);
           void x.boot(i);
         });
