--- a/packages/membership/src/index.ts
+++ b/packages/membership/src/index.ts
@@ -2,7 +2,7 @@
 // join the roster, refute a wrong death, hold the newest agreed state, and notice its own freezes.
 import { dissemination, type Dissemination, type News } from '@thornsail/dissemination';
 import { address, time, duration, type Runtime, type Address, type Microseconds } from '@thornsail/runtime';
-import { failureDetector, type FailureDetector } from '@thornsail/failure-detector';
+import { failureDetector, type FailureDetector, type Peer } from '@thornsail/failure-detector';
 import { validate, type Rpc } from '@thornsail/rpc';
 import {
   coreClient,
@@ -116,16 +116,18 @@
     };
     const state = (): Ordered | undefined => marked()?.state;
     /** Made anew only with a new state: who gets the same list can tell that nothing has changed. */
-    let roster: { of: Ordered | undefined; live: NodeEntry[]; relays: NodeEntry[] } = {
+    let roster: { of: Ordered | undefined; live: NodeEntry[]; peers: Peer[]; relays: NodeEntry[] } = {
       of: undefined,
       live: [],
+      peers: [],
       relays: [],
     };
     const current = (): typeof roster => {
       const s = state();
       if (s === roster.of) return roster;
       const all = s ? order.live(s) : [];
-      return (roster = { of: s, live: all, relays: all.filter((n) => n.role !== 'gateway') });
+      const peers = all.map((n) => ({ id: n.id, address: n.place, incarnation: n.inc }));
+      return (roster = { of: s, live: all, peers, relays: all.filter((n) => n.role !== 'gateway') });
     };
     const live = (): NodeEntry[] => current().live;
     const relays = (): { id: string; place: Address }[] => current().relays;
@@ -165,14 +167,14 @@
       },
     });
     const look = failureDetector.open({
-      ...(o.beat === undefined ? {} : { times: { beat: o.beat, silent: o.beat * 5 } }),
+      ...(o.beat === undefined ? {} : { timing: { heartbeatInterval: o.beat, suspectAfter: o.beat * 5 } }),
       runtime,
       rpc,
-      self: () => ({ id, place: rpc.at, inc }),
-      roster: live,
-      report: (list) => {
+      self: () => ({ id, address: rpc.at, incarnation: inc }),
+      members: () => current().peers,
+      onSuspected: (list) => {
         const v = marked();
-        const suspicions = list.map((s) => ({ by: id, id: s.id, inc: s.inc }));
+        const suspicions = list.map((s) => ({ by: id, id: s.id, inc: s.incarnation }));
         const request = coreCodec.encodeRequest({ type: 'suspect', suspicions });
         rpc.notifyAll(v?.members.map((m) => m.at) ?? [], coreRequestName, request);
       },
--- a/tools/simulation/src/measurement/capacity/processor.ts
+++ b/tools/simulation/src/measurement/capacity/processor.ts
@@ -61,7 +61,8 @@
   const roster = pick(sizes, [50, 100, 200, 400, 800], [10, 20, 30, 40]);
   const round = async (n: number): Promise<number> => {
     const w = newWorld();
-    const all = Array.from({ length: n }, (_, i) => ({ ...nodeOf(i), inc: 1 }));
+    const nodes = Array.from({ length: n }, (_, i) => nodeOf(i));
+    const all = nodes.map(({ id, place }) => ({ id, address: place, incarnation: 1 }));
     const runtime = w.runtime(w.host('10.0.0.1', 'z1'));
     const ticks: (() => void)[] = [];
     const clock: Runtime['clock'] = {
@@ -71,13 +72,13 @@
         return () => undefined;
       },
     };
-    const p = await rpc.open(runtime, all[0]!.place);
+    const p = await rpc.open(runtime, all[0]!.address);
     failureDetector.open({
       runtime: { ...runtime, clock },
       rpc: p,
       self: () => all[0]!,
-      roster: () => all,
-      report: () => undefined,
+      members: () => all,
+      onSuspected: () => undefined,
     });
     const rounds = Math.max(1, Math.round(40_000 / n ** 2));
     let best = Infinity;
--- a/tools/simulation/src/measurement/detection.ts
+++ b/tools/simulation/src/measurement/detection.ts
@@ -22,21 +22,21 @@
         const w = world.open({ seed, zoneDelay: duration.ms(1.5), clientDelay: duration.ms(1), clientIp: '127.0.9.9' });
         const all = Array.from({ length: 20 }, (_, i) => ({
           id: `n${i}`,
-          place: `127.0.0.${i + 1}:1`,
-          inc: 1,
+          address: `127.0.0.${i + 1}:1`,
+          incarnation: 1,
           host: w.host(`127.0.0.${i + 1}`, `z${i % 3}`),
         }));
         const accused = new Map<string, Map<string, Microseconds>>();
         const two = new Set<string>();
         for (const x of all)
-          void rpc.open(w.runtime(x.host), x.place).then((p) =>
+          void rpc.open(w.runtime(x.host), x.address).then((p) =>
             failureDetector.open({
               runtime: w.runtime(x.host),
               rpc: p,
               self: () => x,
-              roster: () => all,
-              times: { silent: duration.ms(silent), watchers },
-              report: (list) => {
+              members: () => all,
+              timing: { suspectAfter: duration.ms(silent), watchers },
+              onSuspected: (list) => {
                 for (const s of list) {
                   const by = accused.get(s.id) ?? new Map<string, Microseconds>();
                   accused.set(s.id, by.set(x.id, w.now()));
--- a/tools/simulation/test/parts.test.ts
+++ b/tools/simulation/test/parts.test.ts
@@ -72,19 +72,19 @@
   const w = open(3);
   const all = Array.from({ length: 9 }, (_, i) => ({
     id: `n${i}`,
-    place: `127.0.0.${i + 1}:1`,
-    inc: 1,
+    address: `127.0.0.${i + 1}:1`,
+    incarnation: 1,
     host: w.host(`127.0.0.${i + 1}`, 'z1'),
   }));
   const accused = new Map<string, Set<string>>();
   for (const x of all)
-    void rpc.open(w.runtime(x.host), x.place).then((p) =>
+    void rpc.open(w.runtime(x.host), x.address).then((p) =>
       failureDetector.open({
         runtime: w.runtime(x.host),
         rpc: p,
         self: () => x,
-        roster: () => all,
-        report: (l) => {
+        members: () => all,
+        onSuspected: (l) => {
           for (const s of l) accused.set(s.id, (accused.get(s.id) ?? new Set()).add(x.id));
         },
       }),
