--- a/packages/consensus/src/actions.ts
+++ b/packages/consensus/src/actions.ts
@@ -61,6 +61,12 @@
   if (state.role === 'unformed') changeRole(step, 'formed');
 };
 
+/** Ends this replica's own election; a candidate is a follower again. */
+export const abandonElection = <S>(step: Step<S>): void => {
+  step.state.election = undefined;
+  if (step.state.role === 'candidate') changeRole(step, 'stepped-down');
+};
+
 /** Tells of a version that a quorum holds; older ones were told already, or are contained in a newer one. */
 export const commit = <S>(step: Step<S>, snapshot: Snapshot<S>): void => {
   const { committed } = step.state;
--- a/packages/consensus/src/client.ts
+++ b/packages/consensus/src/client.ts
@@ -1,13 +1,14 @@
 // How any node reaches the coordinators (§3.3): the leader it knew last, then a redirect, then the others.
-import { fault, time, duration, type Clock, type Runtime, type Address, type Microseconds } from '@thornsail/runtime';
+import { time, duration, type Clock, type Runtime, type Address, type Microseconds } from '@thornsail/runtime';
 import type { Rpc } from '@thornsail/rpc';
 import { coreCodec, coreRequestName } from './core-messages.js';
+import { consensusErrors } from './errors.js';
 import type { CoreRequest, CoreResult, CoreValue, EncodedResult } from './core-messages.js';
 
 export type CoreClient = {
   /**
    * Every operation may be repeated safely, so an unknown outcome is simply asked again. Throws with code
-   * `no-majority` when `timeLeft` is over; for what an operator waits for, as soon as no member has given an agreed
+   * `no-quorum` when `timeLeft` is over; for what an operator waits for, as soon as no member has given an agreed
    * answer for `operatorPatience`.
    */
   request: <R extends CoreRequest>(
@@ -42,7 +43,7 @@
 const answerWithin = <T>(clock: Clock, limit: Microseconds, to: Address, answer: Promise<T>): Promise<T> =>
   new Promise((resolve, reject) => {
     const stopTimer = clock.schedule(limit, () =>
-      reject(fault.make({ step: 'core', sibling: to, code: 'unknown' }, 'no answer in time')),
+      reject(consensusErrors.create('outcome-unknown', { step: 'core', peer: to, message: 'no answer in time' })),
     );
     answer.then(resolve, reject).finally(stopTimer);
   });
@@ -64,7 +65,7 @@
     client.named = result.members;
     if (result.leader && result.leader !== to) client.leader = result.leader;
     else if (client.leader === to) client.leader = undefined;
-    client.lastError = fault.make({ step: `core.${request.type}`, sibling: to }, result.reason);
+    client.lastError = consensusErrors.create(result.reason, { step: `core.${request.type}`, peer: to });
   } catch (error) {
     client.lastError = error;
     if (client.leader === to) client.leader = undefined;
@@ -134,8 +135,7 @@
     if (clock.now() + pause >= end) break;
     await time.sleep(clock, pause);
   }
-  const text = 'the coordinators gave no agreed result in time';
-  throw fault.make({ step: `core.${request.type}`, code: 'no-majority' }, text, client.lastError);
+  throw consensusErrors.create('no-quorum', { step: `core.${request.type}`, cause: client.lastError });
 };
 
 export const coreClient = {
--- a/packages/consensus/src/driver.ts
+++ b/packages/consensus/src/driver.ts
@@ -2,6 +2,7 @@
 import { fault, time, duration, type Runtime, type Address, type Microseconds } from '@thornsail/runtime';
 import { durableStore, type DurableStore } from '@thornsail/durable-files';
 import type { Rpc } from '@thornsail/rpc';
+import { consensusErrors } from './errors.js';
 import { defaultTiming, replica } from './replica.js';
 import type { Change, Effect, Event, ProposalOutcome, ReadOutcome, ReplicaState } from './types.js';
 import type { ReplyMessage, RequestMessage, Role, Snapshot, Timing, WriteEffect } from './types.js';
@@ -20,9 +21,9 @@
   isLeaseValid: () => boolean;
   /** Whether a member has acknowledged something of this leader lately; always true of itself. */
   isInTouch: (memberId: string) => boolean;
-  /** Resolves once synced at a quorum. An error with code `moved` was not taken; `unknown` may have been. */
+  /** Resolves once synced at a quorum. An error `not-leader` was not taken; `outcome-unknown` may have been. */
   propose: <R>(change: Change<S, R>) => Promise<{ index: number; result: R }>;
-  /** The committed state, confirmed by a quorum after the time of asking. Errors: `moved`, `unknown`. */
+  /** The committed state, confirmed by a quorum after the time of asking. Errors: `not-leader`, `outcome-unknown`. */
   readAgreed: () => Promise<Snapshot<S>>;
   close: () => void;
 };
@@ -55,9 +56,6 @@
   return { id, term, accepted: kept && wire.decodeSnapshot(kept.value, codec), fileMark: kept?.mark ?? 0 };
 };
 
-const outcomeError = (step: string, code: 'moved' | 'unknown'): Error =>
-  fault.make({ step, code }, code === 'moved' ? 'not the leader' : 'outcome unknown');
-
 /** The promises of callers, by number. */
 const waitingCalls = <T>(): {
   add: (begin: (number: number) => void) => Promise<T>;
@@ -83,11 +81,11 @@
 const settleProposal = (waiting: Waiting<{ index: number; result: unknown }>, outcome: ProposalOutcome): void => {
   if (outcome.ok) waiting.resolve({ index: outcome.index, result: outcome.result });
   else if (outcome.code === 'failed') waiting.reject(outcome.error);
-  else waiting.reject(outcomeError('consensus.propose', outcome.code));
+  else waiting.reject(consensusErrors.create(outcome.code, { step: 'consensus.propose' }));
 };
 const settleRead = <S>(waiting: Waiting<Snapshot<S>>, outcome: ReadOutcome<S>): void => {
   if (outcome.ok) waiting.resolve(outcome.snapshot);
-  else waiting.reject(outcomeError('consensus.read', outcome.code));
+  else waiting.reject(consensusErrors.create(outcome.code, { step: 'consensus.read' }));
 };
 
 type Io<S> = {
--- a/packages/consensus/src/election.ts
+++ b/packages/consensus/src/election.ts
@@ -1,5 +1,5 @@
 // Elections (§3.3): a pre-vote that changes nothing, a vote that does, and the new leader's first version.
-import { log, otherMembers, send, writeSnapshot, writeTerm } from './actions.js';
+import { abandonElection, log, otherMembers, send, writeSnapshot, writeTerm } from './actions.js';
 import { replicate } from './leader.js';
 import { hasQuorum, isNewer } from './quorum.js';
 import { changeRole } from './role.js';
@@ -106,7 +106,7 @@
 export const requestVotes = <S>(step: Step<S>, term: number): void => {
   const { state } = step;
   const base = state.accepted;
-  if (state.role !== 'candidate' || state.term !== term || !base) return abandon(step);
+  if (state.role !== 'candidate' || state.term !== term || !base) return abandonElection(step);
   const election = beginPhase(step, 'vote', term, base);
   for (const member of otherMembers(step, base.members)) requestVote(step, election, member);
   settleVote(step, election);
@@ -130,11 +130,6 @@
     }
 };
 
-const abandon = <S>(step: Step<S>): void => {
-  step.state.election = undefined;
-  if (step.state.role === 'candidate') changeRole(step, 'stepped-down');
-};
-
 /** Counts an answer to a vote; a failed request (`undefined`) counts as no. */
 export const onVoteReply = <S>(
   step: Step<S>,
@@ -169,14 +164,14 @@
     return;
   }
   state.removed = !isMember;
-  abandon(step);
+  abandonElection(step);
   state.heardAt = step.now;
 };
 
 /** The newest version, written again under the new term: the term's first commit, before any proposal. */
 export const takeOver = <S>(step: Step<S>, snapshot: Snapshot<S>): void => {
   const { state } = step;
-  if (state.role !== 'candidate' || state.term !== snapshot.term) return abandon(step);
+  if (state.role !== 'candidate' || state.term !== snapshot.term) return abandonElection(step);
   changeRole(step, 'elected');
   state.leader = state.at;
   state.quorumAt = step.now;
@@ -186,4 +181,4 @@
 };
 
 /** The candidate's term or first version was not written: it is a follower again. */
-export const onElectionWriteFailed = <S>(step: Step<S>): void => abandon(step);
+export const onElectionWriteFailed = <S>(step: Step<S>): void => abandonElection(step);
--- a/packages/consensus/src/follower.ts
+++ b/packages/consensus/src/follower.ts
@@ -1,8 +1,7 @@
 // What every member does when another asks (§3.3): accept a version, hear a leader, vote, be formed.
-import { commit, writeSnapshot, writeTerm } from './actions.js';
+import { abandonElection, commit, writeSnapshot, writeTerm } from './actions.js';
 import { stepDown } from './leader.js';
 import { isNewer } from './quorum.js';
-import { changeRole } from './role.js';
 import type { Address } from '@thornsail/runtime';
 import type { Continuation, Event, ReplicaState, RequestMessage, Snapshot, Step } from './types.js';
 
@@ -29,10 +28,6 @@
   state.restarted = false;
   state.removed = false;
 };
-const abandonElection = <S>(step: Step<S>): void => {
-  step.state.election = undefined;
-  if (step.state.role === 'candidate') changeRole(step, 'stepped-down');
-};
 
 const commitAt = <S>(step: Step<S>, term: number, commitIndex: number): void => {
   const { accepted } = step.state;
--- a/packages/consensus/src/group-duties.ts
+++ b/packages/consensus/src/group-duties.ts
@@ -5,10 +5,11 @@
 import { order, type NodeEntry, type Ordered } from './order.js';
 import { presence, sparesOf, spreadOver, type Presence } from './presence.js';
 import { repair, type Condition, type ReplicaGroup, type RepairStep } from './repair.js';
-import type { Marked, Member, Views } from './views.js';
+import type { Consensus } from './driver.js';
+import type { Member, Snapshot } from './types.js';
 
 /** How many members each group should have. */
-export type GroupSizes = { keepers: number; towers: number };
+export type GroupSizes = { stores: number; coordinators: number };
 /** The duties as the leader runs them. */
 export type GroupDuties = {
   /** Takes the steps that are due, until there is none; a call while one runs makes it look once more. */
@@ -18,20 +19,20 @@
 };
 type DutyOptions = {
   clock: Clock;
-  views: Views<Ordered>;
+  consensus: Consensus<Ordered>;
   sizes: GroupSizes;
   /** How long a member is missed before a spare takes its place, in microseconds. */
   replaceAfter: Microseconds;
   log: (text: string) => void;
 };
-type Duty = (version: Marked<Ordered>) => Promise<boolean>;
+type Duty = (version: Snapshot<Ordered>) => Promise<boolean>;
 
 const memberOf = (node: NodeEntry): Member => ({ id: node.id, at: node.place });
 
 /** Both groups as the repair sees them. */
 type GroupReader = {
-  keepers: (ordered: Ordered) => ReplicaGroup;
-  towers: (ordered: Ordered, members: Member[]) => ReplicaGroup;
+  stores: (ordered: Ordered) => ReplicaGroup;
+  coordinators: (ordered: Ordered, members: Member[]) => ReplicaGroup;
 };
 /**
  * The leader hears the coordinators itself, and sooner than the roster says so: one that answers is not removed, and
@@ -56,25 +57,25 @@
     settled: true,
   });
   return {
-    keepers: (ordered) => {
+    stores: (ordered) => {
       const { members, mark, swept } = ordered.storeGroup;
-      const group = groupOf(ordered, members, sparesOf(ordered, 'store', members), sizes.keepers);
+      const group = groupOf(ordered, members, sparesOf(ordered, 'store', members), sizes.stores);
       return { ...group, settled: mark > 0 && swept === mark };
     },
-    towers: (ordered, members) => {
-      const group = groupOf(ordered, members, sparesOf(ordered, 'coordinator', members), sizes.towers);
+    coordinators: (ordered, members) => {
+      const group = groupOf(ordered, members, sparesOf(ordered, 'coordinator', members), sizes.coordinators);
       return heardDirectly(group, isInTouch);
     },
   };
 };
 
 const storeFormation =
-  ({ views, sizes }: DutyOptions): Duty =>
+  ({ consensus, sizes }: DutyOptions): Duty =>
   async ({ state }) => {
     const live = order.live(state, 'store').filter((node) => node.standing === 'live');
-    if (state.storeGroup.mark !== 0 || live.length < sizes.keepers) return false;
-    const first = spreadOver(live, []).slice(0, sizes.keepers).map(memberOf);
-    await views.propose((ordered) => groups.form(ordered, first));
+    if (state.storeGroup.mark !== 0 || live.length < sizes.stores) return false;
+    const first = spreadOver(live, []).slice(0, sizes.stores).map(memberOf);
+    await consensus.propose((ordered) => groups.form(ordered, first));
     return true;
   };
 
@@ -91,11 +92,11 @@
 const storeRepair =
   (options: DutyOptions, reader: GroupReader): Duty =>
   async ({ state }) => {
-    const step = repair.next(reader.keepers(state));
+    const step = repair.next(reader.stores(state));
     if (!step) return false;
     logStep(options, 'store', state, step);
-    await options.views.propose((ordered) => {
-      if (!isStillNext(step, reader.keepers(ordered))) return { state: ordered, result: false };
+    await options.consensus.propose((ordered) => {
+      if (!isStillNext(step, reader.stores(ordered))) return { state: ordered, result: false };
       return step.change === 'remove'
         ? groups.change(ordered, { remove: step.id })
         : groups.change(ordered, { add: memberOf(ordered.roster[step.id]!) });
@@ -106,11 +107,11 @@
 const coordinatorRepair =
   (options: DutyOptions, reader: GroupReader): Duty =>
   async (version) => {
-    const step = repair.next(reader.towers(version.state, version.members));
+    const step = repair.next(reader.coordinators(version.state, version.members));
     if (!step) return false;
     logStep(options, 'coordinator', version.state, step);
-    await options.views.propose((ordered, members) => {
-      if (!isStillNext(step, reader.towers(ordered, members))) return { state: ordered, result: false };
+    await options.consensus.propose((ordered, members) => {
+      if (!isStillNext(step, reader.coordinators(ordered, members))) return { state: ordered, result: false };
       const next =
         step.change === 'remove'
           ? members.filter((member) => member.id !== step.id)
@@ -142,19 +143,19 @@
 /** Opens the duties to both groups. They act on the leader alone. */
 export const groupDuties = {
   open: (options: DutyOptions): GroupDuties => {
-    const { views, sizes } = options;
-    const reader = groupReader(presence.open(options), sizes, views.isInTouch);
+    const { consensus, sizes } = options;
+    const reader = groupReader(presence.open(options), sizes, consensus.isInTouch);
     const duties = [storeFormation(options), storeRepair(options, reader), coordinatorRepair(options, reader)];
     /** One step for each group; false if nothing was due. */
     const once = async (): Promise<boolean> => {
-      const version = views.done();
-      if (views.standing() !== 'lead' || !version) return false;
+      const version = consensus.committed();
+      if (consensus.role() !== 'leader' || !version) return false;
       const taken = await Promise.all(duties.map((duty) => duty(version)));
       return taken.includes(true);
     };
     return {
       storesRepaired: (ordered) => {
-        const group = reader.keepers(ordered);
+        const group = reader.stores(ordered);
         return group.settled && repair.next(group) === undefined;
       },
       act: untilDone(once),
--- a/packages/consensus/src/groups.ts
+++ b/packages/consensus/src/groups.ts
@@ -1,7 +1,7 @@
 // The store group as part of the agreed state (§6.5): pure changes of it, each of at most one member.
 import { invariant } from '@thornsail/runtime';
 import type { Ordered } from './order.js';
-import type { Member } from './views.js';
+import type { Member } from './types.js';
 
 /** `swept`: the newest mark under which every record was on a majority; `draining`: those asked to leave. */
 export type StoreGroup = { mark: number; members: Member[]; swept: number; draining: string[] };
--- a/packages/consensus/src/index.ts
+++ b/packages/consensus/src/index.ts
@@ -1,12 +1,12 @@
 export { consensus, type Consensus, type ConsensusOptions } from './driver.js';
 export type { Change, Member, Role, Snapshot, Timing } from './types.js';
-export { views, type Standing, type Marked, type Views } from './views.js';
 export { order, type NodeEntry, type NodeRole, type Ordered } from './order.js';
 export { configuration, type PastConfig, type Push, type PushResult } from './configuration.js';
 export { groups, type GroupChange, type StoreGroup } from './groups.js';
 export { presence, type Presence } from './presence.js';
 export { repair, type Condition, type ReplicaGroup, type ReplicaMember, type RepairStep } from './repair.js';
-export { core, type Core } from './core.js';
+export { core, type Core, type CoreOptions, type CoreSettings } from './core.js';
+export { consensusErrors } from './errors.js';
 export {
   coreCodec,
   coreRequestName,
--- /dev/null
+++ b/packages/consensus/src/leader-duties.ts
@@ -0,0 +1,82 @@
+/** What the leader does by itself (§3.2, §3.3): rules on failures, repairs both groups, and says that it is there. */
+import { duration, fault, time, type Clock } from '@thornsail/runtime';
+import type { Consensus } from './driver.js';
+import { consensusErrors } from './errors.js';
+import type { GroupDuties } from './group-duties.js';
+import { order, type Ordered } from './order.js';
+import type { Rulings } from './rulings.js';
+
+/** What the duties work on. */
+export type LeaderDutyOptions = {
+  clock: Clock;
+  consensus: Consensus<Ordered>;
+  failures: Rulings;
+  duties: GroupDuties;
+  /** Told now and then, with a growing number, while a majority confirms this leader. */
+  onLead?: (version: number) => void;
+  log: (text: string) => void;
+};
+/** The duties as they run; on a member that does not lead they do nothing. */
+export type LeaderDuties = {
+  /** What is agreed on may make a step due: a loss, a return, a sweep that is complete. */
+  onCommit: () => void;
+  close: () => void;
+};
+
+const announceInterval = duration.ms(500);
+const dutyInterval = duration.ms(200);
+/** Announcements of a later term have higher numbers. */
+const announcementsInTerm = 1e9;
+
+const ruleOnFailures = async ({ clock, consensus, failures, log }: LeaderDutyOptions): Promise<void> => {
+  const version = consensus.committed();
+  if (consensus.role() !== 'leader' || !version) return;
+  for (const { entry, watchers } of failures.due(version.state)) {
+    log(`${entry.name} is dead: ${watchers} watchers agree.`);
+    await consensus.propose((state) => order.dead(state, entry.id, entry.inc, clock.wall()));
+  }
+};
+
+/** A loss of the lead in between is no failure: the next leader does what is due. */
+const loggingFailures =
+  (log: LeaderDutyOptions['log'], duty: () => Promise<void>): (() => Promise<void>) =>
+  async () => {
+    try {
+      await duty();
+    } catch (error) {
+      if (!consensusErrors.is(error, 'not-leader', 'outcome-unknown')) log(`a duty failed: ${fault.text(error)}.`);
+    }
+  };
+
+/** A gateway that hears the leader's announcements gets every configuration in time (§7.2). */
+const announcer = ({ consensus, onLead }: LeaderDutyOptions): (() => void) => {
+  let announced = 0;
+  return () => {
+    if (!consensus.isLeaseValid() || !onLead) return;
+    announced += 1;
+    onLead((consensus.committed()?.term ?? 0) * announcementsInTerm + announced);
+  };
+};
+
+/** Starts the duties of the leader. */
+export const leaderDuties = {
+  open: (options: LeaderDutyOptions): LeaderDuties => {
+    const { clock, log } = options;
+    const repair = loggingFailures(log, options.duties.act);
+    const stops = [
+      time.every(clock, announceInterval, announcer(options)),
+      time.every(
+        clock,
+        dutyInterval,
+        loggingFailures(log, () => ruleOnFailures(options)),
+      ),
+      time.every(clock, dutyInterval, repair),
+    ];
+    return {
+      onCommit: () => void repair(),
+      close: () => {
+        for (const stop of stops) stop();
+      },
+    };
+  },
+};
--- a/packages/consensus/src/leader.ts
+++ b/packages/consensus/src/leader.ts
@@ -1,6 +1,7 @@
 // The leader (§3.3): replicates one version at a time, confirms itself by heartbeats, answers reads, and steps down.
 import { invariant } from '@thornsail/runtime';
 import { commit, log, otherMembers, send, writeSnapshot } from './actions.js';
+import type { RefusalCode } from './errors.js';
 import { ownWriteLimit } from './own-write-limit.js';
 import { hasQuorum, membersChanged } from './quorum.js';
 import { changeRole } from './role.js';
@@ -9,11 +10,7 @@
 
 const noCommit = -1;
 
-const settleProposals = <S>(
-  step: Step<S>,
-  proposals: readonly { proposal: number }[],
-  code: 'moved' | 'unknown',
-): void => {
+const settleProposals = <S>(step: Step<S>, proposals: readonly { proposal: number }[], code: RefusalCode): void => {
   for (const { proposal } of proposals)
     step.effects.push({ type: 'proposal-outcome', proposal, outcome: { ok: false, code } });
 };
@@ -26,13 +23,13 @@
   changeRole(step, 'stepped-down');
   state.heardAt = step.now;
   state.leader = undefined;
-  settleProposals(step, state.queue, 'moved');
+  settleProposals(step, state.queue, 'not-leader');
   state.queue = [];
-  if (state.replication) settleProposals(step, state.replication.outcomes, 'unknown');
+  if (state.replication) settleProposals(step, state.replication.outcomes, 'outcome-unknown');
   state.replication = undefined;
   const { writing } = state;
   if (writing?.continuation.kind === 'replicate') {
-    settleProposals(step, writing.continuation.batch.outcomes, 'unknown');
+    settleProposals(step, writing.continuation.batch.outcomes, 'outcome-unknown');
     writing.continuation.batch.outcomes = [];
   }
   for (const round of state.rounds.values()) failReads(step, round);
@@ -134,10 +131,10 @@
   step.effects.push({ type: 'timer', after: ownWriteLimit(state.lastWriteTook) + 1, event: { type: 'tick' } });
 };
 
-/** Queues a proposal; a replica that is not the leader answers it with `moved`. */
+/** Queues a proposal; a replica that is not the leader answers it with `not-leader`. */
 export const propose = <S>(step: Step<S>, proposal: Proposal<S>): void => {
   if (step.state.role === 'leader') step.state.queue.push(proposal);
-  else settleProposals(step, [proposal], 'moved');
+  else settleProposals(step, [proposal], 'not-leader');
 };
 
 /** Counts an acknowledged version, yields to a higher term, or retries after a failed request (`undefined`). */
@@ -180,7 +177,7 @@
 
 const failReads = <S>(step: Step<S>, round: HeartbeatRound<S>): void => {
   for (const { read } of round.reads)
-    step.effects.push({ type: 'read-outcome', read, outcome: { ok: false, code: 'unknown' } });
+    step.effects.push({ type: 'read-outcome', read, outcome: { ok: false, code: 'outcome-unknown' } });
   round.reads = [];
 };
 
@@ -272,10 +269,10 @@
 export const readCommitted = <S>(step: Step<S>, read: number): void => {
   const { state } = step;
   const { committed } = state;
-  const fail = (code: 'moved' | 'unknown'): void =>
+  const fail = (code: RefusalCode): void =>
     void step.effects.push({ type: 'read-outcome', read, outcome: { ok: false, code } });
-  if (state.role !== 'leader') fail('moved');
-  else if (committed?.term !== state.term) fail('unknown');
+  if (state.role !== 'leader') fail('not-leader');
+  else if (committed?.term !== state.term) fail('outcome-unknown');
   else sendHeartbeats(step, [{ read, snapshot: committed }]);
 };
 
--- a/packages/consensus/src/presence.ts
+++ b/packages/consensus/src/presence.ts
@@ -3,7 +3,7 @@
 import { duration, type Clock, type Microseconds } from '@thornsail/runtime';
 import type { Condition } from './repair.js';
 import { order, type NodeEntry, type NodeRole, type Ordered } from './order.js';
-import type { Member } from './views.js';
+import type { Member } from './types.js';
 
 const isAlive = (entry: NodeEntry | undefined): boolean => entry !== undefined && entry.standing !== 'dead';
 
--- a/packages/consensus/src/replica.ts
+++ b/packages/consensus/src/replica.ts
@@ -129,7 +129,7 @@
   state.writing = undefined;
   if (!continuation) return;
   if (continuation.kind === 'replicate') {
-    const code = unchanged ? 'moved' : 'unknown';
+    const code = unchanged ? 'not-leader' : 'outcome-unknown';
     for (const { proposal } of continuation.batch.outcomes)
       step.effects.push({ type: 'proposal-outcome', proposal, outcome: { ok: false, code } });
     resign(step, 'its state could not be written');
@@ -175,7 +175,7 @@
   state.deferred = [];
 };
 const refuseClosed = <S>(step: Step<S>, event: Event<S>): void => {
-  const outcome = { ok: false as const, code: 'moved' as const };
+  const outcome = { ok: false as const, code: 'not-leader' as const };
   if (event.type === 'request') step.effects.push({ type: 'refuse', call: event.call });
   else if (event.type === 'propose') step.effects.push({ type: 'proposal-outcome', proposal: event.proposal, outcome });
   else if (event.type === 'read') step.effects.push({ type: 'read-outcome', read: event.read, outcome });
--- a/packages/consensus/src/types.ts
+++ b/packages/consensus/src/types.ts
@@ -1,5 +1,6 @@
 // Types of the consensus state machine (§3.3): its durable state, the events it takes and the effects it asks for.
 import type { Address, Microseconds } from '@thornsail/runtime';
+import type { RefusalCode } from './errors.js';
 
 /** A voting member: its identity, which is lost with its disk, and its address. */
 export type Member = { id: string; at: Address };
@@ -55,13 +56,13 @@
 export type ReplyMessage<S> =
   AppendReply | HeartbeatReply | PreVoteReply | VoteReply<S> | DiscoverReply | FormReply | ResignReply;
 
-/** `moved` was not taken; `unknown` may have been; `failed` is the change's own error, and it was not taken. */
+/** `not-leader` and `failed` were not taken, the latter by the change's own error; `outcome-unknown` may have been. */
 export type ProposalOutcome =
   | { ok: true; index: number; result: unknown }
-  | { ok: false; code: 'moved' | 'unknown' }
+  | { ok: false; code: RefusalCode }
   | { ok: false; code: 'failed'; error: Error };
-/** `moved`: this replica is not the leader; `unknown`: no quorum confirmed that it is. */
-export type ReadOutcome<S> = { ok: true; snapshot: Snapshot<S> } | { ok: false; code: 'moved' | 'unknown' };
+/** `not-leader`: this replica is not the leader; `outcome-unknown`: no quorum confirmed that it is. */
+export type ReadOutcome<S> = { ok: true; snapshot: Snapshot<S> } | { ok: false; code: RefusalCode };
 
 /** A change with the number by which its outcome is told. */
 export type Proposal<S> = { proposal: number; change: Change<S, unknown> };
--- a/packages/consensus/test/model.ts
+++ b/packages/consensus/test/model.ts
@@ -141,7 +141,7 @@
     model.confirmed.push(proposal.value);
     if (!model.chosen.at(-1)?.state.includes(proposal.value))
       problem(model, `value ${proposal.value} was confirmed and is not in the newest commit`);
-  } else if (effect.outcome.code === 'moved') {
+  } else if (effect.outcome.code === 'not-leader') {
     model.refused.push(proposal.value);
     if (model.chosen.some((one) => one.state.includes(proposal.value)))
       problem(model, `value ${proposal.value} is there and was refused`);
--- a/programs/thornsail/src/roles.ts
+++ b/programs/thornsail/src/roles.ts
@@ -19,7 +19,7 @@
 import { membership, type Membership } from '@thornsail/membership';
 import { rpc, type Rpc } from '@thornsail/rpc';
 import { control, root, signal, type Control, type NewsResult, type SignalNode } from '@thornsail/admin-api';
-import { configuration, core, order, snapshotCodec, type Ordered, type Marked } from '@thornsail/consensus';
+import { configuration, core, order, snapshotCodec, type Ordered, type Snapshot } from '@thornsail/consensus';
 import { leaseVoter } from '@thornsail/leases';
 import { obeyDrain } from './drain.js';
 import { groupOf, sweepDuty } from './sweep-duty.js';
@@ -163,22 +163,21 @@
     const durable = await durableStore.open(runtime.disk, disk.failed);
     const voter = leaseVoter.open({ runtime, rpc: p });
     const here: { membership?: Membership } = {};
-    const give = (v: Marked<Ordered>): void => {
-      const { view: term, seq: index, members, state } = v;
-      const version = { term, index, members, state: configuration.forNodes(state) };
-      here.membership?.dissemination.put('order', index, snapshotCodec.encode(version));
+    const give = (version: Snapshot<Ordered>): void => {
+      const spread = { ...version, state: configuration.forNodes(version.state) };
+      here.membership?.dissemination.put('order', version.index, snapshotCodec.encode(spread));
     };
-    let last: Marked<Ordered> | undefined;
+    let last: Snapshot<Ordered> | undefined;
     const c = await core.open({
       runtime,
       rpc: p,
       durable,
       founders: o.founders,
-      onDone: (v) => {
+      onCommit: (v) => {
         last = v;
         give(v);
       },
-      uses: (id) => {
+      usedVersion: (id) => {
         const used = here.membership?.dissemination.get(`uses/${id}`);
         if (used) return used.mark;
         const l = here.membership?.dissemination.get(`load/${id}`)?.value as Partial<EdgeLoad> | undefined;
@@ -186,9 +185,9 @@
         return l === undefined ? -1 : (l.uses ?? Infinity);
       },
       onLead: (mark) => here.membership?.dissemination.put('core', mark, {}),
-      times: {
-        keepers: 2 * o.tolerates + 1,
-        towers: Math.max(usualCoordinators, 2 * o.tolerates + 1),
+      settings: {
+        stores: 2 * o.tolerates + 1,
+        coordinators: Math.max(usualCoordinators, 2 * o.tolerates + 1),
         leastStores: o.leastStores,
       },
       news: (): NewsResult => ({
@@ -204,7 +203,7 @@
     const m = membership.open({
       runtime,
       rpc: p,
-      id: c.views.id,
+      id: c.consensus.id,
       name: o.name,
       role: 'coordinator',
       http: o.http,
@@ -225,17 +224,18 @@
       name: o.name,
       http: o.http,
       ready: () => {
-        const s = c.views.standing();
+        const role = c.consensus.role();
+        const hasLeader = c.consensus.leader() !== undefined;
         return {
-          ok: s === 'lead' || (s === 'follow' && c.views.head() !== undefined),
-          why: s === 'unformed' ? ['not in a view'] : c.views.head() === undefined ? ['no head'] : [],
+          ok: role === 'leader' || (role === 'follower' && hasLeader),
+          why: role === 'unformed' ? ['not in a view'] : hasLeader ? [] : ['no head'],
         };
       },
       counts: () => ({
         ...commonCounts(p, m),
-        view: c.views.done()?.view ?? 0,
-        version: c.views.done()?.seq ?? 0,
-        leads: c.views.standing() === 'lead' ? 1 : 0,
+        view: c.consensus.committed()?.term ?? 0,
+        version: c.consensus.committed()?.index ?? 0,
+        leads: c.consensus.role() === 'leader' ? 1 : 0,
         syncs: durable.counts().syncs,
         torn: durable.counts().torn,
       }),
--- a/tools/simulation/src/guards/consensus.ts
+++ b/tools/simulation/src/guards/consensus.ts
@@ -54,15 +54,15 @@
   guard({
     name: 'acknowledged means the gateways use it',
     rule: '8 configuration',
-    file: 'consensus/src/core.js',
-    find: 'if (!result.ok || !o.uses || ',
+    file: 'consensus/src/operations.js',
+    find: 'if (!result.ok || !usedVersion || ',
     replacement: 'if (true || ',
     noticedBy: { test: 'simulation/test/config.test.js' },
   }),
   guard({
     name: 'a cut-off core acknowledges nothing',
     rule: '8 configuration',
-    file: 'consensus/src/core.js',
+    file: 'consensus/src/confirmation.js',
     find: 'lately.length === 0 || (lately.length - slow.length) * 2 > lately.length',
     replacement: 'true',
     noticedBy: { test: 'simulation/test/config.test.js' },
--- a/tools/simulation/src/measurement/capacity/acknowledging.ts
+++ b/tools/simulation/src/measurement/capacity/acknowledging.ts
@@ -26,8 +26,8 @@
           rpc: p,
           durable: await durableStore.open(runtime.disk),
           founders,
-          onDone: () => undefined,
-          uses: (id) => using.get(id) ?? 0,
+          onCommit: () => undefined,
+          usedVersion: (id) => using.get(id) ?? 0,
         }),
       );
     }
--- a/tools/simulation/test/disk-trouble.test.ts
+++ b/tools/simulation/test/disk-trouble.test.ts
@@ -1,14 +1,14 @@
 // What callers meet while a member's disk hangs, is slow or full (§3.3, §6.1).
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { fault, invariant, duration, type Microseconds } from '@thornsail/runtime';
+import { invariant, duration, type Microseconds } from '@thornsail/runtime';
 import { durableStore } from '@thornsail/durable-files';
 import { rpc } from '@thornsail/rpc';
-import { views, type Views } from '@thornsail/consensus';
+import { consensus, consensusErrors, type Consensus } from '@thornsail/consensus';
 import { simulatedDisk, world, type Host, type World } from '@thornsail/simulation';
 
 type List = { list: string[] };
-type Member = { at: string; host: Host; views?: Views<List> };
+type Member = { at: string; host: Host; consensus?: Consensus<List> };
 type Group = { world: World; members: Member[]; leader: () => Member | undefined };
 const group = async (seed: number, diskTime: Microseconds): Promise<Group> => {
   invariant.clear();
@@ -23,18 +23,18 @@
   const members: Member[] = founders.map((at, i) => ({ at, host: w.host(`127.0.3.${i + 1}`, `z${i + 1}`) }));
   const boot = async (member: Member): Promise<void> => {
     const runtime = w.runtime(member.host);
-    member.views = await views.open<List>({
+    member.consensus = await consensus.open<List>({
       runtime,
       rpc: await rpc.open(runtime, member.at),
       durable: await durableStore.open(runtime.disk),
       founders,
       initial: { list: [] },
-      onDone: () => undefined,
+      onCommit: () => undefined,
     });
   };
   for (const member of members) void boot(member);
   await w.run(duration.s(4));
-  return { world: w, members, leader: () => members.find((m) => m.views?.standing() === 'lead') };
+  return { world: w, members, leader: () => members.find((m) => m.consensus?.role() === 'leader') };
 };
 type Calls = {
   acknowledged: { at: Microseconds; id: string }[];
@@ -48,8 +48,8 @@
     const id = `change ${n++}`;
     // A member that gave its lead up may still be named for a moment: callers ask all.
     for (const member of g.members)
-      if (member.views?.standing() === 'lead')
-        member.views
+      if (member.consensus?.role() === 'leader')
+        member.consensus
           .propose((s) => ({ state: { list: [...s.list.slice(-20), id] }, result: id }))
           .then(
             () => acknowledged.push({ at: g.world.now(), id }),
@@ -82,7 +82,7 @@
     await g.world.run(from + duration.s(10));
     assert.equal(invariant.breaches(), []);
     // The one that was stalled has what the others have.
-    const newest = g.members.map((m) => m.views!.done()!.seq);
+    const newest = g.members.map((m) => m.consensus!.committed()!.index);
     assert.is(Math.max(...newest) - Math.min(...newest), 0, newest.join());
   }
   process.stdout.write(`longest time without an acknowledgement: ${worst / 1000} ms\n`);
@@ -121,7 +121,7 @@
     await g.world.run(from + duration.s(10));
     const gap = made.longestGap(from, from + duration.s(8));
     assert.ok(gap < duration.s(2), `seed ${seed}: nothing was acknowledged for ${gap / 1000} ms`);
-    const newest = g.members.map((m) => m.views!.done()!.seq);
+    const newest = g.members.map((m) => m.consensus!.committed()!.index);
     assert.is(Math.max(...newest) - Math.min(...newest), 0, newest.join());
   }
 });
@@ -170,15 +170,15 @@
       g.world.scheduleAt(from + i * duration.ms(30), () => {
         const id = `x${i}`;
         leader
-          .views!.propose((s) => ({ state: { list: [...s.list, id] }, result: id }))
+          .consensus!.propose((s) => ({ state: { list: [...s.list, id] }, result: id }))
           .catch((e) => {
-            if (fault.info(e).code === 'moved') refused.add(id);
+            if (consensusErrors.is(e, 'not-leader')) refused.add(id);
           });
       });
     g.world.scheduleAt(from + duration.s(0.5), () => (leader.host.disk.hangsUntil = from + duration.s(2)));
     await g.world.run(from + duration.s(8));
     for (const m of g.members)
-      for (const id of m.views!.done()!.state.list) assert.not.ok(refused.has(id), `seed ${seed}: ${id}`);
+      for (const id of m.consensus!.committed()!.state.list) assert.not.ok(refused.has(id), `seed ${seed}: ${id}`);
   }
 });
 test.run();
--- a/tools/simulation/test/views.test.ts
+++ b/tools/simulation/test/views.test.ts
@@ -3,11 +3,11 @@
 import { fault, invariant, duration } from '@thornsail/runtime';
 import { durableStore } from '@thornsail/durable-files';
 import { rpc } from '@thornsail/rpc';
-import { views, type Marked, type Views } from '@thornsail/consensus';
+import { consensus, consensusErrors, type Consensus, type Snapshot } from '@thornsail/consensus';
 import { world, type Host, type World } from '@thornsail/simulation';
 
 type List = { list: string[] };
-type Coordinator = { at: string; host: Host; v: Views<List> | null; log: Marked<List>[] };
+type Coordinator = { at: string; host: Host; v: Consensus<List> | null; log: Snapshot<List>[] };
 
 const run = async (
   seed: number,
@@ -35,19 +35,19 @@
     const runtime = w.runtime(t.host);
     const inc = t.host.incarnation;
     let last = -1;
-    const v = await views.open<List>({
+    const v = await consensus.open<List>({
       runtime,
       rpc: await rpc.open(runtime, t.at),
       durable: await durableStore.open(runtime.disk),
       founders: at,
       initial: { list: [] },
-      onDone: (m) => {
+      onCommit: (m) => {
         // One order for all: a mark stands for one state, whoever delivers it, and never goes back.
-        const text = `${m.view}:${m.state.list.join()}`;
-        if ((marks.get(m.seq) ?? text) !== text) problems.push(`mark ${m.seq} was delivered as two states`);
-        marks.set(m.seq, text);
-        if (m.seq <= last) problems.push(`${t.at} delivered ${m.seq} after ${last}`);
-        last = m.seq;
+        const text = `${m.term}:${m.state.list.join()}`;
+        if ((marks.get(m.index) ?? text) !== text) problems.push(`mark ${m.index} was delivered as two states`);
+        marks.set(m.index, text);
+        if (m.index <= last) problems.push(`${t.at} delivered ${m.index} after ${last}`);
+        last = m.index;
         t.log.push(m);
       },
     });
@@ -68,7 +68,7 @@
         .then(
           () => acked.push(id),
           (e) => {
-            if (fault.info(e).code === 'moved') refused.add(id);
+            if (consensusErrors.is(e, 'not-leader')) refused.add(id);
           },
         );
     });
@@ -104,17 +104,17 @@
 };
 const final = (towers: Coordinator[]): string[] =>
   towers
-    .map((t) => t.v?.done())
-    .filter((x): x is Marked<List> => x !== undefined)
-    .sort((a, b) => b.seq - a.seq)[0]!.state.list;
+    .map((t) => t.v?.committed())
+    .filter((x): x is Snapshot<List> => x !== undefined)
+    .sort((a, b) => b.index - a.index)[0]!.state.list;
 
 test('coordinators form, one leads, all deliver one order', async () => {
   for (let s = 1; s <= 10; s++) {
     const x = await run(s, 'none');
     assert.equal(x.problems, [], `seed ${s}`);
-    assert.is(x.towers.filter((t) => t.v?.standing() === 'lead').length, 1);
+    assert.is(x.towers.filter((t) => t.v?.role() === 'leader').length, 1);
     assert.equal([...final(x.towers)].sort(), [...x.acked].sort());
-    assert.is(new Set(x.towers.map((t) => t.v!.done()!.seq)).size, 1);
+    assert.is(new Set(x.towers.map((t) => t.v!.committed()!.index)).size, 1);
   }
 });
 test('power loss, freezes, cuts: what was acknowledged stays, what was refused never shows, one order', async () => {
@@ -126,7 +126,7 @@
     for (const id of x.acked) assert.ok(f.includes(id), `seed ${s}: acknowledged ${id} is lost`);
     for (const id of x.refused) assert.not.ok(f.includes(id), `seed ${s}: ${id} was not taken, yet it is there`);
     assert.is(new Set(f).size, f.length);
-    assert.is(x.towers.filter((t) => t.v?.standing() === 'lead').length, 1, `seed ${s}: no single head in the end`);
+    assert.is(x.towers.filter((t) => t.v?.role() === 'leader').length, 1, `seed ${s}: no single head in the end`);
     acked += x.acked.length;
   }
   assert.ok(acked > 200, `only ${acked} acknowledged`);
@@ -137,15 +137,15 @@
     const w = world.open({ seed, zoneDelay: duration.ms(1.5), clientDelay: duration.ms(1), clientIp: '127.0.9.9' });
     const at = [1, 2, 3, 4].map((i) => `127.0.3.${i}:7101`);
     const hosts = at.map((_, i) => w.host(`127.0.3.${i + 1}`, 'z1'));
-    const all: Views<List>[] = [];
+    const all: Consensus<List>[] = [];
     const boot = async (i: number, founders: string[]): Promise<void> => {
       const runtime = w.runtime(hosts[i]!);
       const own = { runtime, rpc: await rpc.open(runtime, at[i]!), durable: await durableStore.open(runtime.disk) };
-      all[i] = await views.open<List>({ ...own, founders, initial: { list: [] }, onDone: () => undefined });
+      all[i] = await consensus.open<List>({ ...own, founders, initial: { list: [] }, onCommit: () => undefined });
     };
     for (const i of [0, 1, 2]) void boot(i, at.slice(0, 3));
     await w.run(duration.s(3));
-    const head = (): number => all.findIndex((v, i) => hosts[i]!.alive && v.standing() === 'lead');
+    const head = (): number => all.findIndex((v, i) => hosts[i]!.alive && v.role() === 'leader');
     // One loses its disk; an empty one comes at a new address.
     const lost = (head() + 1) % 3;
     w.kill(hosts[lost]!, 'disk');
@@ -163,33 +163,33 @@
     let seq = 0;
     const now = head();
     assert.ok(now >= 0, `seed ${seed}: no head after ten seconds`);
-    void all[now]!.propose((s) => ({ state: { list: [...s.list, 'x'] }, result: 0 })).then((r) => (seq = r.seq));
+    void all[now]!.propose((s) => ({ state: { list: [...s.list, 'x'] }, result: 0 })).then((r) => (seq = r.index));
     await w.run(duration.s(16));
     assert.ok(seq > 0, `seed ${seed}: nothing can be ordered`);
     assert.equal(invariant.breaches(), []);
   }
 });
-type Trio = { w: World; hosts: Host[]; all: Views<List>[]; boot: (i: number) => Promise<void>; head: () => number };
+type Trio = { w: World; hosts: Host[]; all: Consensus<List>[]; boot: (i: number) => Promise<void>; head: () => number };
 /** Three coordinators that have formed a view. */
 const trio = async (seed: number): Promise<Trio> => {
   invariant.clear();
   const w = world.open({ seed, zoneDelay: duration.ms(1.5), clientDelay: duration.ms(1), clientIp: '127.0.9.9' });
   const at = [1, 2, 3].map((i) => `127.0.3.${i}:7101`);
   const hosts = at.map((_, i) => w.host(`127.0.3.${i + 1}`, `z${i + 1}`));
-  const all: Views<List>[] = [];
+  const all: Consensus<List>[] = [];
   const boot = async (i: number): Promise<void> => {
     const runtime = w.runtime(hosts[i]!);
     const own = { runtime, rpc: await rpc.open(runtime, at[i]!), durable: await durableStore.open(runtime.disk) };
-    all[i] = await views.open<List>({ ...own, founders: at, initial: { list: [] }, onDone: () => undefined });
+    all[i] = await consensus.open<List>({ ...own, founders: at, initial: { list: [] }, onCommit: () => undefined });
   };
   for (const i of [0, 1, 2]) void boot(i);
   await w.run(duration.s(3));
-  return { w, hosts, all, boot, head: () => all.findIndex((v, i) => hosts[i]!.alive && v.standing() === 'lead') };
+  return { w, hosts, all, boot, head: () => all.findIndex((v, i) => hosts[i]!.alive && v.role() === 'leader') };
 };
 /** What the leader reads, confirmed by a majority. */
-const agreedOf = async (x: Trio): Promise<Marked<List>> => {
-  let read: Marked<List> | undefined;
-  void x.all[x.head()]!.agreed().then((version) => (read = version));
+const agreedOf = async (x: Trio): Promise<Snapshot<List>> => {
+  let read: Snapshot<List> | undefined;
+  void x.all[x.head()]!.readAgreed().then((version) => (read = version));
   await x.w.run(x.w.now() + duration.ms(400));
   assert.ok(read, 'no agreed state');
   return read;
@@ -198,7 +198,7 @@
   for (let seed = 1; seed <= 30; seed++) {
     const x = await trio(seed);
     const { w } = x;
-    const before = x.all[0]!.done()!.view;
+    const before = x.all[0]!.committed()!.term;
     const power = seed % 2 === 0;
     for (const h of x.hosts) w.kill(h, power ? 'power' : 'process');
     await w.run(duration.s(4));
@@ -210,10 +210,10 @@
         void x.boot(i);
       });
     await w.run(Math.max(...starts) + duration.ms(350));
-    assert.is(x.all.filter((v) => v.standing() === 'lead').length, 1, `seed ${seed}: one head within 0.35 s`);
-    assert.is(x.all[x.head()]!.done()?.view, before + 1, `seed ${seed}: the first attempt succeeded`);
+    assert.is(x.all.filter((v) => v.role() === 'leader').length, 1, `seed ${seed}: one head within 0.35 s`);
+    assert.is(x.all[x.head()]!.committed()?.term, before + 1, `seed ${seed}: the first attempt succeeded`);
     await w.run(duration.s(8));
-    assert.is(x.all[x.head()]!.done()!.view, before + 1, `seed ${seed}: it stayed`);
+    assert.is(x.all[x.head()]!.committed()!.term, before + 1, `seed ${seed}: it stayed`);
     assert.equal(invariant.breaches(), []);
   }
 });
@@ -238,7 +238,7 @@
     const x = await trio(seed);
     const { w } = x;
     const head = x.head();
-    const before = x.all[head]!.done()!.view;
+    const before = x.all[head]!.committed()!.term;
     const others = [0, 1, 2].filter((i) => i !== head);
     // One after the other, and both in one moment.
     for (const some of [[others[0]!], [others[1]!], others]) {
@@ -250,7 +250,7 @@
       }
       await w.run(w.now() + duration.s(2));
       assert.is(x.head(), head, `seed ${seed}`);
-      assert.is(x.all[head]!.done()!.view, before, `seed ${seed}: its view goes on`);
+      assert.is(x.all[head]!.committed()!.term, before, `seed ${seed}: its view goes on`);
     }
     assert.equal(invariant.breaches(), []);
   }
@@ -270,16 +270,16 @@
       );
     propose(stalled, 'stalled');
     await w.run(w.now() + duration.s(2));
-    assert.equal(outcomes, ['stalled unknown'], `seed ${seed}: it has its answer`);
-    const next = x.all.findIndex((v, i) => i !== stalled && v.standing() === 'lead');
+    assert.equal(outcomes, ['stalled outcome-unknown'], `seed ${seed}: it has its answer`);
+    const next = x.all.findIndex((v, i) => i !== stalled && v.role() === 'leader');
     assert.ok(next >= 0, `seed ${seed}: no other leader within two seconds`);
     propose(next, 'next');
     await w.run(w.now() + duration.s(3));
     x.hosts[stalled]!.disk.slow = 1;
     await w.run(w.now() + duration.s(30));
-    assert.equal(outcomes, ['stalled unknown', 'next confirmed'], `seed ${seed}`);
+    assert.equal(outcomes, ['stalled outcome-unknown', 'next confirmed'], `seed ${seed}`);
     assert.equal(
-      x.all.map((v) => v.done()?.state.list.includes('next')),
+      x.all.map((v) => v.committed()?.state.list.includes('next')),
       [true, true, true],
       `seed ${seed}`,
     );
