--- a/packages/data-plane/src/admission.ts
+++ b/packages/data-plane/src/admission.ts
@@ -4,9 +4,9 @@
 import {
   loadBalancer,
   formats,
-  groupOf,
-  newsLag,
-  load as loads,
+  emptyLoad,
+  reportDelay,
+  serviceOfWorker,
   type LoadBalancer,
   type Load,
   type WorkerEntry,
@@ -117,13 +117,18 @@
     const { clock } = runtime;
     const log = runtime.log('admission');
     const st = admissionScheduler.open(admissionScheduler.defaults());
-    const balancer: LoadBalancer = loadBalancer.open(clock.now, me, () => Math.floor(clock.wall() / newsLag));
+    const balancer: LoadBalancer = loadBalancer.open({
+      now: clock.now,
+      self: me,
+      rotation: () => Math.floor(clock.wall() / reportDelay),
+    });
     const take = (worker: string, cls: string): void => {
-      balancer.take(worker, cls);
+      balancer.acquire(worker, cls);
       changed();
     };
     const wait = (cls: string, by: 1 | -1): void => {
-      balancer.wait(cls, by);
+      if (by > 0) balancer.enqueue(cls);
+      else balancer.dequeue(cls);
       changed();
     };
     const waiting = new Map<string, (r: Released) => void>();
@@ -230,7 +235,15 @@
           const late = w.until <= now;
           const hungry = now - (hungrySince.get(cls) ?? now);
           const of = w.service === undefined ? {} : { service: w.service };
-          const got = late ? null : balancer.pick(cls, { hint: w.hint, warm: w.warm, not: w.not, hungry, ...of });
+          const got = late
+            ? null
+            : balancer.select(cls, {
+                preferred: w.hint,
+                preferredHasContext: w.warm,
+                excluded: w.not,
+                waitedFor: hungry,
+                ...of,
+              });
           if (!late && !got) break;
           q.shift();
           wait(cls, -1);
@@ -287,7 +300,13 @@
       slot: (cls, o) => {
         const of = o.service === undefined ? {} : { service: o.service };
         const warm = o.warm ?? false;
-        const got = balancer.pick(cls, { hint: o.hint, warm, not: o.not, force: o.force, ...of });
+        const got = balancer.select(cls, {
+          preferred: o.hint,
+          preferredHasContext: warm,
+          excluded: o.not,
+          force: o.force,
+          ...of,
+        });
         const none = { gone: () => undefined };
         const q = buffers.get(cls) ?? [];
         if (got && (o.force || q.length === 0)) {
@@ -296,11 +315,11 @@
         }
         const own = config?.classes[cls];
         const service = o.service ?? (own && serviceOf(own));
-        if (!balancer.list().some((w) => groupOf(w) === service && !w.leaving && !o.not.has(w.id)))
+        if (!balancer.workers().some((w) => serviceOfWorker(w) === service && !w.leaving && !o.not.has(w.id)))
           return { got: Promise.resolve<Slot>({ ok: false, why: 'none' }), ...none };
         // Early rejection: what cannot be had in time is said at once, not at the end of the wait (§4.3).
         // What waits at the other edges wants the same slots.
-        const ahead = (balancer.waiting(cls) + 1) / Math.max(1, balancer.entitled(cls));
+        const ahead = (balancer.waiting(cls) + 1) / Math.max(1, balancer.fairShare(cls));
         if (q.length >= (config?.classes[cls]?.buffer ?? 0) || o.limit <= 0 || ahead * expected(cls) > o.limit) {
           c.slotRejects += 1;
           return { got: Promise.resolve<Slot>({ ok: false, why: 'full' }), ...none };
@@ -329,7 +348,7 @@
         };
       },
       leave: (worker, cls, took) => {
-        balancer.leave(worker, cls);
+        balancer.release(worker, cls);
         changed();
         if (took !== null) service.set(cls, Math.round(expected(cls) * 0.8 + took * 0.2));
         pump();
@@ -349,12 +368,12 @@
         f.saw(took);
       },
       hasWorkers: () => list.some((w) => !w.leaving),
-      bad: (worker) => balancer.bad(worker, clock.now() + duration.s(1)),
-      worker: (id) => balancer.get(id),
+      bad: (worker) => balancer.markUnhealthy(worker, clock.now() + duration.s(1)),
+      worker: (id) => balancer.worker(id),
       workers: (l) => {
         const fresh = l.filter((w) => !capacity.has(w.id));
         list = l;
-        balancer.workers(l);
+        balancer.setWorkers(l);
         giveWorkers();
         if (fresh.length)
           void measure(fresh).then(() => {
@@ -365,7 +384,7 @@
       siblings: (l) => {
         const tokens = new Map<string, number>();
         for (const e of l) for (const [w, n] of Object.entries(e.tokens)) tokens.set(w, (tokens.get(w) ?? 0) + n);
-        balancer.siblings(l.map((e) => ({ id: e.id, load: e.load ?? loads.empty() })));
+        balancer.setPeerLoads(l.map((e) => ({ id: e.id, load: e.load ?? emptyLoad() })));
         for (const e of l) for (const program of e.took ?? []) step({ type: 'program-moved', program });
         step({
           type: 'peers-changed',
@@ -379,7 +398,7 @@
       },
       config: (cfg) => {
         config = cfg;
-        balancer.config(cfg);
+        balancer.setConfig(cfg);
         const options = optionsOf(cfg);
         step({ type: 'options-changed', options });
         if (options.tickInterval !== interval) {
--- a/packages/data-plane/src/relay.ts
+++ b/packages/data-plane/src/relay.ts
@@ -1,5 +1,5 @@
 // Relaying a worker's stream to its caller (§5.6): counted, numbered, ended or visibly cut.
-import { formats, type Piece } from '@thornsail/load-balancer';
+import { formats } from '@thornsail/load-balancer';
 import {
   fault,
   time,
@@ -111,9 +111,9 @@
   };
   try {
     for await (const text of res.body) {
-      for (const piece of split(text) as Piece[]) {
-        if (piece.kind === 'fault') throw fault.make({ step: 'relay', sibling: x.worker }, piece.text);
-        if (piece.kind === 'done') {
+      for (const piece of split(text)) {
+        if (piece.type === 'error') throw fault.make({ step: 'relay', sibling: x.worker }, piece.text);
+        if (piece.type === 'done') {
           if (st.now() === 'sent') st.go('relay');
           try {
             await finishOff();
@@ -144,7 +144,7 @@
         }
         content += piece.text;
         if (piece.finish !== null) finish = piece.finish;
-        if (piece.kind === 'usage') {
+        if (piece.type === 'usage') {
           prompt = piece.prompt;
           completion = piece.completion;
         } else if (piece.text !== '' || piece.toolCall) count += 1;
--- /dev/null
+++ b/packages/load-balancer/src/load-balancer.ts
@@ -0,0 +1,66 @@
+/** The load balancer of one gateway (§5.2): keeps its state, and selects workers by it. */
+import type { Microseconds } from '@thornsail/runtime';
+import { fairShare } from './class-shares.js';
+import { sumLoads } from './load-totals.js';
+import { addRunning, changeWaiting, removeRunning } from './own-load.js';
+import { reportDelay } from './report-delay.js';
+import { selector } from './selection.js';
+import { slotDealer } from './slot-dealer.js';
+import { emptyState, occupancyOf, waitingOf, type BalancerState } from './state.js';
+import type { Load, LoadBalancer, WorkerEntry } from './types.js';
+
+const setWorkers = (state: BalancerState, workers: WorkerEntry[]): void => {
+  state.workers.clear();
+  for (const worker of workers) state.workers.set(worker.id, worker);
+  state.workerRanks = new Map([...state.workers.keys()].sort().map((id, i) => [id, i]));
+};
+
+const isActive = ({ running, waiting }: Load): boolean => Object.keys(running).length + Object.keys(waiting).length > 0;
+const setPeerLoads = (state: BalancerState, self: string, peers: { id: string; load: Load }[]): void => {
+  state.peers = sumLoads(peers.map(({ load }) => load));
+  const active = peers.filter(({ load }) => isActive(load));
+  state.gateways = {
+    all: [self, ...peers.map(({ id }) => id)].sort(),
+    active: [self, ...active.map(({ id }) => id)].sort(),
+  };
+};
+
+/** Opens a load balancer. */
+export const loadBalancer = {
+  /**
+   * @param options.now the monotonic clock, microseconds
+   * @param options.self this gateway's id
+   * @param options.rotation counts up in step at all gateways, as far as their clocks agree: it says whose slots come
+   *   first at a worker
+   */
+  open: (options: { now: () => Microseconds; self?: string; rotation?: () => number }): LoadBalancer => {
+    const { now, self = '', rotation = () => 0 } = options;
+    const state = emptyState(self);
+    const dealer = slotDealer.open({ self, now, reportDelay });
+    return {
+      setWorkers: (workers) => setWorkers(state, workers),
+      setConfig: (config) => {
+        state.config = config;
+      },
+      setPeerLoads: (peers) => setPeerLoads(state, self, peers),
+      select: selector.open({ state, dealer, self, now, rotation }),
+      acquire: (worker, className) => {
+        addRunning(state.own, worker, className);
+        dealer.acquired(worker, className);
+      },
+      release: (worker, className) => {
+        dealer.released(worker, className);
+        removeRunning(state.own, worker, className);
+      },
+      enqueue: (className) => changeWaiting(state.own, className, 1),
+      dequeue: (className) => changeWaiting(state.own, className, -1),
+      load: () => structuredClone(state.own),
+      worker: (id) => state.workers.get(id),
+      workers: () => [...state.workers.values()].sort((a, b) => (a.id < b.id ? -1 : 1)),
+      fairShare: (className) => fairShare(state, className),
+      waiting: (className) => waitingOf(state, className),
+      runningAt: (worker) => occupancyOf(state, worker).running,
+      markUnhealthy: (worker, until) => void state.unhealthyUntil.set(worker, until),
+    };
+  },
+};
--- /dev/null
+++ b/packages/load-balancer/src/selection.ts
@@ -0,0 +1,81 @@
+/** Which worker a turn goes to (§5.2): the preferred one if it may take the turn, else the one with the least load. */
+import type { Microseconds } from '@thornsail/runtime';
+import { freeSlots, mustGiveWay } from './class-shares.js';
+import { reportDelay } from './report-delay.js';
+import type { SlotDealer } from './slot-dealer.js';
+import { occupancyOf, serviceOfClass, serviceOfWorker, type BalancerState } from './state.js';
+import type { SelectionRequest, WorkerEntry } from './types.js';
+
+/** What a selection is made from. */
+type SelectionContext = {
+  state: BalancerState;
+  dealer: SlotDealer;
+  self: string;
+  now: () => Microseconds;
+  /** Counts up in step at all gateways: it says whose slots come first. */
+  rotation: () => number;
+};
+/** Selects a worker; null if none may take the turn now. */
+export type Selector = (className: string, request: SelectionRequest) => WorkerEntry | null;
+
+const isAvailable = (context: SelectionContext, worker: WorkerEntry, excluded?: ReadonlySet<string>): boolean =>
+  !worker.leaving && !excluded?.has(worker.id) && (context.state.unhealthyUntil.get(worker.id) ?? 0) <= context.now();
+
+/** Whether this gateway's part of a worker's free slots has one left. */
+const hasDealtSlot = (
+  { state, dealer, rotation }: SelectionContext,
+  worker: WorkerEntry,
+  free: number,
+  waitedFor: Microseconds,
+): boolean => {
+  // Once the others have had the time to report that they want none, their parts are dealt again.
+  const gateways = waitedFor >= reportDelay ? state.gateways.active : state.gateways.all;
+  const recent = dealer.recentlyAcquired(worker.id);
+  const offset = (state.workerRanks.get(worker.id) ?? 0) + rotation();
+  const part = dealer.partOf(free + recent, gateways, offset);
+  return recent < Math.max(part, state.config?.limits.leastPart ?? 0);
+};
+
+/** Gives all workers; where gateways have a least part, from another one on each time, or all would fill the same. */
+const workersInTurn = ({ state, self }: SelectionContext): (() => WorkerEntry[]) => {
+  let rounds = 0;
+  return () => {
+    const workers = [...state.workers.values()];
+    if (!state.config?.limits.leastPart || workers.length === 0) return workers;
+    const start = (rounds++ + state.gateways.all.indexOf(self)) % workers.length;
+    return [...workers.slice(start), ...workers.slice(0, start)];
+  };
+};
+
+/** Selects workers. */
+export const selector = {
+  open: (context: SelectionContext): Selector => {
+    const { state } = context;
+    const candidates = workersInTurn(context);
+    return (className, request) => {
+      const { preferred, preferredHasContext, excluded, force, waitedFor = 0 } = request;
+      const ownService = serviceOfClass(state, className);
+      if (ownService === undefined) return null;
+      const service = request.service ?? ownService;
+      if (!force && mustGiveWay(state, className, ownService)) return null;
+      let best: WorkerEntry | null = null;
+      let leastUsed = Infinity;
+      for (const worker of candidates()) {
+        if (serviceOfWorker(worker) !== service || !isAvailable(context, worker, excluded)) continue;
+        const occupancy = occupancyOf(state, worker.id);
+        const free = freeSlots(state, occupancy, className, ownService);
+        const isPreferred = worker.id === preferred && free >= 1;
+        // Free slots are dealt among turns that may go anywhere: this one would cost a prefill of its whole context.
+        if (isPreferred && preferredHasContext) return worker;
+        if (!force && (free < 1 || !hasDealtSlot(context, worker, free, waitedFor))) continue;
+        if (isPreferred) return worker;
+        const used = occupancy.running / occupancy.slots;
+        if (used < leastUsed) {
+          best = worker;
+          leastUsed = used;
+        }
+      }
+      return best;
+    };
+  },
+};
--- /dev/null
+++ b/packages/load-balancer/test/builders.ts
@@ -0,0 +1,59 @@
+/** Set-up for the tests of the load balancer. */
+import { configSchema, type Config } from '@thornsail/config-schema';
+import {
+  loadBalancer,
+  type Load,
+  type LoadBalancer,
+  type WorkerEntry,
+  type WorkerKind,
+} from '@thornsail/load-balancer';
+import type { Microseconds } from '@thornsail/runtime';
+
+/** A checked configuration. */
+export const configOf = (fields: Record<string, unknown>): Config => {
+  const checked = configSchema.check(fields);
+  if (!checked.ok) throw new Error(`the configuration is not valid: ${JSON.stringify(checked)}`);
+  return checked.value;
+};
+/** `chat` with a weight of 3, and an urgent `alarm` with a weight of 1 and a quarter of the four slots reserved. */
+export const twoClasses = (): Config =>
+  configOf({
+    classes: { chat: { kind: 'model', weight: 3 }, alarm: { kind: 'model', weight: 1, urgent: true, reserve: 0.25 } },
+    slots: { model: 4, app: 1 },
+  });
+/** Workers of one kind by their ids. */
+export const workersOf = (ids: string[], kind: WorkerKind = 'model'): WorkerEntry[] =>
+  ids.map((id, i) => ({ id, at: `1.1.1.${i}:1`, kind, leaving: false }));
+
+/** A gateway of its own with two workers of four slots, and the classes `chat` and `alarm`. */
+export const openBalancer = (): LoadBalancer => {
+  const balancer = loadBalancer.open({ now: () => 0 });
+  balancer.setConfig(twoClasses());
+  balancer.setWorkers(workersOf(['a', 'b']));
+  return balancer;
+};
+/** No load at all. */
+export const idle: Load = { running: {}, waiting: {} };
+/** One of several gateways whose others are idle, or run what `loads` says. */
+export const openOneOf = (
+  gateways: string[],
+  self: string,
+  options: { config: Config; workers: WorkerEntry[]; now?: () => Microseconds; loads?: Load[] },
+): LoadBalancer => {
+  const balancer = loadBalancer.open({ now: options.now ?? ((): number => 0), self });
+  balancer.setConfig(options.config);
+  balancer.setWorkers(options.workers);
+  const peers = gateways.filter((id) => id !== self);
+  balancer.setPeerLoads(peers.map((id, i) => ({ id, load: options.loads?.[i] ?? idle })));
+  return balancer;
+};
+/** Acquires slots for a class while any is to be had; the worker of each. */
+export const fill = (balancer: LoadBalancer, className: string, waitedFor: Microseconds = 0): string[] => {
+  const acquired: string[] = [];
+  for (;;) {
+    const worker = balancer.select(className, { waitedFor });
+    if (!worker) return acquired;
+    balancer.acquire(worker.id, className);
+    acquired.push(worker.id);
+  }
+};
--- /dev/null
+++ b/packages/load-balancer/test/selection.test.ts
@@ -0,0 +1,45 @@
+import { test } from 'uvu';
+import * as assert from 'uvu/assert';
+import { configOf, idle, openBalancer, openOneOf, workersOf } from './builders.js';
+
+test('the preferred worker is selected if it has a free slot, else the least loaded; a leaving one is not', () => {
+  const balancer = openBalancer();
+  assert.is(balancer.select('chat', { preferred: 'b' })!.id, 'b');
+  for (let i = 0; i < 3; i++) balancer.acquire('b', 'chat');
+  assert.is(balancer.select('chat', { preferred: 'b' })!.id, 'a');
+  const [a, b] = workersOf(['a', 'b']);
+  balancer.setWorkers([{ ...a!, leaving: true }, b!]);
+  assert.is(balancer.select('chat', { preferred: 'a' }), null);
+  assert.is(balancer.select('chat', { preferred: 'a', force: true })!.id, 'b');
+});
+test('a turn goes back to the worker that has its context while that has a free slot, dealt here or not', () => {
+  const config = configOf({ classes: { chat: { kind: 'model', weight: 1 } }, slots: { model: 8, app: 1 } });
+  const gateways = ['e1', 'e2', 'e3', 'e4', 'e5', 'e6', 'e7'];
+  for (const self of gateways) {
+    // Five of eight slots are taken at each worker: three are dealt over seven gateways.
+    const load = { running: { a: { chat: 5 }, b: { chat: 5 }, c: { chat: 5 } }, waiting: {} };
+    const loads = gateways.slice(1).map((_, i) => (i === 0 ? load : idle));
+    const balancer = openOneOf(gateways, self, { config, workers: workersOf(['a', 'b', 'c']), loads });
+    for (let i = 0; i < 3; i++) {
+      const worker = balancer.select('chat', { preferred: 'b', preferredHasContext: true });
+      assert.is(worker?.id, 'b', `${self}, turn ${i}`);
+      balancer.acquire('b', 'chat');
+    }
+    // Without a slot there it goes where it may, and so does one whose context is nowhere.
+    assert.is.not(balancer.select('chat', { preferred: 'b', preferredHasContext: true })?.id, 'b');
+    assert.is.not(balancer.select('chat', { preferred: 'b' })?.id, 'b');
+  }
+});
+test('an unhealthy worker is not selected until its time is over, nor is one that is excluded', () => {
+  const clock = { now: 0 };
+  const config = configOf({ classes: { chat: { kind: 'model', weight: 1 } }, slots: { model: 8, app: 1 } });
+  const workers = workersOf(['a', 'b']);
+  const balancer = openOneOf(['e1'], 'e1', { config, workers, now: () => clock.now });
+  balancer.markUnhealthy('a', 1000);
+  assert.is(balancer.select('chat', { preferred: 'a' })!.id, 'b');
+  assert.is(balancer.select('chat', { preferred: 'a', excluded: new Set(['b']) }), null);
+  clock.now = 1000;
+  assert.is(balancer.select('chat', { preferred: 'a' })!.id, 'a');
+  assert.is(balancer.select('chat', { preferred: 'a', excluded: new Set(['a']) })!.id, 'b');
+});
+test.run();
--- a/tools/simulation/src/measurement/capacity/dealing.ts
+++ b/tools/simulation/src/measurement/capacity/dealing.ts
@@ -1,6 +1,6 @@
 // How many turns get the worker that holds their context, by the number of gateways that share the workers.
 import { configSchema } from '@thornsail/config-schema';
-import { type Load, loadBalancer, newsLag } from '@thornsail/load-balancer';
+import { type Load, loadBalancer, reportDelay } from '@thornsail/load-balancer';
 import type { Microseconds } from '@thornsail/runtime';
 import type { Point } from '../fit.js';
 import { hollowConfig, workerList } from '../hollow.js';
@@ -13,16 +13,12 @@
   for (const edges of pick(sizes, [16, 40, 80, 160, 380], [12, 16, 24, 48])) {
     const workers = workerList(24, 1);
     let now: Microseconds = 0;
-    const b = loadBalancer.open(
-      () => now,
-      'e000',
-      () => Math.floor(now / newsLag),
-    );
+    const b = loadBalancer.open({ now: () => now, self: 'e000', rotation: () => Math.floor(now / reportDelay) });
     const c = configSchema.check(hollowConfig(1));
     if (!c.ok) throw new Error('the configuration of the measurement is wrong');
-    b.config(c.value);
-    b.workers(workers);
-    b.siblings(
+    b.setConfig(c.value);
+    b.setWorkers(workers);
+    b.setPeerLoads(
       Array.from({ length: edges - 1 }, (_, i) => {
         const running: Load['running'] = {};
         for (const w of workers) {
@@ -35,9 +31,9 @@
     let kept = 0;
     const tries = sizes === 'small' ? 400 : 4000;
     for (let i = 0; i < tries; i++) {
-      now += newsLag;
-      const hint = workers[i % workers.length]!.id;
-      if (b.pick('chat', { hint })?.id === hint) kept += 1;
+      now += reportDelay;
+      const preferred = workers[i % workers.length]!.id;
+      if (b.select('chat', { preferred })?.id === preferred) kept += 1;
     }
     out.push([edges, (100 * kept) / tries]);
   }
--- a/tools/simulation/src/measurement/capacity/processor.ts
+++ b/tools/simulation/src/measurement/capacity/processor.ts
@@ -16,16 +16,12 @@
 const service = 'model-0';
 
 const balancerAt = (edges: number, running: number, workers: number): ReturnType<typeof loadBalancer.open> => {
-  const b = loadBalancer.open(
-    () => 0,
-    'e000',
-    () => 0,
-  );
+  const b = loadBalancer.open({ now: () => 0, self: 'e000', rotation: () => 0 });
   const c = configSchema.check({ ...hollowConfig(), classes: { chat: { kind: 'model', service, weight: 1 } } });
   if (!c.ok) throw new Error('the configuration of the measurement is wrong');
-  b.config(c.value);
-  b.workers(workerList(workers));
-  b.siblings(
+  b.setConfig(c.value);
+  b.setWorkers(workerList(workers));
+  b.setPeerLoads(
     Array.from({ length: edges - 1 }, (_, i) => ({
       id: `e${String(i + 1).padStart(3, '0')}`,
       load: loadOf(i + 1, running, workers).load,
@@ -104,8 +100,8 @@
   const scales = pick(sizes, [12, 24, 48, 95, 190], [2, 3, 4, 5]);
   const picks = (edges: number): number => {
     const b = balancerAt(edges, 763, Math.round(edges * 31.6));
-    const hint = b.list()[0]!.id;
-    return cpuOf(() => void b.pick('chat', { hint }), 10);
+    const preferred = b.workers()[0]!.id;
+    return cpuOf(() => void b.select('chat', { preferred }), 10);
   };
   const siblingsIn = async (edges: number): Promise<number> => {
     const h = await hollow.open({ edges: 1, workers: Math.round(edges * 31.6) });
--- a/tools/simulation/test/input.test.ts
+++ b/tools/simulation/test/input.test.ts
@@ -66,7 +66,7 @@
   }
 });
 
-test('workers: any stream is read as pieces or faults', () => {
+test('workers: any stream is read as events or errors', () => {
   for (let seed = 1; seed <= 2000; seed++) {
     const r = seeded(seed);
     const read = formats.chat.reader();
@@ -74,7 +74,7 @@
       const data = r.int(3)
         ? JSON.stringify({ choices: value(r), usage: value(r), error: r.int(5) ? undefined : value(r) })
         : text(r);
-      for (const p of read(`data: ${data}\n\n`)) assert.ok(['delta', 'usage', 'done', 'fault'].includes(p.kind));
+      for (const p of read(`data: ${data}\n\n`)) assert.ok(['delta', 'usage', 'done', 'error'].includes(p.type));
     }
     formats.report.capacity(text(r));
   }
