--- a/packages/consensus/src/driver.ts
+++ b/packages/consensus/src/driver.ts
@@ -1,6 +1,6 @@
 // Runs the consensus state machine (§3.3): carries out its effects over RPC and disk, and feeds it what comes of them.
 import { fault, time, duration, type Runtime, type Address, type Microseconds } from '@thornsail/runtime';
-import { durableStore, type DurableStore } from '@thornsail/durable-files';
+import { recoverFolder, type DurableStore } from '@thornsail/durable-files';
 import type { Rpc } from '@thornsail/rpc';
 import { consensusErrors } from './errors.js';
 import { defaultTiming, replica } from './replica.js';
@@ -53,7 +53,7 @@
   if (!identity) await durable.write(wire.documents.identity, 1, { id });
   const term = (await durable.read<wire.TermDocument>(wire.documents.term))?.value.view ?? 0;
   const kept = await durable.read<EncodedSnapshot>(wire.documents.snapshot);
-  return { id, term, accepted: kept && wire.decodeSnapshot(kept.value, codec), fileMark: kept?.mark ?? 0 };
+  return { id, term, accepted: kept && wire.decodeSnapshot(kept.value, codec), fileMark: kept?.version ?? 0 };
 };
 
 /** The promises of callers, by number. */
@@ -235,7 +235,7 @@
 const open = async <S>(options: ConsensusOptions<S>): Promise<Consensus<S>> => {
   const { runtime, durable } = options;
   const log = runtime.log('coordinator');
-  await durableStore.sound(durable, log);
+  await recoverFolder(durable, log);
   const codec = options.codec ?? wire.plainCodec<S>();
   const stored = await load(durable, codec, () => `coordinator-${runtime.rand.id()}`);
   const timing = { ...defaultTiming, ...options.timing };
--- /dev/null
+++ b/packages/durable-files/src/compaction.ts
@@ -0,0 +1,96 @@
+/** Compaction (§6.1): what is still needed of some record files is copied into one base file, and they are removed. */
+import { planCompaction } from './compaction-plan.js';
+import { isDiskFull } from './errors.js';
+import { removeRecordFile, writeBaseFile, type RecordFolder } from './record-folder.js';
+import { recordFormat } from './record-format.js';
+import { isTombstone, type NewestRecord, type RecordFile, type RecordTable } from './record-table.js';
+
+/** A record that is copied: as the table had it at the start, its line in the base file, and the file it was in. */
+type Moved<T> = Map<string, { record: NewestRecord<T>; line: string; from: RecordFile }>;
+
+/** For removed keys whose record is in another file: how many of these files hold older versions. */
+const countOlder = <T>({ tombstones }: RecordTable<T>, files: RecordFile[]): Map<string, number> => {
+  const older = new Map<string, number>();
+  for (const file of files)
+    for (const key of file.keys) {
+      const tombstone = tombstones.get(key);
+      if (tombstone && tombstone.file !== file) older.set(key, (older.get(key) ?? 0) + 1);
+    }
+  return older;
+};
+
+/** The records of these files that are the newest of their key, without removals that nothing needs any more. */
+const selectNeeded = <T>(table: RecordTable<T>, files: RecordFile[]): Moved<T> => {
+  const older = countOlder(table, files);
+  const moved: Moved<T> = new Map();
+  for (const file of files)
+    for (const key of file.keys) {
+      const record = table.newest(key);
+      if (record?.file !== file) continue;
+      if (isTombstone(record) && record.olderVersions <= (older.get(key) ?? 0)) continue;
+      const { batch, value } = record;
+      const line = recordFormat.baseLine<T>(value === undefined ? { key, batch } : { key, batch, value });
+      moved.set(key, { record, line, from: file });
+    }
+  return moved;
+};
+
+/** Brings the table up to date once the base file is in effect. */
+const applyCompaction = <T>(
+  table: RecordTable<T>,
+  compacted: RecordFile[],
+  moved: Moved<T>,
+  baseNumber: number,
+): void => {
+  const removed = new Set(compacted);
+  for (const kind of ['batch', 'base'] as const)
+    table.files[kind] = table.files[kind].filter((file) => !removed.has(file));
+  const baseFile = table.addFile('base', baseNumber);
+  for (const { record, line } of moved.values()) table.move(record, baseFile, line.length);
+  for (const file of compacted)
+    for (const key of file.keys) {
+      if (moved.get(key)?.from === file) continue;
+      const record = table.newest(key);
+      if (record && record.file !== file) table.releaseOlder(record);
+    }
+  for (const file of compacted)
+    for (const key of file.keys) if (table.tombstones.get(key)?.file === file) table.tombstones.delete(key);
+};
+
+/** Copies what is needed of some files into one base file; in effect with that file's name, all at once. */
+const compactFiles = async <T>(folder: RecordFolder<T>, compacted: RecordFile[]): Promise<void> => {
+  const { disk, table, next } = folder;
+  const moved = selectNeeded(table, compacted);
+  const baseNumber = next.base++;
+  const lastMergedBatch = Math.max(
+    ...compacted.filter(({ kind }) => kind === 'batch').map(({ number }) => number),
+    (table.files.batch[0]?.number ?? next.batch) - 1,
+  );
+  const otherBases = table.files.base.filter((file) => !compacted.includes(file)).map(({ number }) => number);
+  const lines = [...moved.values()].map(({ line }) => line);
+  await writeBaseFile(disk, baseNumber, { lastMergedBatch, baseFiles: [...otherBases, baseNumber] }, lines);
+  applyCompaction(table, compacted, moved, baseNumber);
+  folder.counters.merges += 1;
+  for (const { kind, number } of compacted) await removeRecordFile(disk, kind, number);
+};
+
+/** Opens the compaction of a folder: the function that it gives compacts whatever is due, one run at a time. */
+export const openCompaction = <T>(folder: RecordFolder<T>): (() => Promise<void>) => {
+  const { limits, table, next } = folder;
+  let running = false;
+  /** After a full disk: nothing is compacted before this batch. */
+  let resumeAtBatch = 0;
+  const plan = (): RecordFile[] | undefined =>
+    planCompaction({ batches: table.files.batch, bases: table.files.base }, limits);
+  return async () => {
+    if (running || next.batch < resumeAtBatch) return;
+    running = true;
+    try {
+      for (let files = plan(); files; files = plan()) await compactFiles(folder, files);
+    } catch (error) {
+      // Without room it is tried again later; a disk that failed has stopped the durable store.
+      resumeAtBatch = isDiskFull(error) ? next.batch + (limits.batchFiles >> 2) : Infinity;
+    }
+    running = false;
+  };
+};
--- a/packages/durable-files/test/growth.test.ts
+++ b/packages/durable-files/test/growth.test.ts
@@ -3,36 +3,42 @@
 import * as assert from 'uvu/assert';
 import { duration, type Microseconds } from '@thornsail/runtime';
 import {
-  batches,
+  recordStore,
   durableStore,
-  usualLimits,
-  type Batches,
-  type Index,
+  defaultLimits,
+  type RecordStore,
+  type RecordIndex,
   type DurableStore,
-  type Slot,
+  type RecordEntry,
+  recoverFolder,
 } from '@thornsail/durable-files';
 import { world, type Host, type World } from '@thornsail/simulation';
 
 type Value = { n: number; pad: string };
-type Open = { durable: DurableStore; records: Batches<Value>; at: Map<string, Slot<Value>>; took: Microseconds };
+type Open = {
+  durable: DurableStore;
+  records: RecordStore<Value>;
+  at: Map<string, RecordEntry<Value>>;
+  took: Microseconds;
+};
 const pad = 'v'.repeat(300);
 const stage = (): { w: World; h: Host } => {
   const w = world.open({ seed: 1, zoneDelay: 1, clientDelay: 1, clientIp: 'x', diskTime: duration.ms(2) });
   return { w, h: w.host('127.0.0.1', 'z1') };
 };
 const open = async (w: World, h: Host): Promise<Open> => {
-  const at = new Map<string, Slot<Value>>();
-  const index: Index<Value> = {
+  const at = new Map<string, RecordEntry<Value>>();
+  const index: RecordIndex<Value> = {
     get: (key) => at.get(key),
     set: (key, slot) => void at.set(key, slot),
-    drop: (key) => void at.delete(key),
+    delete: (key) => void at.delete(key),
     clear: () => at.clear(),
   };
   const begun = w.now();
   const got: { open?: Open } = {};
   void durableStore.open(w.runtime(h).disk).then(async (durable) => {
-    const records = batches.open<Value>({ durable, index, prefix: 'reg:' });
-    assert.ok(await durableStore.sound(durable, () => undefined, undefined, records.load));
+    const records = recordStore.open<Value>({ durable, index, prefix: 'reg:' });
+    assert.ok(await recoverFolder(durable, () => undefined, undefined, records.load));
     got.open = { durable, records, at, took: w.now() - begun };
   });
   while (!got.open) await w.run(w.now() + 100);
@@ -66,8 +72,8 @@
   const live = o.records.counts().live;
   process.stdout.write(`registers: ${JSON.stringify(sizes)}, ${live} bytes live\n`);
   for (const size of sizes) {
-    assert.ok(size.bytes <= 2 * live + usualLimits.slackBytes + usualLimits.pieceBytes, JSON.stringify(size));
-    assert.ok(size.files <= usualLimits.batchFiles + 2 * usualLimits.reservedFiles + 40, JSON.stringify(size));
+    assert.ok(size.bytes <= 2 * live + defaultLimits.slackBytes + defaultLimits.pieceBytes, JSON.stringify(size));
+    assert.ok(size.files <= defaultLimits.batchFiles + 2 * defaultLimits.reservedFiles + 40, JSON.stringify(size));
     assert.ok(size.start < duration.ms(50), JSON.stringify(size));
   }
 });
--- a/packages/durable-files/test/power-loss.test.ts
+++ b/packages/durable-files/test/power-loss.test.ts
@@ -5,13 +5,14 @@
 import { seeded, duration } from '@thornsail/runtime';
 import { simulatedDisk, world, type DiskState, type Host, type World } from '@thornsail/simulation';
 import {
-  batches,
+  recordStore,
   durableStore,
-  type Batches,
-  type Index,
+  type RecordStore,
+  type RecordIndex,
   type Limits,
   type DurableStore,
-  type Slot,
+  type RecordEntry,
+  recoverFolder,
 } from '@thornsail/durable-files';
 
 /** So little that a few batches are merged, and base files again; names are reserved two at a time. */
@@ -19,7 +20,7 @@
 /** Time between two looks at the disk; every call of the simulated disk takes longer. */
 const step = 5;
 type Folder = Map<string, string>;
-/** What a life leaves: its files, and after the end of a mere process what a later loss of power may bring back. */
+/** What a run leaves: its files, and after the end of a mere process what a later loss of power may bring back. */
 type Left = {
   files: Folder;
   killed?: Pick<DiskState, 'unsyncedNames' | 'nameChanges' | 'changeCount' | 'unsyncedBytes'>;
@@ -34,9 +35,9 @@
   world: World;
   host: Host;
   durable?: DurableStore;
-  records?: Batches<number>;
-  at: Map<string, Slot<number>>;
-  sound?: boolean;
+  records?: RecordStore<number>;
+  at: Map<string, RecordEntry<number>>;
+  isValid?: boolean;
 };
 
 const documentKey = (key: string): string => `document ${key}`;
@@ -55,20 +56,20 @@
 });
 const openNode = async (node: Node): Promise<void> => {
   const { at } = node;
-  const index: Index<number> = {
+  const index: RecordIndex<number> = {
     get: (key) => at.get(key),
     set: (key, slot) => void at.set(key, slot),
-    drop: (key) => void at.delete(key),
+    delete: (key) => void at.delete(key),
     clear: () => at.clear(),
   };
   const durable = await durableStore.open(node.world.runtime(node.host).disk);
-  const records = batches.open<number>({ durable, index, prefix: 'reg:', limits });
+  const records = recordStore.open<number>({ durable, index, prefix: 'reg:', limits });
   const see = (name: string, document: { value: unknown }): void => {
-    if (name.startsWith('reg:')) records.former(name.slice(4), document.value as number);
+    if (name.startsWith('reg:')) records.addLegacy(name.slice(4), document.value as number);
   };
-  const sound = await durableStore.sound(durable, () => undefined, see, records.load);
-  if (!sound) records.clear();
-  Object.assign(node, { durable, records, sound });
+  const isValid = await recoverFolder(durable, () => undefined, see, records.load);
+  if (!isValid) records.clear();
+  Object.assign(node, { durable, records, isValid });
 };
 const found = async (node: Node, key: string): Promise<number> => {
   if (!key.startsWith('document ')) return node.at.get(key)?.value ?? 0;
@@ -131,18 +132,18 @@
 };
 
 type Search = { seen: Set<string>; restarts: number; problems: string[]; choose: (all: Left[]) => Left[] };
-/** Starts from a folder and checks it, then plays a life's actions; its end at any step goes on to the other lives. */
-const explore = async (search: Search, left: Left, before: Allowed, lives: Action[][]): Promise<void> => {
-  const key = `${lives.length} ${leftKey(left, before)}`;
+/** Starts from a folder and checks it, then plays a run; its end at any step goes on to the other runs. */
+const explore = async (search: Search, left: Left, before: Allowed, runs: Action[][]): Promise<void> => {
+  const key = `${runs.length} ${leftKey(left, before)}`;
   if (search.seen.has(key) || search.problems.length > 5) return;
   search.seen.add(key);
   search.restarts += 1;
   const node = start(left);
   const allowed = copyOf(before);
-  const [actions, ...rest] = lives;
-  const life = async (): Promise<void> => {
+  const [actions, ...rest] = runs;
+  const run = async (): Promise<void> => {
     await openNode(node);
-    if (!node.sound) search.problems.push(`taken for damaged: ${[...left.files.keys()].join(' ')}`);
+    if (!node.isValid) search.problems.push(`taken for damaged: ${[...left.files.keys()].join(' ')}`);
     for (const [name, versions] of allowed) {
       const got = await found(node, name);
       if (!versions.includes(got))
@@ -152,8 +153,8 @@
     }
     for (const action of actions ?? []) await perform(node, action, allowed);
   };
-  await watched(node, allowed, life(), async () => {
-    if (lives.length === 0) return;
+  await watched(node, allowed, run(), async () => {
+    if (runs.length === 0) return;
     // Until a start is over it has shown nothing: what it may find is what it might have found before.
     for (const state of search.choose(possible(node))) await explore(search, state, copyOf(allowed), rest);
   });
@@ -222,16 +223,16 @@
 const settled = async (actions: Action[]): Promise<Folder> => {
   const node = start({ files: new Map() });
   const allowed: Allowed = new Map();
-  const life = async (): Promise<void> => {
+  const run = async (): Promise<void> => {
     await openNode(node);
     for (const action of actions) await perform(node, action, allowed);
   };
-  await watched(node, allowed, life(), async () => undefined);
+  await watched(node, allowed, run(), async () => undefined);
   node.world.kill(node.host, 'process');
   return new Map(node.host.files);
 };
 const isBatch = (name: string): boolean => /^b\.\d{12}$/.test(name);
-test('a written file before the last that is gone, short or changed is noticed in every place', async () => {
+test('a written file before the last that is missing, short or changed is noticed in every place', async () => {
   const folder = await settled(history);
   const written = [...folder].filter(([, text]) => text !== '').map(([name]) => name);
   const lastBatch = written.filter(isBatch).sort().pop();
@@ -239,7 +240,7 @@
   for (const name of written.filter((one) => one !== lastBatch)) {
     const text = folder.get(name)!;
     const changed = [text.slice(0, text.length >> 1), '', `${text.slice(0, -2)}~${text.slice(-1)}`];
-    // A document that is gone can't be told from one that was never written (§6.1).
+    // A removed document can't be told from one that was never written (§6.1).
     const isRecords = /^b(ase)?\./.test(name);
     for (const now of [...changed, ...(isRecords ? [undefined] : [])]) {
       const damaged = new Map(folder);
@@ -247,27 +248,27 @@
       else damaged.set(name, now);
       const node = start({ files: damaged });
       await watched(node, new Map(), openNode(node), async () => undefined);
-      assert.is(node.sound, false, `${name}: ${String(now)}`);
+      assert.is(node.isValid, false, `${name}: ${String(now)}`);
       assert.equal([...node.host.files.keys()], [], 'emptied');
     }
   }
 });
 test('a base file that held everything is missed when only reserved names are left', async () => {
   const node = start({ files: new Map() });
-  const life = async (): Promise<void> => {
+  const run = async (): Promise<void> => {
     await openNode(node);
     const large = { key: 'x'.repeat(2 * limits.slackBytes!) };
     for (let i = 0; i < 8; i++) await perform(node, write(large.key), new Map());
     for (let i = 0; i < 8; i++) await perform(node, write('a'), new Map());
   };
-  await watched(node, new Map(), life(), async () => undefined);
+  await watched(node, new Map(), run(), async () => undefined);
   const files = new Map([...node.host.files].filter(([name, text]) => !name.startsWith('base.') && text === ''));
   assert.ok(files.size > 0, 'no names were reserved');
   const again = start({ files });
   await watched(again, new Map(), openNode(again), async () => undefined);
-  assert.is(again.sound, false);
+  assert.is(again.isValid, false);
 });
-test('a loss of power while a damaged folder is emptied never leaves one that is taken for sound', async () => {
+test('a loss of power while a damaged folder is emptied never leaves one that is taken for valid', async () => {
   const folder = await settled([putDocument('identity'), write('a'), write('b'), write('c')]);
   const second = [...folder.keys()].filter(isBatch).sort()[1]!;
   folder.set(second, 'damaged');
--- a/packages/register-store/src/replica-table.ts
+++ b/packages/register-store/src/replica-table.ts
@@ -1,14 +1,14 @@
 // What a store holds, by ranges of keys (§6.3): digests that are kept up with each change, and lists that look at one
 // range, or at what ends at one time, so that nothing walks through a whole day's registers in one go.
 import { hash, duration, type Microseconds } from '@thornsail/runtime';
-import type { Index, Slot } from '@thornsail/durable-files';
+import type { RecordEntry, RecordIndex } from '@thornsail/durable-files';
 import type { Ballot, Copy } from './messages.js';
 
 /** Keys fall into ranges by their hash; the sweep compares a digest of each before it lists any (§6.5). */
 export const ranges = 64;
 export const rangeOf = (key: string): number => hash.of(key) % ranges;
 
-export type ReplicaTable = Index<Copy> & {
+export type ReplicaTable = RecordIndex<Copy> & {
   size: () => number;
   digest: (range: number) => number;
   /** Up to `limit` keys, with their ballots, that nothing has needed since `before`; what ended first comes first. */
@@ -60,7 +60,7 @@
 export const replicaTable = {
   open: (): ReplicaTable => {
     const all = Array.from({ length: ranges }, () => ({
-      at: new Map<string, Slot<Copy>>(),
+      at: new Map<string, RecordEntry<Copy>>(),
       digest: [0, 0] as Digest,
     }));
     const ends = endings();
@@ -87,7 +87,7 @@
         r.digest = add(r.digest, mix(key, slot.value), 1);
         ends.add(key, neededUntil(slot.value));
       },
-      drop,
+      delete: drop,
       clear: () => {
         for (const r of all) {
           r.at.clear();
--- a/packages/register-store/src/store.ts
+++ b/packages/register-store/src/store.ts
@@ -1,6 +1,13 @@
 // The store's side of registers (§6.2): promises and accepted values, each synced before its reply.
 import { fault, invariant, lock, time, duration, type Runtime, type Microseconds } from '@thornsail/runtime';
-import { batches, durableStore, type Index, type Limits, type DurableStore, type Slot } from '@thornsail/durable-files';
+import {
+  recordStore,
+  type RecordIndex,
+  type Limits,
+  type DurableStore,
+  type RecordEntry,
+  recoverFolder,
+} from '@thornsail/durable-files';
 import type { Rpc } from '@thornsail/rpc';
 import {
   ballot,
@@ -71,14 +78,14 @@
 const markOf = (m: Base): number => (typeof m.group === 'number' ? m.group : m.group.mark);
 
 /** The replica table, and beside it the floor: the highest ballot of any copy that was dropped. */
-const withFloor = (copies: ReplicaTable): { index: Index<Copy>; floor: () => number } => {
-  let slot: Slot<Copy> | undefined;
+const withFloor = (copies: ReplicaTable): { index: RecordIndex<Copy>; floor: () => number } => {
+  let slot: RecordEntry<Copy> | undefined;
   return {
     floor: () => slot?.value.promised[0] ?? 0,
     index: {
       get: (key) => (key === floorKey ? slot : copies.get(key)),
       set: (key, s) => (key === floorKey ? void (slot = s) : copies.set(key, s)),
-      drop: (key) => (key === floorKey ? void (slot = undefined) : copies.drop(key)),
+      delete: (key) => (key === floorKey ? void (slot = undefined) : copies.delete(key)),
       clear: () => {
         slot = undefined;
         copies.clear();
@@ -116,13 +123,13 @@
     const c = { prepares: 0, accepts: 0, opened: 0, rejected: 0, mended: 0, extended: 0, purged: 0, refused: 0 };
     const copies = replicaTable.open();
     const { index, floor } = withFloor(copies);
-    const records = batches.open<Copy>({ durable, index, prefix: former, limits: o.limits ?? {} });
+    const records = recordStore.open<Copy>({ durable, index, prefix: former, limits: o.limits ?? {} });
     // What does not read back, and was acknowledged, shows that the disk is damaged (§6.1).
-    const sound = await durableStore.sound(
+    const sound = await recoverFolder(
       durable,
       log,
       (name, d) => {
-        if (name.startsWith(former)) records.former(name.slice(former.length), d.value as Copy);
+        if (name.startsWith(former)) records.addLegacy(name.slice(former.length), d.value as Copy);
       },
       records.load,
     );
--- a/packages/runtime/test/disk.test.ts
+++ b/packages/runtime/test/disk.test.ts
@@ -6,7 +6,14 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { fault, files, type FileCalls } from '@thornsail/runtime';
-import { batches, durableStore, usualLimits, type Batches, type Slot } from '@thornsail/durable-files';
+import {
+  recordStore,
+  durableStore,
+  defaultLimits,
+  type RecordStore,
+  type RecordEntry,
+  recoverFolder,
+} from '@thornsail/durable-files';
 
 type Step = 'open' | 'write' | 'sync' | 'rename' | 'folder' | 'read' | 'none';
 /** File calls of which one fails, with a code of the system's. */
@@ -98,25 +105,30 @@
   await (await durableStore.open(files(dir))).write('a', 1, { v: 1 });
   const what = { step: 'read' as Step, code: 'EIO' };
   const durable = await durableStore.open(files(dir, failing(what)));
-  assert.is(await codeOf(durableStore.sound(durable, () => undefined)), 'failed');
+  assert.is(await codeOf(recoverFolder(durable, () => undefined)), 'failed');
   assert.equal(readdirSync(dir), ['a.000000000001']);
 });
 
 const recordsOf = async (
   dir: string,
   calls?: FileCalls,
-): Promise<{ records: Batches<number>; at: Map<string, Slot<number>>; stopped: () => number; sound: boolean }> => {
-  const at = new Map<string, Slot<number>>();
+): Promise<{
+  records: RecordStore<number>;
+  at: Map<string, RecordEntry<number>>;
+  stopped: () => number;
+  sound: boolean;
+}> => {
+  const at = new Map<string, RecordEntry<number>>();
   const index = {
     get: (k: string) => at.get(k),
-    set: (k: string, s: Slot<number>) => void at.set(k, s),
-    drop: (k: string) => void at.delete(k),
+    set: (k: string, s: RecordEntry<number>) => void at.set(k, s),
+    delete: (k: string) => void at.delete(k),
     clear: () => at.clear(),
   };
   let stopped = 0;
   const durable = await durableStore.open(files(dir, calls), () => (stopped += 1));
-  const records = batches.open<number>({ durable, index, prefix: 'reg:' });
-  const sound = await durableStore.sound(durable, () => undefined, undefined, records.load);
+  const records = recordStore.open<number>({ durable, index, prefix: 'reg:' });
+  const sound = await recoverFolder(durable, () => undefined, undefined, records.load);
   return { records, at, stopped: () => stopped, sound };
 };
 test('a batch takes one sync of its file; the folder is synced before its name is used, for many at once', async () => {
@@ -128,17 +140,17 @@
     await Promise.all(Array.from({ length: count }, (_, i) => b.records.write(`${of}${i}`, i)));
     return Object.fromEntries([...new Set(seen)].sort().map((step) => [step, seen.filter((s) => s === step).length]));
   };
-  const names = Array.from({ length: usualLimits.reservedFiles }, (_, i) => `b.${String(i + 1).padStart(12, '0')}`);
-  assert.equal(await counted(30, 'k'), { folder: 1, open: usualLimits.reservedFiles + 1, sync: 1, write: 1 });
+  const names = Array.from({ length: defaultLimits.reservedFiles }, (_, i) => `b.${String(i + 1).padStart(12, '0')}`);
+  assert.equal(await counted(30, 'k'), { folder: 1, open: defaultLimits.reservedFiles + 1, sync: 1, write: 1 });
   assert.is(seen.indexOf('folder') < seen.indexOf('write'), true, 'written under a name that did not last');
   assert.equal(readdirSync(dir), names, 'written in place');
   assert.equal(await counted(30, 'm'), { open: 1, sync: 1, write: 1 });
   // The rest of the names, and more of them before these are used up.
   let folderSyncs = 0;
-  for (let i = 2; i < usualLimits.reservedFiles; i++) folderSyncs += (await counted(1, `n${i}/`))['folder'] ?? 0;
+  for (let i = 2; i < defaultLimits.reservedFiles; i++) folderSyncs += (await counted(1, `n${i}/`))['folder'] ?? 0;
   assert.is(folderSyncs, 1);
   const again = await recordsOf(dir);
-  assert.ok(again.sound && again.at.size === 60 + usualLimits.reservedFiles - 2 && again.at.get('k7')?.value === 7);
+  assert.ok(again.sound && again.at.size === 60 + defaultLimits.reservedFiles - 2 && again.at.get('k7')?.value === 7);
 });
 test('a full disk refuses a batch whole; one that fails in any step is not acknowledged nor tried again', async () => {
   // Of a batch whose name was reserved before, and of the first one, which reserves names.
