--- a/tools/simulation/test/docs.test.ts
+++ b/tools/simulation/test/docs.test.ts
@@ -215,4 +215,17 @@
         `${page}: ${file} does not exist`,
       );
 });
+/** A source file, as pages name it: from the root, from its workspace with or without `src`, or by its name alone. */
+const quotedFile = /`([a-z0-9./-]+\.ts)`/g;
+test('every source file that a page names exists', () => {
+  const withoutSrc = (file: string): string => `/${file.replace(/(^|\/)src\//, '$1')}`;
+  const files = sources().filter((file) => !file.endsWith('.d.ts'));
+  const known = [...files, ...filesBelow('examples')].map(withoutSrc);
+  for (const page of [...readdirSync(path.join(root, 'docs')).map((name) => `docs/${name}`), 'README.md'])
+    for (const [, file] of read(page).matchAll(quotedFile))
+      assert.ok(
+        known.some((candidate) => candidate.endsWith(withoutSrc(file!))),
+        `${page}: there is no ${file}`,
+      );
+});
 test.run();
