--- a/packages/data-plane/src/index.ts
+++ b/packages/data-plane/src/index.ts
@@ -151,9 +151,9 @@
       pool.retain(new Set(list.map((w) => w.id)));
     };
     membership.onState(takeState);
-    membership.dissemination.on((n) => {
-      if (n.name.startsWith('workers/')) takeWorkers();
-      if (n.name.startsWith('load/')) reports.told(n.name.slice(5), n.mark);
+    membership.dissemination.onUpdate(({ name, version }) => {
+      if (name.startsWith('workers/')) takeWorkers();
+      if (name.startsWith('load/')) reports.told(name.slice(5), version);
     });
     const stops = [
       time.every(clock, duration.ms(250), () => {
--- a/packages/data-plane/src/report.ts
+++ b/packages/data-plane/src/report.ts
@@ -97,7 +97,7 @@
       const now = clock.now();
       const all = new Map<string, ReceivedLoad>();
       for (const x of dissemination.all('load/'))
-        all.set(x.name.slice(5), { mark: x.item.mark, at: x.item.at, load: x.item.value as EdgeLoad });
+        all.set(x.name.slice(5), { mark: x.item.version, at: x.item.at, load: x.item.value as EdgeLoad });
       const known = new Set(current().live.map((n) => n.id));
       for (const [id, h] of exchange.received)
         if (!known.has(id) || now - h.at > forgetAfter) exchange.received.delete(id);
--- a/packages/membership/src/index.ts
+++ b/packages/membership/src/index.ts
@@ -1,6 +1,6 @@
 // membership: what every node does to be one of the fleet (§3.2): find the siblings from any live seed,
 // join the roster, refute a wrong death, hold the newest agreed state, and notice its own freezes.
-import { dissemination, type Dissemination, type News } from '@thornsail/dissemination';
+import { dissemination, type Dissemination, type Update } from '@thornsail/dissemination';
 import { address, time, duration, type Runtime, type Address, type Microseconds } from '@thornsail/runtime';
 import { failureDetector, type FailureDetector, type Peer } from '@thornsail/failure-detector';
 import { validate, type Rpc } from '@thornsail/rpc';
@@ -74,7 +74,7 @@
   uses: validate.optional(validate.integer),
 });
 /** News by the first word of its name; what goes by another name is nobody's here. */
-const soundNews = (n: News): boolean => {
+const soundNews = (n: Update): boolean => {
   const of = n.name.split('/')[0];
   if (of === 'order') return snapshotCodec.isValid(n.value);
   if (of === 'workers') return isWorkers(n.value);
@@ -116,7 +116,7 @@
     };
     const state = (): Ordered | undefined => marked()?.state;
     /** Made anew only with a new state: who gets the same list can tell that nothing has changed. */
-    let roster: { of: Ordered | undefined; live: NodeEntry[]; peers: Peer[]; relays: NodeEntry[] } = {
+    let roster: { of: Ordered | undefined; live: NodeEntry[]; peers: Peer[]; relays: Peer[] } = {
       of: undefined,
       live: [],
       peers: [],
@@ -127,10 +127,10 @@
       if (s === roster.of) return roster;
       const all = s ? order.live(s) : [];
       const peers = all.map((n) => ({ id: n.id, address: n.place, incarnation: n.inc }));
-      return (roster = { of: s, live: all, peers, relays: all.filter((n) => n.role !== 'gateway') });
+      return (roster = { of: s, live: all, peers, relays: peers.filter((_, i) => all[i]!.role !== 'gateway') });
     };
     const live = (): NodeEntry[] => current().live;
-    const relays = (): { id: string; place: Address }[] => current().relays;
+    const relays = (): Peer[] => current().relays;
     let besideBad = 0;
     const deadSince = new Map<string, Microseconds>();
     /** News of a dead node is neither kept nor taken again from a sibling that has not heard (§3.5). */
@@ -143,18 +143,18 @@
       runtime,
       rpc,
       self: id,
-      leaf: role === 'gateway',
+      isLeaf: role === 'gateway',
       relays,
       admits,
-      sound: soundNews,
-      volatile: (name) => name.startsWith('load/') || name.startsWith('read/'),
-      gathers: (name) => name.startsWith('load/'),
-      attachTo: () => {
+      isValid: soundNews,
+      isVolatile: (name) => name.startsWith('load/') || name.startsWith('read/'),
+      isBatched: (name) => name.startsWith('load/'),
+      parent: () => {
         if (!o.beside) return undefined;
         const n = live().find((x) => x.place === o.beside);
         return besideBad > clock.now() || (state() && !n) ? undefined : o.beside;
       },
-      others: () => [...known.keys()].filter((p) => p !== rpc.at),
+      fallbacks: () => [...known.keys()].filter((p) => p !== rpc.at),
     });
     const core = coreClient.open({
       runtime,
@@ -200,11 +200,11 @@
       if (r.order) b.put('order', r.order.seq, r.order);
     };
     const watchers: ((s: Ordered, mark: number) => void)[] = [];
-    b.on((n) => {
+    b.onUpdate((n) => {
       if (n.name !== 'order') return;
       const v = decodeOrder(n.value);
       remember(order.live(v.state).map((x) => ({ place: x.place, role: x.role })));
-      b.drop(admits);
+      b.retain(admits);
       for (const n2 of Object.values(v.state.roster))
         if (n2.standing !== 'dead') deadSince.delete(n2.id);
         else if (!deadSince.has(n2.id)) deadSince.set(n2.id, clock.now());
@@ -222,7 +222,7 @@
         duration.s(2),
       );
       if (!r.value.ok) inc = Math.max(inc, r.value.inc + 1);
-      if ((b.get('order')?.mark ?? -1) < r.index)
+      if ((b.get('order')?.version ?? -1) < r.index)
         for (const p of [...core_places()]) if (await b.refresh(p, duration.ms(300))) break;
     };
     const core_places = (): Address[] =>
@@ -237,7 +237,7 @@
         }
         lastTick = now;
         if (frozen) void refresh();
-        if (o.beside && now - b.heardAt() > duration.ms(800)) besideBad = now + duration.s(1);
+        if (o.beside && now - b.lastContact() > duration.ms(800)) besideBad = now + duration.s(1);
       }),
       time.every(clock, duration.ms(200), async () => {
         if (closed) return;
@@ -256,7 +256,9 @@
     const refresh = (left: Microseconds = duration.ms(300)): Promise<boolean> =>
       (refreshing ??= (async () => {
         const first = o.beside ? [o.beside] : [];
-        const rest = [...core_places(), ...relays().map((r) => r.place)].filter((p) => p !== rpc.at && p !== o.beside);
+        const rest = [...core_places(), ...relays().map((r) => r.address)].filter(
+          (p) => p !== rpc.at && p !== o.beside,
+        );
         // One that answers is not enough if it slept too: a core place or two relays.
         const asked = [...first, ...rest.slice(0, 4)];
         const got = await Promise.all(asked.map((p) => b.refresh(p, left)));
--- a/programs/thornsail/src/roles.ts
+++ b/programs/thornsail/src/roles.ts
@@ -179,7 +179,7 @@
       },
       usedVersion: (id) => {
         const used = here.membership?.dissemination.get(`uses/${id}`);
-        if (used) return used.mark;
+        if (used) return used.version;
         const l = here.membership?.dissemination.get(`load/${id}`)?.value as Partial<EdgeLoad> | undefined;
         // A front of the release before does not say; it is taken at its word that news reaches it.
         return l === undefined ? -1 : (l.uses ?? Infinity);
--- a/tools/simulation/src/guards/dissemination.ts
+++ b/tools/simulation/src/guards/dissemination.ts
@@ -6,16 +6,16 @@
   guard({
     name: 'an older mark never replaces a newer',
     rule: '8 configuration',
-    file: 'dissemination/src/index.js',
-    find: 'if ((cur && cur.mark >= n.mark) || !o.admits(n.name))',
-    replacement: 'if (!o.admits(n.name) || cur?.mark === n.mark)',
+    file: 'dissemination/src/item-store.js',
+    find: 'if ((current && current.version >= version) || !admits(name))',
+    replacement: 'if (!admits(name) || current?.version === version)',
     noticedBy: { test: 'simulation/test/parts.test.js' },
   }),
   guard({
     name: "a dead node's news is not taken again",
     rule: 'news',
-    file: 'dissemination/src/index.js',
-    find: '|| !o.admits(n.name)',
+    file: 'dissemination/src/item-store.js',
+    find: '|| !admits(name)',
     replacement: '',
     noticedBy: {
       test: 'simulation/test/parts.test.js',
--- a/tools/simulation/src/guards/membership.ts
+++ b/tools/simulation/src/guards/membership.ts
@@ -7,8 +7,8 @@
     name: 'news of load is gathered among many relays',
     rule: 'urgent',
     file: 'membership/src/index.js',
-    find: "gathers: (name) => name.startsWith('load/')",
-    replacement: 'gathers: () => false',
+    find: "isBatched: (name) => name.startsWith('load/')",
+    replacement: 'isBatched: () => false',
     noticedBy: { test: 'simulation/test/load.test.js' },
   }),
 ];
--- a/tools/simulation/src/measurement/capacity/spreading.ts
+++ b/tools/simulation/src/measurement/capacity/spreading.ts
@@ -10,10 +10,10 @@
   const out: Point[] = [];
   for (const n of pick(sizes, [13, 40, 121, 364], [4, 7, 10, 13])) {
     const w = newWorld(duration.ms(30));
-    const list = Array.from({ length: n }, (_, i) => ({ id: `r${i}`, place: `10.9.${i >> 8}.${i & 255}:1` }));
+    const list = Array.from({ length: n }, (_, i) => ({ id: `r${i}`, address: `10.9.${i >> 8}.${i & 255}:1` }));
     const all: Dissemination[] = [];
     for (const [i, x] of list.entries()) {
-      const runtime = w.runtime(w.host(x.place.split(':')[0]!, `z${i % 14}`));
+      const runtime = w.runtime(w.host(x.address.split(':')[0]!, `z${i % 14}`));
       void openRelay(runtime, x, list).then((relay) => all.push(relay));
     }
     await w.run(duration.ms(100));
@@ -21,7 +21,7 @@
     for (let m = 1; m <= 5; m++) {
       const begun = w.now();
       all[w.rand.int(n)]!.put('order', m, m);
-      while (all.some((b) => (b.get('order')?.mark ?? 0) < m)) await w.run(w.now() + duration.ms(1));
+      while (all.some((b) => (b.get('order')?.version ?? 0) < m)) await w.run(w.now() + duration.ms(1));
       times.push(duration.toMs(w.now() - begun));
     }
     out.push([n, times.reduce((a, b) => a + b, 0) / times.length]);
--- a/tools/simulation/src/measurement/relay-node.ts
+++ b/tools/simulation/src/measurement/relay-node.ts
@@ -3,7 +3,7 @@
 import { rpc } from '@thornsail/rpc';
 import type { Runtime, Address } from '@thornsail/runtime';
 
-type RelayNode = { id: string; place: Address };
+type RelayNode = { id: string; address: Address };
 
 /** Opens the relay `self` among `relays`; `arity` is the number of children of each in the tree. */
 export const openRelay = async (
@@ -14,12 +14,12 @@
 ): Promise<Dissemination> =>
   dissemination.open({
     runtime,
-    rpc: await rpc.open(runtime, self.place),
+    rpc: await rpc.open(runtime, self.address),
     self: self.id,
-    leaf: false,
+    isLeaf: false,
     relays: () => relays,
-    attachTo: () => undefined,
-    others: () => [],
+    parent: () => undefined,
+    fallbacks: () => [],
     admits: () => true,
-    ...(arity === undefined ? {} : { times: { arity } }),
+    ...(arity === undefined ? {} : { timing: { arity } }),
   });
--- a/tools/simulation/src/measurement/relays.ts
+++ b/tools/simulation/src/measurement/relays.ts
@@ -17,7 +17,7 @@
         const w = world.open({ seed, zoneDelay: duration.ms(1.5), clientDelay: duration.ms(1), clientIp: '127.0.9.9' });
         const list = Array.from({ length: 20 }, (_, i) => ({
           id: `n${i}`,
-          place: `127.0.0.${i + 1}:1`,
+          address: `127.0.0.${i + 1}:1`,
           host: w.host(`127.0.0.${i + 1}`, `z${i % 3}`),
         }));
         const bs: { b: Dissemination; host: (typeof list)[number]['host'] }[] = [];
@@ -32,7 +32,7 @@
           const begun = w.now();
           const before = live.reduce((a, x) => a + x.b.counts().relayed, 0);
           live[w.rand.int(live.length)]!.b.put('order', m, m);
-          while (live.some((x) => (x.b.get('order')?.mark ?? 0) < m) && w.now() - begun < duration.s(10))
+          while (live.some((x) => (x.b.get('order')?.version ?? 0) < m) && w.now() - begun < duration.s(10))
             await w.run(w.now() + 200);
           (kill ? dead : took).push((w.now() - begun) / 1000);
           if (!kill) frames += live.reduce((a, x) => a + x.b.counts().relayed, 0) - before;
--- a/tools/simulation/test/parts.test.ts
+++ b/tools/simulation/test/parts.test.ts
@@ -1,6 +1,6 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { dissemination, tree, type Dissemination } from '@thornsail/dissemination';
+import { dissemination, relayTree, type Dissemination } from '@thornsail/dissemination';
 import { invariant, duration } from '@thornsail/runtime';
 import { durableStore } from '@thornsail/durable-files';
 import { failureDetector, ring } from '@thornsail/failure-detector';
@@ -49,14 +49,14 @@
 
 test('ring and tree: every node has its watchers, every relay is reached, whatever the roster', () => {
   for (let n = 2; n <= 40; n++) {
-    const all = Array.from({ length: n }, (_, i) => ({ id: `n${i}`, place: `127.0.0.${i}:1` }));
+    const all = Array.from({ length: n }, (_, i) => ({ id: `n${i}`, address: `127.0.0.${i}:1` }));
     for (const x of all) assert.is(new Set(ring.watchers(all, x.id, 3).map((y) => y.id)).size, Math.min(3, n - 1));
     const seen = new Set<string>(['n0']);
     const todo = ['n0'];
     for (let id = todo.pop(); id !== undefined; id = todo.pop())
-      for (const r of tree.near(all, id, 3)) {
+      for (const r of relayTree.neighbours(all, id, 3)) {
         assert.ok(
-          tree.near(all, r.id, 3).some((y) => y.id === id),
+          relayTree.neighbours(all, r.id, 3).some((y) => y.id === id),
           'the tree is not the same from both ends',
         );
         if (!seen.has(r.id)) {
@@ -114,12 +114,12 @@
 }> => {
   const w = open(seed);
   const dead = new Set<string>();
-  const list = Array.from({ length: n }, (_, i) => ({ id: `n${i}`, place: `127.0.0.${i + 1}:1` }));
+  const list = Array.from({ length: n }, (_, i) => ({ id: `n${i}`, address: `127.0.0.${i + 1}:1` }));
   const nodes: { id: string; host: Host; b: Dissemination }[] = [];
   for (const x of list) {
-    const host = w.host(x.place.split(':')[0]!, 'z1');
+    const host = w.host(x.address.split(':')[0]!, 'z1');
     const runtime = w.runtime(host);
-    void rpc.open(runtime, x.place).then((p) =>
+    void rpc.open(runtime, x.address).then((p) =>
       nodes.push({
         id: x.id,
         host,
@@ -127,10 +127,10 @@
           runtime,
           rpc: p,
           self: x.id,
-          leaf: false,
+          isLeaf: false,
           relays: () => list.filter((r) => !dead.has(r.id)),
-          attachTo: () => undefined,
-          others: () => [],
+          parent: () => undefined,
+          fallbacks: () => [],
           admits: (name) => !dead.has(name.split('/')[1] ?? ''),
         }),
       }),
@@ -149,9 +149,9 @@
       await w.run(w.now() + duration.ms(40));
     }
     await w.run(w.now() + duration.s(2));
-    for (const x of nodes) if (x.host.alive) assert.is(x.b.get('order')?.mark, 10, `seed ${seed}: ${x.id}`);
+    for (const x of nodes) if (x.host.alive) assert.is(x.b.get('order')?.version, 10, `seed ${seed}: ${x.id}`);
     from.b.put('order', 4, { m: 4 });
-    assert.is(from.b.get('order')?.mark, 10);
+    assert.is(from.b.get('order')?.version, 10);
   }
 });
 test('dissemination: news of a dead node does not come back from siblings that were slower to drop it', async () => {
@@ -160,7 +160,7 @@
   await w.run(w.now() + duration.s(2));
   assert.ok(nodes.every((x) => x.b.get('load/n3')));
   dead.add('n3');
-  for (const x of nodes.slice(0, 4)) x.b.drop((k) => k !== 'load/n3');
+  for (const x of nodes.slice(0, 4)) x.b.retain((k) => k !== 'load/n3');
   await w.run(w.now() + duration.s(4));
   for (const x of nodes.slice(0, 4)) assert.is(x.b.get('load/n3'), undefined);
 });
