--- a/tools/simulation/src/fleet.ts
+++ b/tools/simulation/src/fleet.ts
@@ -22,7 +22,7 @@
 } from '@thornsail/test-harness';
 import { root } from '@thornsail/admin-api';
 import { roles, type Node } from '@thornsail/thornsail';
-import { world, type Host, type World } from './world.js';
+import { world, type Host, type World } from './world/index.js';
 
 export type FleetProcess = {
   name: string;
@@ -399,4 +399,4 @@
     return f;
   },
 };
-export type { World, Host } from './world.js';
+export type { World, Host } from './world/index.js';
--- a/tools/simulation/src/guards/simulation.ts
+++ b/tools/simulation/src/guards/simulation.ts
@@ -6,9 +6,9 @@
   guard({
     name: 'a call receives what was written before its server ended',
     rule: 'answers',
-    file: 'simulation/src/world.js',
-    find: 'h.incarnation === hInc && !powerLost',
-    replacement: 'same() && !powerLost',
+    file: 'simulation/src/world/http-call-state.js',
+    find: 'isSameClient(call) && !call.serverLostPower',
+    replacement: 'isSamePair(call) && !call.serverLostPower',
     noticedBy: { test: 'simulation/test/link.test.js' },
   }),
 ];
--- a/tools/simulation/src/measurement/capacity/fixtures.ts
+++ b/tools/simulation/src/measurement/capacity/fixtures.ts
@@ -4,7 +4,7 @@
 import type { EdgeLoad } from '@thornsail/data-plane';
 import { rpc } from '@thornsail/rpc';
 import { type Runtime, type Microseconds, duration } from '@thornsail/runtime';
-import { type World, world } from '../../world.js';
+import { type World, world } from '../../world/index.js';
 import { workerList } from '../hollow.js';
 
 export const newWorld = (zoneDelay: Microseconds = duration.ms(1)): World =>
--- a/tools/simulation/src/measurement/capacity/registers.ts
+++ b/tools/simulation/src/measurement/capacity/registers.ts
@@ -3,7 +3,7 @@
 import { type Group, type Registers, registers, store } from '@thornsail/register-store';
 import { rpc } from '@thornsail/rpc';
 import { type Runtime, type Microseconds, duration } from '@thornsail/runtime';
-import type { World } from '../../world.js';
+import type { World } from '../../world/index.js';
 
 export const storeGroup = (w: World, n: number): Group => {
   const group = { mark: 1, members: Array.from({ length: n }, (_, i) => ({ id: `k${i}`, at: `10.2.0.${i + 1}:1` })) };
--- a/tools/simulation/src/measurement/detection.ts
+++ b/tools/simulation/src/measurement/detection.ts
@@ -2,7 +2,7 @@
 import { failureDetector } from '@thornsail/failure-detector';
 import { rpc } from '@thornsail/rpc';
 import { type Microseconds, duration } from '@thornsail/runtime';
-import { world } from '../world.js';
+import { world } from '../world/index.js';
 import { head, mean, out, row } from './table.js';
 
 export const detection = async (): Promise<void> => {
--- a/tools/simulation/src/measurement/duties.ts
+++ b/tools/simulation/src/measurement/duties.ts
@@ -2,7 +2,7 @@
 import { lease, leaseVoter, type Lease } from '@thornsail/leases';
 import { rpc } from '@thornsail/rpc';
 import { duration } from '@thornsail/runtime';
-import { world } from '../world.js';
+import { world } from '../world/index.js';
 import { head, mean, out, row } from './table.js';
 
 export const duties = async (): Promise<void> => {
--- a/tools/simulation/src/measurement/hollow.ts
+++ b/tools/simulation/src/measurement/hollow.ts
@@ -7,7 +7,7 @@
 import { configSchema } from '@thornsail/config-schema';
 import { invariant, real, duration, type Runtime, type Address, type Microseconds } from '@thornsail/runtime';
 import { roles, type Node } from '@thornsail/thornsail';
-import { world, type Host, type World } from '../world.js';
+import { world, type Host, type World } from '../world/index.js';
 
 type Sum = { messages: number; bytes: number };
 export type Tally = { sent: Map<string, Sum>; got: Map<string, Sum> };
--- a/tools/simulation/src/measurement/registers.ts
+++ b/tools/simulation/src/measurement/registers.ts
@@ -18,7 +18,7 @@
 } from '@thornsail/runtime';
 import { durableStore } from '@thornsail/durable-files';
 import { rpc, validate, type Rpc } from '@thornsail/rpc';
-import { world } from '../world.js';
+import { world } from '../world/index.js';
 
 type Row = (...c: (string | number)[]) => void;
 const ids = [1, 2, 3];
--- a/tools/simulation/src/measurement/relays.ts
+++ b/tools/simulation/src/measurement/relays.ts
@@ -1,7 +1,7 @@
 // The tree of relays by its number of children (§3.5).
 import type { Dissemination } from '@thornsail/dissemination';
 import { duration } from '@thornsail/runtime';
-import { world } from '../world.js';
+import { world } from '../world/index.js';
 import { openRelay } from './relay-node.js';
 import { head, mean, out, row } from './table.js';
 
--- a/tools/simulation/src/repair-stage.ts
+++ b/tools/simulation/src/repair-stage.ts
@@ -2,7 +2,7 @@
 import { configSchema } from '@thornsail/config-schema';
 import { address, duration, type Runtime, type Address, type Microseconds } from '@thornsail/runtime';
 import { roles, type Node } from '@thornsail/thornsail';
-import { world, type Host, type World } from './world.js';
+import { world, type Host, type World } from './world/index.js';
 
 /** A coordinator or a store. */
 export type GroupRole = 'coordinator' | 'store';
--- a/tools/simulation/src/disk.ts
+++ b/tools/simulation/src/world/disk.ts
@@ -29,7 +29,7 @@
 export type DiskGround<H extends DiskHost> = {
   rand: Random;
   now: () => Microseconds;
-  later: (after: Microseconds, host: H, fn: () => void) => unknown;
+  schedule: (after: Microseconds, host: H, fn: () => void) => unknown;
   syncTime: Microseconds;
   onSync: () => void;
 };
@@ -128,11 +128,11 @@
 
 /** Waits for a call that takes `after` (microseconds), and for as long as the disk hangs. */
 type Takes = (after: Microseconds) => Promise<void>;
-const takesOf = <H extends DiskHost>({ now, later }: DiskGround<H>, host: H): Takes => {
+const takesOf = <H extends DiskHost>({ now, schedule }: DiskGround<H>, host: H): Takes => {
   const disk = host.disk;
   const wait = (after: Microseconds): Promise<void> =>
     new Promise((done) => {
-      later(after, host, done);
+      schedule(after, host, done);
     });
   return async (after) => {
     await wait(after);
--- a/tools/simulation/test/freeze.test.ts
+++ b/tools/simulation/test/freeze.test.ts
@@ -1,10 +1,10 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { duration, type Address } from '@thornsail/runtime';
-import { fleet, type Fleet, type Proc } from '@thornsail/simulation';
+import { fleet, type Fleet, type FleetProcess } from '@thornsail/simulation';
 
 /** An edge sleeps while two workers leave, cut off from some of the fleet; it is asked for jobs as it wakes. */
-const sleptWhileWorkersLeft = async (seed: number, cutOff: (p: Proc) => boolean): Promise<Fleet> => {
+const sleptWhileWorkersLeft = async (seed: number, cutOff: (p: FleetProcess) => boolean): Promise<Fleet> => {
   const f = await fleet.open({ seed, shape: 'granite' });
   const at = f.process('gateway-edge2').options['http'] as Address;
   const job = (i: number): void =>
