--- a/packages/admin-api/src/index.ts
+++ b/packages/admin-api/src/index.ts
@@ -190,12 +190,12 @@
           program: r.program,
           budget: r.budgetRecord!.budget,
           spent: r.budgetRecord!.spent,
-          left: tokenBudget.left(r.budgetRecord!),
+          left: tokenBudget.remainingTokens(r.budgetRecord!),
           turns: r.budgetRecord!.turns,
           lost: r.budgetRecord!.lost,
           tokens: r.budgetRecord!.tokens,
           worker: r.budgetRecord!.worker,
-          open: tokenBudget.opens(r.budgetRecord!).map((o) => o.by),
+          open: tokenBudget.openTurns(r.budgetRecord!).map((o) => o.by),
         }));
     };
     const drain = async (ask: HttpRequest, say: HttpResponseWriter, target: string): Promise<void> => {
--- a/packages/data-plane/src/edge.ts
+++ b/packages/data-plane/src/edge.ts
@@ -92,7 +92,7 @@
     const p = await x.turnRecords
       .budgetRecord(program, Math.max(duration.ms(50), end - clock.now()))
       .catch(() => undefined);
-    if (!p || !tokenBudget.held(p, budget)) return;
+    if (!p || !tokenBudget.isReserved(p, budget)) return;
   }
 };
 
--- a/packages/data-plane/src/turn-records.ts
+++ b/packages/data-plane/src/turn-records.ts
@@ -181,11 +181,13 @@
               reserve,
               budget: a.budget,
               at: w.max,
-              gone: (x) => (x.by === me ? !inFlight.has(x.turn) : o.deadFor(x.by) > edgeGone || w.min - x.at > maxTurn),
+              isLost: (x) =>
+                x.by === me ? !inFlight.has(x.turn) : o.deadFor(x.by) > edgeGone || w.min - x.at > maxTurn,
             });
-            if (!r.ok) return { keep: true, result: { ok: false, why: r.why } };
-            const result: Charged = { ok: true, budgetRecord: r.budgetRecord };
-            return { held: { value: r.budgetRecord, until: budgetRecordUntil(a, w, promised) }, result };
+            if (r.type !== 'charged')
+              return { keep: true, result: { ok: false, why: r.type === 'exhausted' ? 'spent' : 'open' } };
+            const result: Charged = { ok: true, budgetRecord: r.record };
+            return { held: { value: r.record, until: budgetRecordUntil(a, w, promised) }, result };
           },
           left,
           { fresh: a.fresh === true, past: a.past ?? 0 },
--- a/tools/simulation/src/guards/token-budget.ts
+++ b/tools/simulation/src/guards/token-budget.ts
@@ -6,28 +6,28 @@
   guard({
     name: 'spent is checked',
     rule: '1 budget',
-    file: 'token-budget/src/index.js',
-    find: 'if (tokenBudget.held(p, p.budget))',
+    file: 'token-budget/src/charge.js',
+    find: 'if (isReserved(record, budget))',
     replacement: 'if (false)',
     noticedBy: { scenario: 'budget' },
-    also: [
-      { file: 'token-budget/src/index.js', find: 'if (tokenBudget.over(p, p.budget))', replacement: 'if (false)' },
-    ],
+    also: [{ file: 'token-budget/src/charge.js', find: 'if (isExhausted(record, budget))', replacement: 'if (false)' }],
   }),
   guard({
     name: 'a turn is charged before it is sent',
     rule: '1 budget',
-    file: 'token-budget/src/index.js',
-    find: 'spent: p.spent + t.reserve',
-    replacement: 'spent: p.spent',
+    file: 'token-budget/src/charge.js',
+    find: 'spent: record.spent + reserve',
+    replacement: 'spent: record.spent',
     noticedBy: { scenario: 'budget', to: 4 },
   }),
   guard({
     name: 'a lost turn stays charged',
     rule: '1 budget',
-    file: 'token-budget/src/index.js',
-    find: 'p.lost += all.length - p.opens.length;',
-    replacement: 'p.spent -= sum(all) - sum(p.opens); p.lost += all.length - p.opens.length;',
+    file: 'token-budget/src/charge.js',
+    find: 'opens, open: null, lost: record.lost + open.length - opens.length',
+    replacement:
+      'opens, open: null, spent: record.spent - reservedTokens(open) + reservedTokens(opens), ' +
+      'lost: record.lost + open.length - opens.length',
     noticedBy: { test: 'token-budget/test/token-budget.test.js' },
   }),
 ];
