--- a/packages/admin-api/src/control.ts
+++ b/packages/admin-api/src/control.ts
@@ -4,7 +4,7 @@
 import {
   configuration,
   type NodeEntry,
-  type Ordered,
+  type AgreedState,
   type Push,
   type PushResult,
   type ReadResult,
@@ -29,17 +29,17 @@
 const leastLimit = duration.ms(50);
 
 /** How far a store's drain is (§6.5): safe only once the group without it is full, and bears the next loss. */
-export const drainState = (s: Ordered, node: NodeEntry, repaired = true): DrainState => {
+export const drainState = (s: AgreedState, node: NodeEntry, repaired = true): DrainState => {
   const k = s.storeGroup;
   if (!k.draining.includes(node.id)) return 'not draining';
   if (k.members.some((m) => m.id === node.id)) return k.swept === k.mark ? 'waiting' : 'copying';
   return k.swept === k.mark && repaired ? 'safe' : 'copying';
 };
 /** A node by its name: the one that lives, else the one that was lost last. */
-const named = (s: Ordered, name: string): NodeEntry | undefined =>
-  Object.values(s.roster)
+const named = (s: AgreedState, name: string): NodeEntry | undefined =>
+  Object.values(s.nodes)
     .filter((n) => n.name === name && n.role === 'store')
-    .sort((a, b) => Number(a.standing === 'dead') - Number(b.standing === 'dead') || b.since - a.since)[0];
+    .sort((a, b) => Number(a.status === 'dead') - Number(b.status === 'dead') || b.since - a.since)[0];
 
 export const control = {
   open: (o: { runtime: Runtime; membership: Membership }): Control => {
@@ -76,7 +76,7 @@
       drain: async (name, within = 3 * callLimit) => {
         const end = clock.now() + within;
         const n = named((await read(leftUntil(end))).value.state, name);
-        if (!n || n.standing === 'dead') return 'unknown';
+        if (!n || n.status === 'dead') return 'unknown';
         const { value } = await core.request({ type: 'drain', id: n.id, on: true }, leftUntil(end));
         if (!value) return 'too-few';
         return drained(name, leftUntil(end)).catch((e: unknown) => {
--- a/packages/admin-api/src/index.ts
+++ b/packages/admin-api/src/index.ts
@@ -16,10 +16,10 @@
 import type { Rpc } from '@thornsail/rpc';
 import {
   nodeCodec,
-  order,
+  agreedState,
   roleCodec,
   type NodeRole,
-  type Ordered,
+  type AgreedState,
   type Push,
   type ReadResult,
 } from '@thornsail/consensus';
@@ -141,7 +141,7 @@
     };
     /** A page of keys as the stores list them, with how many hold the newest copy. */
     const keysAfter = async (
-      s: Ordered,
+      s: AgreedState,
       after: string,
       limit: number,
     ): Promise<{ key: string; accepted: [number, string]; until: number; copies: number }[]> => {
@@ -174,7 +174,7 @@
         }
       return [...byKey.values()].sort((a, b) => (a.key < b.key ? -1 : 1)).slice(0, limit);
     };
-    const programs = async (s: Ordered, after: string, limit: number): Promise<unknown> => {
+    const programs = async (s: AgreedState, after: string, limit: number): Promise<unknown> => {
       const keys = (await keysAfter(s, after ? `program/${after}` : 'program/', limit))
         .map((k) => k.key)
         .filter((k) => k.startsWith('program/'));
@@ -202,8 +202,8 @@
       const {
         value: { state: s },
       } = await read();
-      const found = Object.values(s.roster).filter(
-        (x) => x.standing !== 'dead' && (x.name === target || x.id === target || x.place === target),
+      const found = Object.values(s.nodes).filter(
+        (x) => x.status !== 'dead' && (x.name === target || x.id === target || x.place === target),
       );
       if (found.length !== 1)
         return json(say, found.length ? 409 : 404, {
@@ -246,7 +246,7 @@
       const s = value.state;
       /** Callers know roles by their encoded names; so does the order of the rows. */
       const nodes = (): unknown =>
-        Object.values(s.roster)
+        Object.values(s.nodes)
           .map(nodeCodec.encode)
           .sort((a, b) => (a.role + a.name < b.role + b.name ? -1 : 1));
       switch (what) {
@@ -315,7 +315,7 @@
           });
         }
         case 'status': {
-          const live = order.live(s);
+          const live = agreedState.liveNodes(s);
           return json(say, 200, {
             mark: seq,
             view: value.term,
@@ -330,7 +330,7 @@
             nodes: Object.fromEntries(
               roleCodec.roles.map((role) => [roleCodec.encode(role), live.filter((x) => x.role === role).length]),
             ),
-            dead: Object.values(s.roster).length - live.length,
+            dead: Object.values(s.nodes).length - live.length,
             workers: (value.news?.workers ?? []).length,
             leaving: (value.news?.workers ?? []).filter((w) => w.leaving).length,
           });
--- a/packages/consensus/src/client.ts
+++ b/packages/consensus/src/client.ts
@@ -139,11 +139,11 @@
 };
 
 export const coreClient = {
-  open: (options: { runtime: Runtime; rpc: Rpc; towers: () => Address[] }): CoreClient => {
-    const { runtime, rpc, towers } = options;
+  open: (options: { runtime: Runtime; rpc: Rpc; coordinators: () => Address[] }): CoreClient => {
+    const { runtime, rpc, coordinators } = options;
     const client: Client = { runtime, rpc, leader: undefined, named: [], lastError: undefined };
     return {
-      request: (request, timeLeft = defaultTimeLeft) => askUntil(client, request, towers, timeLeft),
+      request: (request, timeLeft = defaultTimeLeft) => askUntil(client, request, coordinators, timeLeft),
     };
   },
 };
--- a/packages/consensus/src/confirmation.ts
+++ b/packages/consensus/src/confirmation.ts
@@ -1,6 +1,6 @@
 /** When a configuration counts as in use: the gateways confirm it (§7.2). */
 import { duration, time, type Clock, type Microseconds } from '@thornsail/runtime';
-import type { NodeEntry, Ordered } from './order.js';
+import type { NodeEntry, AgreedState } from './agreed-state.js';
 
 /** The gateways at which a configuration is not yet in use, and whether enough of them could be asked at all. */
 export type Confirmation = { ok: true } | { ok: false; gateways: string[] };
@@ -20,27 +20,27 @@
  * were alive lately: if the core is partitioned from most of them, they may be serving on without it (§7.2).
  */
 export const confirmed = (
-  state: Ordered,
+  state: AgreedState,
   now: Microseconds,
   version: number,
   usedVersion: UsedVersion,
 ): Confirmation => {
-  const gateways = Object.values(state.roster).filter((node) => node.role === 'gateway');
-  const live = gateways.filter((node) => node.standing === 'live');
+  const gateways = Object.values(state.nodes).filter((node) => node.role === 'gateway');
+  const live = gateways.filter((node) => node.status === 'live');
   // One whose address a new process has taken is gone for good.
   const mayServe = (node: NodeEntry): boolean =>
-    node.standing === 'dead' && now - node.since < goneForGood && !live.some((other) => other.place === node.place);
+    node.status === 'dead' && now - node.since < goneForGood && !live.some((other) => other.place === node.place);
   const lately = [...live, ...gateways.filter(mayServe)];
   const slow = lately.filter((node) => usedVersion(node.id) < version);
   const enough = lately.length === 0 || (lately.length - slow.length) * 2 > lately.length;
-  if (enough && !slow.some((node) => node.standing === 'live')) return { ok: true };
+  if (enough && !slow.some((node) => node.status === 'live')) return { ok: true };
   return { ok: false, gateways: slow.map((node) => node.name).sort() };
 };
 
 /** Waits until the gateways use this version of the configuration, for `confirmWithin` at most. */
 export const waitForConfirmation = async (
   clock: Clock,
-  committed: () => Ordered | undefined,
+  committed: () => AgreedState | undefined,
   version: number,
   usedVersion: UsedVersion,
 ): Promise<Confirmation> => {
--- a/packages/consensus/src/core-messages.ts
+++ b/packages/consensus/src/core-messages.ts
@@ -6,13 +6,11 @@
 import type { Address } from '@thornsail/runtime';
 import type { Push, PushResult } from './configuration.js';
 import type { RefusalCode } from './errors.js';
-import type { NodeEntry, Ordered } from './order.js';
+import type { AgreedState, JoiningNode } from './agreed-state.js';
 import type { Suspicion } from './rulings.js';
-import { nodeCodec, stateCodec } from './state-codec.js';
+import { nodeCodec, stateCodec, type EncodedJoiningNode } from './state-codec.js';
 import type { Member } from './types.js';
 
-/** A node that joins, or tells that it leaves. */
-export type JoiningNode = Omit<NodeEntry, 'standing' | 'since'> & { leaving?: boolean };
 /** A request to the coordinators. Each may be repeated safely. */
 export type CoreRequest =
   | { type: 'push'; push: Push }
@@ -25,7 +23,7 @@
 
 /** The agreed state as the leader gives it. */
 export type ReadResult<News = unknown> = {
-  state: Ordered;
+  state: AgreedState;
   term: number;
   members: Member[];
   /** What the leader adds of its own knowledge. */
@@ -33,12 +31,14 @@
   /** Whether the store group needs no further change; a leader of the release before does not say. */
   repaired?: boolean;
 };
+/** Whether a node has joined, and the newest incarnation known of it. */
+export type JoinResult = { ok: boolean; incarnation: number };
 /** What each request gives once it is agreed on. */
 export type CoreValues = {
   push: PushResult;
   read: ReadResult;
-  /** `inc` is the newest incarnation known of the node. */
-  join: { ok: boolean; inc: number };
+  /** Refused where a newer incarnation of the node is known; that one is given. */
+  join: JoinResult;
   suspect: boolean;
   'sweep-complete': boolean;
   drain: boolean;
@@ -74,16 +74,23 @@
   validate.object({ op: validate.oneOf('drain'), id: validate.string, on: validate.boolean }),
 );
 
-type EncodedJoiningNode = ReturnType<typeof nodeCodec.encode<JoiningNode>>;
+type EncodedSuspicion = { by: string; id: string; inc: number };
 /** A request as it is between nodes. */
 export type EncodedRequest =
   | { op: 'push'; push: Push }
   | { op: 'read' }
   | { op: 'join'; node: EncodedJoiningNode }
-  | { op: 'suspect'; list: Suspicion[] }
+  | { op: 'suspect'; list: EncodedSuspicion[] }
   | { op: 'swept'; mark: number }
   | { op: 'drain'; id: string; on: boolean };
 
+const encodeSuspicion = ({ watcher, id, incarnation }: Suspicion): EncodedSuspicion => ({
+  by: watcher,
+  id,
+  inc: incarnation,
+});
+const decodeSuspicion = ({ by, id, inc }: EncodedSuspicion): Suspicion => ({ watcher: by, id, incarnation: inc });
+
 const encodeRequest = (request: CoreRequest): EncodedRequest => {
   switch (request.type) {
     case 'push':
@@ -91,9 +98,9 @@
     case 'read':
       return { op: 'read' };
     case 'join':
-      return { op: 'join', node: nodeCodec.encode(request.node) };
+      return { op: 'join', node: nodeCodec.encodeJoining(request.node) };
     case 'suspect':
-      return { op: 'suspect', list: request.suspicions };
+      return { op: 'suspect', list: request.suspicions.map(encodeSuspicion) };
     case 'sweep-complete':
       return { op: 'swept', mark: request.version };
     case 'drain':
@@ -107,9 +114,9 @@
     case 'read':
       return { type: 'read' };
     case 'join':
-      return { type: 'join', node: nodeCodec.decode(encoded.node) };
+      return { type: 'join', node: nodeCodec.decodeJoining(encoded.node) };
     case 'suspect':
-      return { type: 'suspect', suspicions: encoded.list };
+      return { type: 'suspect', suspicions: encoded.list.map(decodeSuspicion) };
     case 'swept':
       return { type: 'sweep-complete', version: encoded.mark };
     case 'drain':
@@ -129,6 +136,10 @@
     ? { ok: false, why: encoded.why, mark: encoded.mark, gateways: encoded.fronts }
     : encoded;
 
+type EncodedJoinResult = { ok: boolean; inc: number };
+const encodeJoinResult = ({ ok, incarnation }: JoinResult): EncodedJoinResult => ({ ok, inc: incarnation });
+const decodeJoinResult = ({ ok, inc }: EncodedJoinResult): JoinResult => ({ ok, incarnation: inc });
+
 type EncodedReadResult = Omit<ReadResult, 'state' | 'term'> & { state: unknown; view: number };
 const encodeReadResult = ({ state, term, members, news, repaired }: ReadResult): EncodedReadResult => {
   const encoded = { state: stateCodec.encode(state), view: term, members, news };
@@ -141,10 +152,12 @@
 
 const encodeValue = (type: CoreRequest['type'], value: unknown): unknown => {
   if (type === 'push') return encodePushResult(value as PushResult);
+  if (type === 'join') return encodeJoinResult(value as JoinResult);
   return type === 'read' ? encodeReadResult(value as ReadResult) : value;
 };
 const decodeValue = (type: CoreRequest['type'], encoded: unknown): unknown => {
   if (type === 'push') return decodePushResult(encoded as EncodedPushResult);
+  if (type === 'join') return decodeJoinResult(encoded as EncodedJoinResult);
   return type === 'read' ? decodeReadResult(encoded as EncodedReadResult) : encoded;
 };
 
--- a/packages/consensus/src/core.ts
+++ b/packages/consensus/src/core.ts
@@ -11,13 +11,13 @@
 import { groupDuties } from './group-duties.js';
 import { leaderDuties } from './leader-duties.js';
 import { serveRequest, type OperationOptions } from './operations.js';
-import { order, type Ordered } from './order.js';
+import { agreedState, type AgreedState } from './agreed-state.js';
 import { rulings } from './rulings.js';
 import { stateCodec } from './state-codec.js';
 import type { Snapshot } from './types.js';
 
 /** A coordinator as it runs. */
-export type Core = { consensus: Consensus<Ordered>; close: () => void };
+export type Core = { consensus: Consensus<AgreedState>; close: () => void };
 /** The sizes of the groups, and how soon the leader acts on a failure, in microseconds. */
 export type CoreSettings = {
   /** For how long a suspicion counts. */
@@ -36,7 +36,7 @@
   durable: DurableStore;
   /** The addresses of the first coordinators; none where the group exists already. */
   founders: Address[];
-  onCommit: (version: Snapshot<Ordered>) => void;
+  onCommit: (version: Snapshot<AgreedState>) => void;
   /** What the leader adds to a read of its own knowledge. */
   news?: () => unknown;
   usedVersion?: UsedVersion;
@@ -67,12 +67,12 @@
     const settings = { ...defaultSettings, ...options.settings };
     const log = runtime.log('coordinator');
     let onAgreed = (): void => undefined;
-    const group = await consensus.open<Ordered>({
+    const group = await consensus.open<AgreedState>({
       runtime,
       rpc,
       durable,
       founders,
-      initial: order.initial(),
+      initial: agreedState.initial(),
       codec: stateCodec,
       onCommit: (version) => {
         onCommit(version);
--- a/packages/consensus/src/group-duties.ts
+++ b/packages/consensus/src/group-duties.ts
@@ -1,8 +1,8 @@
 // The leader's duties to the two groups (§3.3, §6.5): it forms the store group, and takes one step of repair after
 // another, each as soon as the one before is agreed on.
 import type { Clock, Microseconds } from '@thornsail/runtime';
-import { groups } from './groups.js';
-import { order, type NodeEntry, type Ordered } from './order.js';
+import { storeGroup } from './store-group.js';
+import { agreedState, type NodeEntry, type AgreedState } from './agreed-state.js';
 import { presence, sparesOf, spreadOver, type Presence } from './presence.js';
 import { repair, type Condition, type ReplicaGroup, type RepairStep } from './repair.js';
 import type { Consensus } from './driver.js';
@@ -15,24 +15,24 @@
   /** Takes the steps that are due, until there is none; a call while one runs makes it look once more. */
   act: () => Promise<void>;
   /** Whether the store group's last change is complete and no further one is due (§6.5). */
-  storesRepaired: (ordered: Ordered) => boolean;
+  storesRepaired: (state: AgreedState) => boolean;
 };
 type DutyOptions = {
   clock: Clock;
-  consensus: Consensus<Ordered>;
+  consensus: Consensus<AgreedState>;
   sizes: GroupSizes;
   /** How long a member is missed before a spare takes its place, in microseconds. */
   replaceAfter: Microseconds;
   log: (text: string) => void;
 };
-type Duty = (version: Snapshot<Ordered>) => Promise<boolean>;
+type Duty = (version: Snapshot<AgreedState>) => Promise<boolean>;
 
 const memberOf = (node: NodeEntry): Member => ({ id: node.id, at: node.place });
 
 /** Both groups as the repair sees them. */
 type GroupReader = {
-  stores: (ordered: Ordered) => ReplicaGroup;
-  coordinators: (ordered: Ordered, members: Member[]) => ReplicaGroup;
+  stores: (state: AgreedState) => ReplicaGroup;
+  coordinators: (state: AgreedState, members: Member[]) => ReplicaGroup;
 };
 /**
  * The leader hears the coordinators itself, and sooner than the roster says so: one that answers is not removed, and
@@ -47,23 +47,23 @@
   members: group.members.map(({ id, condition }) => ({ id, condition: conditionByContact(condition, isInTouch(id)) })),
 });
 const groupReader = (present: Presence, sizes: GroupSizes, isInTouch: (id: string) => boolean): GroupReader => {
-  const groupOf = (ordered: Ordered, members: Member[], spares: NodeEntry[], size: number): ReplicaGroup => ({
+  const groupOf = (state: AgreedState, members: Member[], spares: NodeEntry[], size: number): ReplicaGroup => ({
     members: members.map((member) => ({
       id: member.id,
-      condition: present.condition(ordered, member, spares, members.length),
+      condition: present.condition(state, member, spares, members.length),
     })),
     spares: spares.map((node) => node.id),
     size,
     settled: true,
   });
   return {
-    stores: (ordered) => {
-      const { members, mark, swept } = ordered.storeGroup;
-      const group = groupOf(ordered, members, sparesOf(ordered, 'store', members), sizes.stores);
+    stores: (state) => {
+      const { members, mark, swept } = state.storeGroup;
+      const group = groupOf(state, members, sparesOf(state, 'store', members), sizes.stores);
       return { ...group, settled: mark > 0 && swept === mark };
     },
-    coordinators: (ordered, members) => {
-      const group = groupOf(ordered, members, sparesOf(ordered, 'coordinator', members), sizes.coordinators);
+    coordinators: (state, members) => {
+      const group = groupOf(state, members, sparesOf(state, 'coordinator', members), sizes.coordinators);
       return heardDirectly(group, isInTouch);
     },
   };
@@ -72,15 +72,15 @@
 const storeFormation =
   ({ consensus, sizes }: DutyOptions): Duty =>
   async ({ state }) => {
-    const live = order.live(state, 'store').filter((node) => node.standing === 'live');
+    const live = agreedState.liveNodes(state, 'store').filter((node) => node.status === 'live');
     if (state.storeGroup.mark !== 0 || live.length < sizes.stores) return false;
     const first = spreadOver(live, []).slice(0, sizes.stores).map(memberOf);
-    await consensus.propose((ordered) => groups.form(ordered, first));
+    await consensus.propose((state) => storeGroup.form(state, first));
     return true;
   };
 
-const logStep = ({ log }: DutyOptions, role: string, ordered: Ordered, step: RepairStep): void => {
-  const name = ordered.roster[step.id]?.name ?? '';
+const logStep = ({ log }: DutyOptions, role: string, state: AgreedState, step: RepairStep): void => {
+  const name = state.nodes[step.id]?.name ?? '';
   log(`${role} ${name} (${step.id}): ${step.change} in its group, ${step.why}.`);
 };
 /** A step is judged again on the state that it changes. */
@@ -95,11 +95,11 @@
     const step = repair.next(reader.stores(state));
     if (!step) return false;
     logStep(options, 'store', state, step);
-    await options.consensus.propose((ordered) => {
-      if (!isStillNext(step, reader.stores(ordered))) return { state: ordered, result: false };
+    await options.consensus.propose((state) => {
+      if (!isStillNext(step, reader.stores(state))) return { state: state, result: false };
       return step.change === 'remove'
-        ? groups.change(ordered, { remove: step.id })
-        : groups.change(ordered, { add: memberOf(ordered.roster[step.id]!) });
+        ? storeGroup.change(state, { remove: step.id })
+        : storeGroup.change(state, { add: memberOf(state.nodes[step.id]!) });
     });
     return true;
   };
@@ -110,13 +110,13 @@
     const step = repair.next(reader.coordinators(version.state, version.members));
     if (!step) return false;
     logStep(options, 'coordinator', version.state, step);
-    await options.consensus.propose((ordered, members) => {
-      if (!isStillNext(step, reader.coordinators(ordered, members))) return { state: ordered, result: false };
+    await options.consensus.propose((state, members) => {
+      if (!isStillNext(step, reader.coordinators(state, members))) return { state: state, result: false };
       const next =
         step.change === 'remove'
           ? members.filter((member) => member.id !== step.id)
-          : [...members, memberOf(ordered.roster[step.id]!)];
-      return { state: ordered, members: next, result: true };
+          : [...members, memberOf(state.nodes[step.id]!)];
+      return { state: state, members: next, result: true };
     });
     return true;
   };
@@ -154,8 +154,8 @@
       return taken.includes(true);
     };
     return {
-      storesRepaired: (ordered) => {
-        const group = reader.stores(ordered);
+      storesRepaired: (state) => {
+        const group = reader.stores(state);
         return group.settled && repair.next(group) === undefined;
       },
       act: untilDone(once),
--- a/packages/consensus/src/leader-duties.ts
+++ b/packages/consensus/src/leader-duties.ts
@@ -3,13 +3,13 @@
 import type { Consensus } from './driver.js';
 import { consensusErrors } from './errors.js';
 import type { GroupDuties } from './group-duties.js';
-import { order, type Ordered } from './order.js';
+import { agreedState, type AgreedState } from './agreed-state.js';
 import type { Rulings } from './rulings.js';
 
 /** What the duties work on. */
 export type LeaderDutyOptions = {
   clock: Clock;
-  consensus: Consensus<Ordered>;
+  consensus: Consensus<AgreedState>;
   failures: Rulings;
   duties: GroupDuties;
   /** Told now and then, with a growing number, while a majority confirms this leader. */
@@ -33,7 +33,7 @@
   if (consensus.role() !== 'leader' || !version) return;
   for (const { entry, watchers } of failures.due(version.state)) {
     log(`${entry.name} is dead: ${watchers} watchers agree.`);
-    await consensus.propose((state) => order.dead(state, entry.id, entry.inc, clock.wall()));
+    await consensus.propose((state) => agreedState.markDead(state, entry.id, entry.incarnation, clock.wall()));
   }
 };
 
--- a/packages/consensus/src/operations.ts
+++ b/packages/consensus/src/operations.ts
@@ -1,19 +1,19 @@
 /** The operations that the coordinators serve (§3.3): each member takes requests, and the leader carries them out. */
 import type { Clock } from '@thornsail/runtime';
-import type { Push, PushResult } from './configuration.js';
+import { configuration, type Push, type PushResult } from './configuration.js';
 import { waitForConfirmation, type UsedVersion } from './confirmation.js';
 import type { CoreRequest, CoreResult } from './core-messages.js';
 import type { Consensus } from './driver.js';
 import { consensusErrors } from './errors.js';
-import { groups } from './groups.js';
+import { storeGroup } from './store-group.js';
 import type { GroupDuties } from './group-duties.js';
-import { order, type Ordered } from './order.js';
+import { agreedState, type AgreedState } from './agreed-state.js';
 import type { Rulings } from './rulings.js';
 
 /** What the operations work on. */
 export type OperationOptions = {
   clock: Clock;
-  consensus: Consensus<Ordered>;
+  consensus: Consensus<AgreedState>;
   failures: Rulings;
   duties: Pick<GroupDuties, 'storesRepaired'>;
   /** A drain never leaves fewer stores than this. */
@@ -31,9 +31,9 @@
  */
 const push = async (options: OperationOptions, request: Push): Promise<PushOutcome> => {
   const { clock, consensus, usedVersion } = options;
-  const outcome = await consensus.propose((state) => order.push(state, request, clock.wall()));
+  const outcome = await consensus.propose((state) => configuration.push(state, request, clock.wall()));
   const { index, result } = outcome;
-  const committed = (): Ordered | undefined => consensus.committed()?.state;
+  const committed = (): AgreedState | undefined => consensus.committed()?.state;
   if (!result.ok || !usedVersion || committed()?.config.value?.acknowledge === 'agreed') return outcome;
   const confirmation = await waitForConfirmation(clock, committed, result.mark, usedVersion);
   if (confirmation.ok) return outcome;
@@ -54,11 +54,11 @@
     case 'read':
       return read(options);
     case 'join':
-      return consensus.propose((state) => order.join(state, request.node, clock.wall()));
+      return consensus.propose((state) => agreedState.join(state, request.node, clock.wall()));
     case 'sweep-complete':
-      return consensus.propose((state) => groups.swept(state, request.version));
+      return consensus.propose((state) => storeGroup.swept(state, request.version));
     case 'drain':
-      return consensus.propose((state) => groups.drain(state, request.id, request.on, options.leastStores));
+      return consensus.propose((state) => storeGroup.drain(state, request.id, request.on, options.leastStores));
     case 'suspect':
       if (consensus.role() !== 'leader') throw consensusErrors.create('not-leader', { step: 'suspect' });
       options.failures.hear(request.suspicions);
--- a/packages/consensus/src/presence.ts
+++ b/packages/consensus/src/presence.ts
@@ -2,17 +2,17 @@
 // missed them by its own clock.
 import { duration, type Clock, type Microseconds } from '@thornsail/runtime';
 import type { Condition } from './repair.js';
-import { order, type NodeEntry, type NodeRole, type Ordered } from './order.js';
+import { agreedState, type NodeEntry, type NodeRole, type AgreedState } from './agreed-state.js';
 import type { Member } from './types.js';
 
-const isAlive = (entry: NodeEntry | undefined): boolean => entry !== undefined && entry.standing !== 'dead';
+const isAlive = (entry: NodeEntry | undefined): boolean => entry !== undefined && entry.status !== 'dead';
 
 /** Whether another identity has taken a member's address since: a machine that lost its disk is not the one it was. */
-export const isGone = (ordered: Ordered, member: Member): boolean => {
-  const entry = ordered.roster[member.id];
+export const isGone = (state: AgreedState, member: Member): boolean => {
+  const entry = state.nodes[member.id];
   if (isAlive(entry)) return false;
   const at = entry?.place ?? member.at;
-  return Object.values(ordered.roster).some(
+  return Object.values(state.nodes).some(
     (other) =>
       other.id !== member.id &&
       other.place === at &&
@@ -21,8 +21,8 @@
 };
 /** A spare that joined so shortly before a member was ruled dead, or after it, was started in that member's stead. */
 const successorWithin = duration.s(10);
-const hasSuccessor = (ordered: Ordered, member: Member, spares: NodeEntry[]): boolean => {
-  const entry = ordered.roster[member.id];
+const hasSuccessor = (state: AgreedState, member: Member, spares: NodeEntry[]): boolean => {
+  const entry = state.nodes[member.id];
   return entry !== undefined && spares.some((spare) => spare.since > entry.since - successorWithin);
 };
 
@@ -33,12 +33,12 @@
   return [...first, ...nodes.filter((node) => !first.includes(node))];
 };
 /** Live nodes of a role that are no members and were not asked to leave, in the order in which they should join. */
-export const sparesOf = (ordered: Ordered, role: NodeRole, members: Member[]): NodeEntry[] => {
-  const live = order.live(ordered, role).filter((node) => node.standing === 'live');
+export const sparesOf = (state: AgreedState, role: NodeRole, members: Member[]): NodeEntry[] => {
+  const live = agreedState.liveNodes(state, role).filter((node) => node.status === 'live');
   const isMember = (node: NodeEntry): boolean => members.some((member) => member.id === node.id);
   const zones = live.filter(isMember).map((node) => node.zone);
   return spreadOver(
-    live.filter((node) => !isMember(node) && !ordered.storeGroup.draining.includes(node.id)),
+    live.filter((node) => !isMember(node) && !state.storeGroup.draining.includes(node.id)),
     zones,
   );
 };
@@ -46,7 +46,7 @@
 /** The leader's view of the members of the groups. */
 export type Presence = {
   /** `spares` are those that could take the member's place, `size` is how many members there are. */
-  condition: (ordered: Ordered, member: Member, spares: NodeEntry[], size: number) => Condition;
+  condition: (state: AgreedState, member: Member, spares: NodeEntry[], size: number) => Condition;
 };
 /** Judges the conditions of members. What it remembers is lost with the process. */
 export const presence = {
@@ -59,17 +59,17 @@
       return options.clock.now() - since;
     };
     return {
-      condition: (ordered, member, spares, size) => {
-        if (isAlive(ordered.roster[member.id])) {
+      condition: (state, member, spares, size) => {
+        if (isAlive(state.nodes[member.id])) {
           silentSince.delete(member.id);
           // One whose process ends in order stays a member unless a spare is there, or the group bears more without it:
           // it may start again with its disk.
-          const ends = ordered.roster[member.id]!.standing === 'leaving' && (spares.length > 0 || size % 2 === 0);
-          return ends || ordered.storeGroup.draining.includes(member.id) ? 'leaving' : 'serving';
+          const ends = state.nodes[member.id]!.status === 'leaving' && (spares.length > 0 || size % 2 === 0);
+          return ends || state.storeGroup.draining.includes(member.id) ? 'leaving' : 'serving';
         }
-        if (isGone(ordered, member)) return 'gone';
+        if (isGone(state, member)) return 'gone';
         const waited = silentFor(member.id) > options.replaceAfter;
-        return waited || hasSuccessor(ordered, member, spares) ? 'overdue' : 'silent';
+        return waited || hasSuccessor(state, member, spares) ? 'overdue' : 'silent';
       },
     };
   },
--- a/packages/consensus/src/rulings.ts
+++ b/packages/consensus/src/rulings.ts
@@ -1,17 +1,19 @@
-// Rulings on failures (§3.2): a node is dead only when two watchers that are themselves in the roster agree about the
-// same incarnation of it.
+/**
+ * Rulings on failures (§3.2): a node is dead only when two watchers that are themselves alive agree about the same
+ * incarnation of it.
+ */
 import type { Clock, Microseconds } from '@thornsail/runtime';
-import { order, type NodeEntry, type Ordered } from './order.js';
+import { agreedState, type NodeEntry, type AgreedState } from './agreed-state.js';
 
-/** A watcher (`by`) hears nothing from the incarnation `inc` of the node `id`. */
-export type Suspicion = { by: string; id: string; inc: number };
+/** A watcher hears nothing from this incarnation of the node `id`. */
+export type Suspicion = { watcher: string; id: string; incarnation: number };
 /** The suspicions that this leader has heard lately. */
 export type Rulings = {
   hear: (list: Suspicion[]) => void;
   /** Those that are to be ruled dead, by what was heard within `suspectFor`. Each is given once. */
-  due: (ordered: Ordered) => { entry: NodeEntry; watchers: number }[];
+  due: (state: AgreedState) => { entry: NodeEntry; watchers: number }[];
 };
-type Heard = { inc: number; at: Microseconds };
+type Heard = { incarnation: number; at: Microseconds };
 
 /** Collects suspicions; each counts for `suspectFor` microseconds. */
 export const rulings = {
@@ -23,29 +25,29 @@
         if (byWatcher.size === 0) suspicions.delete(id);
       }
     };
-    const isAlive = (ordered: Ordered, id: string): boolean =>
-      ordered.roster[id] !== undefined && ordered.roster[id].standing !== 'dead';
+    const isAlive = (state: AgreedState, id: string): boolean =>
+      state.nodes[id] !== undefined && state.nodes[id].status !== 'dead';
     return {
       hear: (list) => {
         for (const suspicion of list) {
           const byWatcher = suspicions.get(suspicion.id) ?? new Map<string, Heard>();
-          byWatcher.set(suspicion.by, { inc: suspicion.inc, at: options.clock.now() });
+          byWatcher.set(suspicion.watcher, { incarnation: suspicion.incarnation, at: options.clock.now() });
           suspicions.set(suspicion.id, byWatcher);
         }
       },
-      due: (ordered) => {
+      due: (state) => {
         expire(options.clock.now());
         const out: { entry: NodeEntry; watchers: number }[] = [];
         for (const [id, byWatcher] of suspicions) {
-          const entry = ordered.roster[id];
-          if (!entry || entry.standing === 'dead') {
+          const entry = state.nodes[id];
+          if (!entry || entry.status === 'dead') {
             suspicions.delete(id);
             continue;
           }
           const agree = [...byWatcher].filter(
-            ([watcher, heard]) => heard.inc === entry.inc && isAlive(ordered, watcher),
+            ([watcher, heard]) => heard.incarnation === entry.incarnation && isAlive(state, watcher),
           );
-          if (agree.length < Math.min(2, order.live(ordered).length - 1)) continue;
+          if (agree.length < Math.min(2, agreedState.liveNodes(state).length - 1)) continue;
           suspicions.delete(id);
           out.push({ entry, watchers: agree.length });
         }
--- a/packages/consensus/src/state-codec.ts
+++ b/packages/consensus/src/state-codec.ts
@@ -6,17 +6,22 @@
 import { address } from '@thornsail/runtime';
 import { validate } from '@thornsail/rpc';
 import { isReceipts } from './configuration.js';
-import type { StoreGroup } from './groups.js';
-import type { NodeEntry, NodeRole, Ordered } from './order.js';
+import type { AgreedState, JoiningNode, NodeEntry, NodeRole, StoreGroup } from './agreed-state.js';
 import { decodeSnapshot, isEncodedSnapshot, encodeSnapshot, type EncodedSnapshot, type StateCodec } from './wire.js';
 import type { Member, Snapshot } from './types.js';
 
 /** A role by its name between nodes. */
 export type EncodedRole = 'tower' | 'keeper' | 'pilot' | 'front';
-/** An entry of the membership list in its encoded form. */
-export type EncodedNode = Omit<NodeEntry, 'role'> & { role: EncodedRole };
+/** A node in its encoded form, as an entry of the agreed state. */
+export type EncodedNode = Omit<NodeEntry, 'role' | 'incarnation' | 'status'> & {
+  role: EncodedRole;
+  inc: number;
+  standing: NodeEntry['status'];
+};
+/** A node that joins, in its encoded form. */
+export type EncodedJoiningNode = Omit<EncodedNode, 'standing' | 'since'> & { leaving?: boolean };
 /** The agreed state in its encoded form. */
-export type EncodedState = Omit<Ordered, 'roster' | 'storeGroup' | 'coordinators'> & {
+export type EncodedState = Omit<AgreedState, 'nodes' | 'storeGroup' | 'coordinators'> & {
   roster: Record<string, EncodedNode>;
   keepers: StoreGroup;
   towers: Member[];
@@ -38,18 +43,32 @@
   isEncoded: validate.oneOf(...decodedRoles.keys()),
 };
 
-const decodedRole = (encoded: EncodedRole): NodeRole => decodedRoles.get(encoded) as NodeRole;
+type Fields = Record<string, unknown>;
+type Field = [name: string, value: unknown];
+/** Another object with its fields in the same order. */
+const mapFields = (from: object, change: (name: string, value: unknown) => Field): Fields =>
+  Object.fromEntries(Object.entries(from).map(([name, value]) => change(name, value)));
+type Names = Readonly<Record<string, string>>;
+const reversed = (names: Names): Names =>
+  Object.fromEntries(Object.entries(names).map(([name, other]) => [other, name]));
+
+const encodedNodeFields: Names = { incarnation: 'inc', status: 'standing' };
+const decodedNodeFields = reversed(encodedNodeFields);
+const encodeNode = (node: JoiningNode): Fields =>
+  mapFields(node, (name, value) =>
+    name === 'role' ? [name, encodedRoles[value as NodeRole]] : [encodedNodeFields[name] ?? name, value],
+  );
+const decodeNode = (node: EncodedJoiningNode): Fields =>
+  mapFields(node, (name, value) =>
+    name === 'role' ? [name, decodedRoles.get(value as string)] : [decodedNodeFields[name] ?? name, value],
+  );
 
-/** Entries of the membership list, and the requests to join it. */
+/** Nodes of the agreed state, and the requests to join it. */
 export const nodeCodec = {
-  encode: <N extends { role: NodeRole }>(node: N): Omit<N, 'role'> & { role: EncodedRole } => ({
-    ...node,
-    role: encodedRoles[node.role],
-  }),
-  decode: <N extends { role: EncodedRole }>(node: N): Omit<N, 'role'> & { role: NodeRole } => ({
-    ...node,
-    role: decodedRole(node.role),
-  }),
+  encode: (node: NodeEntry): EncodedNode => encodeNode(node) as EncodedNode,
+  encodeJoining: (node: JoiningNode): EncodedJoiningNode => encodeNode(node) as EncodedJoiningNode,
+  decode: (node: EncodedNode): NodeEntry => decodeNode(node) as NodeEntry,
+  decodeJoining: (node: EncodedJoiningNode): JoiningNode => decodeNode(node) as JoiningNode,
   isEncoded: validate.object({
     id: validate.string,
     name: validate.string,
@@ -78,24 +97,18 @@
   }),
 });
 
-type Fields = Record<string, unknown>;
-type Field = [name: string, value: unknown];
-/** Another object with its fields in the same order. */
-const mapFields = (from: object, change: (name: string, value: unknown) => Field): Fields =>
-  Object.fromEntries(Object.entries(from).map(([name, value]) => change(name, value)));
-
-const encodedNames: Readonly<Record<string, string>> = { storeGroup: 'keepers', coordinators: 'towers' };
-const decodedNames: Readonly<Record<string, string>> = { keepers: 'storeGroup', towers: 'coordinators' };
-const encodeField = (name: string, value: unknown): Field => {
-  if (name === 'roster')
-    return [name, mapFields(value as object, (id, node) => [id, nodeCodec.encode(node as NodeEntry)])];
-  return [encodedNames[name] ?? name, value];
-};
-const decodeField = (name: string, value: unknown): Field => {
-  if (name === 'roster')
-    return [name, mapFields(value as object, (id, node) => [id, nodeCodec.decode(node as EncodedNode)])];
-  return [decodedNames[name] ?? name, value];
-};
+const encodedStateFields: Names = { nodes: 'roster', storeGroup: 'keepers', coordinators: 'towers' };
+const decodedStateFields = reversed(encodedStateFields);
+const encodeState = (state: AgreedState): Fields =>
+  mapFields(state, (name, value) => [
+    encodedStateFields[name] ?? name,
+    name === 'nodes' ? mapFields(value as object, (id, node) => [id, nodeCodec.encode(node as NodeEntry)]) : value,
+  ]);
+const decodeState = (encoded: EncodedState): Fields =>
+  mapFields(encoded, (name, value) => [
+    decodedStateFields[name] ?? name,
+    name === 'roster' ? mapFields(value as object, (id, node) => [id, nodeCodec.decode(node as EncodedNode)]) : value,
+  ]);
 
 /** A function of immutable objects that does its work once for each, and gives the same object again. */
 const oncePerObject = <From extends object, To>(work: (from: From) => To): ((from: From) => To) => {
@@ -108,18 +121,18 @@
 };
 
 /** The agreed state. Nothing is decoded before `isValid` has passed its encoded form. */
-export const stateCodec: StateCodec<Ordered> = {
+export const stateCodec: StateCodec<AgreedState> = {
   /** A version goes to several members: it is encoded once. */
-  encode: oncePerObject((state: Ordered) => mapFields(state, encodeField)),
-  decode: (encoded) => mapFields(encoded as EncodedState, decodeField) as Ordered,
+  encode: oncePerObject(encodeState),
+  decode: (encoded) => decodeState(encoded as EncodedState) as AgreedState,
   isValid: isEncodedState,
 };
 
 /** Versions of the agreed state as they are spread to all nodes (§3.5). */
 export const snapshotCodec = {
-  encode: (snapshot: Snapshot<Ordered>): EncodedSnapshot => encodeSnapshot(snapshot, stateCodec),
+  encode: (snapshot: Snapshot<AgreedState>): EncodedSnapshot => encodeSnapshot(snapshot, stateCodec),
   /** Gives the same object for the same one: readers compare by identity. */
-  decode: oncePerObject((encoded: EncodedSnapshot): Snapshot<Ordered> => decodeSnapshot(encoded, stateCodec)),
+  decode: oncePerObject((encoded: EncodedSnapshot): Snapshot<AgreedState> => decodeSnapshot(encoded, stateCodec)),
   isValid: (encoded: unknown): encoded is EncodedSnapshot =>
     isEncodedSnapshot(encoded) && stateCodec.isValid((encoded as EncodedSnapshot).state),
 };
--- a/packages/consensus/test/state-codec.test.ts
+++ b/packages/consensus/test/state-codec.test.ts
@@ -1,8 +1,8 @@
 // The agreed state and the core's messages keep the form of the release before: texts here were written by it (§3.3).
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { coreCodec, nodeCodec, order, roleCodec, snapshotCodec, stateCodec } from '@thornsail/consensus';
-import type { CoreRequest, CoreResult, EncodedSnapshot, JoiningNode, Ordered } from '@thornsail/consensus';
+import { coreCodec, nodeCodec, agreedState, roleCodec, snapshotCodec, stateCodec } from '@thornsail/consensus';
+import type { CoreRequest, CoreResult, EncodedSnapshot, JoiningNode, AgreedState } from '@thornsail/consensus';
 
 const initial =
   '{"config":{"mark":0,"raw":null,"value":null,"history":[]},"pushes":[],"roster":{},' +
@@ -36,11 +36,11 @@
     assert.is(JSON.stringify(stateCodec.encode(stateCodec.decode(encoded))), text);
   });
 test('an initial state encodes to the bytes of the release before', () => {
-  assert.is(JSON.stringify(stateCodec.encode(order.initial())), initial);
+  assert.is(JSON.stringify(stateCodec.encode(agreedState.initial())), initial);
 });
 test('a decoded state has the names of this release', () => {
   const state = stateCodec.decode(JSON.parse(formed));
-  const roles = Object.values(state.roster).map((node) => node.role);
+  const roles = Object.values(state.nodes).map((node) => node.role);
   assert.equal(roles, ['coordinator', 'store', 'agent', 'gateway', 'store']);
   assert.equal(state.storeGroup, JSON.parse(group));
   assert.not.ok('keepers' in state);
@@ -76,7 +76,7 @@
   [{ type: 'read' }, '{"op":"read"}'],
   [{ type: 'join', node }, `{"op":"join","node":${joining}}`],
   [
-    { type: 'suspect', suspicions: [{ by: 'a', id: 'front-4', inc: 2 }] },
+    { type: 'suspect', suspicions: [{ watcher: 'a', id: 'front-4', incarnation: 2 }] },
     '{"op":"suspect","list":[{"by":"a","id":"front-4","inc":2}]}',
   ],
   [{ type: 'sweep-complete', version: 7 }, '{"op":"swept","mark":7}'],
@@ -93,7 +93,7 @@
   assert.not.ok(coreCodec.isEncodedRequest({ op: 'join', node }));
 });
 
-const state = stateCodec.decode(JSON.parse(formed)) as Ordered;
+const state = stateCodec.decode(JSON.parse(formed)) as AgreedState;
 const members = [{ id: 'tower-1', at: '10.0.1.1:7101' }];
 const results: [CoreRequest, CoreResult, string][] = [
   [
@@ -114,7 +114,7 @@
   ],
   [
     { type: 'join', node },
-    { ok: true, index: 49, value: { ok: true, inc: 1 } },
+    { ok: true, index: 49, value: { ok: true, incarnation: 1 } },
     '{"ok":true,"seq":49,"value":{"ok":true,"inc":1}}',
   ],
   [
--- a/packages/data-plane/src/edge.ts
+++ b/packages/data-plane/src/edge.ts
@@ -99,8 +99,8 @@
 /** Whether the edge that claimed a key still has the turn at hand; its own word, not a clock, decides. */
 export const stillOpen = async (x: Edge, once: Once): Promise<boolean> => {
   if (once.by === x.me) return x.inFlight.has(once.turn);
-  const n = x.membership.state()?.roster[once.by];
-  if (!n || n.standing === 'dead') return false;
+  const n = x.membership.state()?.nodes[once.by];
+  if (!n || n.status === 'dead') return false;
   return x.askOpen(n.place, once.turn).catch(() => true);
 };
 const keptResult = (kept: { content?: unknown } | undefined): Done | undefined =>
--- a/packages/data-plane/src/index.ts
+++ b/packages/data-plane/src/index.ts
@@ -189,7 +189,7 @@
         clock.now() - (membership.dissemination.get(name)?.at ?? -touchWithin) < touchWithin;
       const s = membership.state();
       if (!s || fresh('core')) return true;
-      const gateways = Object.values(s.roster).filter((n) => n.role === 'gateway' && n.standing === 'live');
+      const gateways = Object.values(s.nodes).filter((n) => n.role === 'gateway' && n.status === 'live');
       const heard = (id: string): boolean => clock.now() - reports.heardOf(id) < touchWithin;
       return gateways.filter((n) => n.id === me || heard(n.id)).length * 2 > gateways.length;
     };
@@ -231,7 +231,7 @@
       const s = membership.state();
       return Math.max(
         1,
-        s ? Object.values(s.roster).filter((n) => n.role === 'gateway' && n.standing === 'live').length : 1,
+        s ? Object.values(s.nodes).filter((n) => n.role === 'gateway' && n.status === 'live').length : 1,
       );
     };
     const recall = async (id: string, say: HttpResponseWriter): Promise<void> => {
--- a/packages/data-plane/src/report.ts
+++ b/packages/data-plane/src/report.ts
@@ -65,8 +65,8 @@
     const current = (): typeof edges => {
       const state = o.membership.state();
       if (state === edges.of) return edges;
-      const all = Object.values(state?.roster ?? {});
-      const live = all.filter((n) => n.role === 'gateway' && n.standing !== 'dead');
+      const all = Object.values(state?.nodes ?? {});
+      const live = all.filter((n) => n.role === 'gateway' && n.status !== 'dead');
       return (edges = { of: state, live, paths: loadPaths.of(live, me) });
     };
     const pause = (): Microseconds => {
--- a/packages/membership/src/index.ts
+++ b/packages/membership/src/index.ts
@@ -8,13 +8,13 @@
   coreClient,
   coreCodec,
   coreRequestName,
-  order,
+  agreedState,
   roleCodec,
   snapshotCodec,
   type CoreClient,
   type NodeEntry,
   type NodeRole,
-  type Ordered,
+  type AgreedState,
   type EncodedRole,
   type EncodedSnapshot,
   type Snapshot,
@@ -29,9 +29,9 @@
   dissemination: Dissemination;
   core: CoreClient;
   failureDetector: FailureDetector;
-  state: () => Ordered | undefined;
+  state: () => AgreedState | undefined;
   mark: () => number;
-  marked: () => Snapshot<Ordered> | undefined;
+  marked: () => Snapshot<AgreedState> | undefined;
   inRoster: () => boolean;
   inc: () => number;
   /** For how long this node has known another one to be dead; 0 while it is not. By its own clock: walls may differ. */
@@ -43,7 +43,7 @@
   refresh: (timeLeft?: Microseconds) => Promise<boolean>;
   /** Further places at which a sibling may be found. */
   learn: (places: Address[]) => void;
-  onState: (fn: (s: Ordered, mark: number) => void) => void;
+  onState: (fn: (s: AgreedState, mark: number) => void) => void;
   leave: () => Promise<void>;
   close: () => void;
 };
@@ -52,7 +52,7 @@
 const encodeHello = ({ place, role }: Hello): EncodedHello => ({ place, role: role && roleCodec.encode(role) });
 const decodeHello = ({ place, role }: EncodedHello): Hello => ({ place, role: roleCodec.decode(role) ?? '' });
 /** Gives the same object for the same version: callers compare by identity. */
-const decodeOrder = (value: unknown): Snapshot<Ordered> => snapshotCodec.decode(value as EncodedSnapshot);
+const decodeOrder = (value: unknown): Snapshot<AgreedState> => snapshotCodec.decode(value as EncodedSnapshot);
 const isWorkers = validate.object({
   list: validate.arrayOf(
     validate.object({
@@ -110,13 +110,13 @@
     let lastTick = clock.now();
     let frozen = false;
     let slept = 0;
-    const marked = (): Snapshot<Ordered> | undefined => {
+    const marked = (): Snapshot<AgreedState> | undefined => {
       const item = b.get('order');
       return item && decodeOrder(item.value);
     };
-    const state = (): Ordered | undefined => marked()?.state;
+    const state = (): AgreedState | undefined => marked()?.state;
     /** Made anew only with a new state: who gets the same list can tell that nothing has changed. */
-    let roster: { of: Ordered | undefined; live: NodeEntry[]; peers: Peer[]; relays: Peer[] } = {
+    let roster: { of: AgreedState | undefined; live: NodeEntry[]; peers: Peer[]; relays: Peer[] } = {
       of: undefined,
       live: [],
       peers: [],
@@ -125,8 +125,8 @@
     const current = (): typeof roster => {
       const s = state();
       if (s === roster.of) return roster;
-      const all = s ? order.live(s) : [];
-      const peers = all.map((n) => ({ id: n.id, address: n.place, incarnation: n.inc }));
+      const all = s ? agreedState.liveNodes(s) : [];
+      const peers = all.map((n) => ({ id: n.id, address: n.place, incarnation: n.incarnation }));
       return (roster = { of: s, live: all, peers, relays: peers.filter((_, i) => all[i]!.role !== 'gateway') });
     };
     const live = (): NodeEntry[] => current().live;
@@ -137,7 +137,7 @@
     const admits = (name: string): boolean => {
       const i = name.indexOf('/');
       const s = state();
-      return i < 0 || !s || s.roster[name.slice(i + 1)]?.standing !== 'dead';
+      return i < 0 || !s || s.nodes[name.slice(i + 1)]?.status !== 'dead';
     };
     const b = dissemination.open({
       runtime,
@@ -159,7 +159,7 @@
     const core = coreClient.open({
       runtime,
       rpc,
-      towers: () => {
+      coordinators: () => {
         const v = marked();
         const from = v ? v.members.map((m) => m.at) : [];
         const said = [...known].filter(([, r]) => r === 'coordinator').map(([p]) => p);
@@ -174,14 +174,16 @@
       members: () => current().peers,
       onSuspected: (list) => {
         const v = marked();
-        const suspicions = list.map((s) => ({ by: id, id: s.id, inc: s.incarnation }));
+        const suspicions = list.map((s) => ({ watcher: id, id: s.id, incarnation: s.incarnation }));
         const request = coreCodec.encodeRequest({ type: 'suspect', suspicions });
         rpc.notifyAll(v?.members.map((m) => m.at) ?? [], coreRequestName, request);
       },
     });
     const inRoster = (): boolean => {
-      const me = state()?.roster[id];
-      return me !== undefined && me.standing !== 'dead' && me.inc === inc && (me.standing === 'leaving') === leaving;
+      const me = state()?.nodes[id];
+      return (
+        me !== undefined && me.status !== 'dead' && me.incarnation === inc && (me.status === 'leaving') === leaving
+      );
     };
     const remember = (list: Hello[]): void => {
       for (const h of list)
@@ -199,29 +201,32 @@
       remember(r.known.map(decodeHello));
       if (r.order) b.put('order', r.order.seq, r.order);
     };
-    const watchers: ((s: Ordered, mark: number) => void)[] = [];
+    const watchers: ((s: AgreedState, mark: number) => void)[] = [];
     b.onUpdate((n) => {
       if (n.name !== 'order') return;
       const v = decodeOrder(n.value);
-      remember(order.live(v.state).map((x) => ({ place: x.place, role: x.role })));
+      remember(agreedState.liveNodes(v.state).map((x) => ({ place: x.place, role: x.role })));
       b.retain(admits);
-      for (const n2 of Object.values(v.state.roster))
-        if (n2.standing !== 'dead') deadSince.delete(n2.id);
+      for (const n2 of Object.values(v.state.nodes))
+        if (n2.status !== 'dead') deadSince.delete(n2.id);
         else if (!deadSince.has(n2.id)) deadSince.set(n2.id, clock.now());
       if (deadSince.size > 1024) deadSince.delete(deadSince.keys().next().value as string);
       for (const w of watchers) w(v.state, v.index);
     });
     const join = async (): Promise<void> => {
-      const me = state()?.roster[id];
-      if (me && me.standing === 'dead' && me.inc >= inc) {
-        inc = me.inc + 1;
+      const me = state()?.nodes[id];
+      if (me && me.status === 'dead' && me.incarnation >= inc) {
+        inc = me.incarnation + 1;
         log(`was taken for dead; refutes with incarnation ${inc}.`);
       }
       const r = await core.request(
-        { type: 'join', node: { id, name: o.name, role, place: rpc.at, http: o.http, zone: o.zone, inc, leaving } },
+        {
+          type: 'join',
+          node: { id, name: o.name, role, place: rpc.at, http: o.http, zone: o.zone, incarnation: inc, leaving },
+        },
         duration.s(2),
       );
-      if (!r.value.ok) inc = Math.max(inc, r.value.inc + 1);
+      if (!r.value.ok) inc = Math.max(inc, r.value.incarnation + 1);
       if ((b.get('order')?.version ?? -1) < r.index)
         for (const p of [...core_places()]) if (await b.refresh(p, duration.ms(300))) break;
     };
@@ -288,7 +293,7 @@
       deadFor: (who) => {
         // One that the roster has forgotten was dead long before.
         const s = state();
-        if (s && !s.roster[who] && !deadSince.has(who)) deadSince.set(who, clock.now());
+        if (s && !s.nodes[who] && !deadSince.has(who)) deadSince.set(who, clock.now());
         const at = deadSince.get(who);
         return at === undefined ? 0 : clock.now() - at;
       },
--- a/programs/thornsail/src/roles.ts
+++ b/programs/thornsail/src/roles.ts
@@ -19,7 +19,7 @@
 import { membership, type Membership } from '@thornsail/membership';
 import { rpc, type Rpc } from '@thornsail/rpc';
 import { control, root, signal, type Control, type NewsResult, type SignalNode } from '@thornsail/admin-api';
-import { configuration, core, order, snapshotCodec, type Ordered, type Snapshot } from '@thornsail/consensus';
+import { configuration, core, agreedState, snapshotCodec, type AgreedState, type Snapshot } from '@thornsail/consensus';
 import { leaseVoter } from '@thornsail/leases';
 import { obeyDrain } from './drain.js';
 import { groupOf, sweepDuty } from './sweep-duty.js';
@@ -94,7 +94,7 @@
   const isMember = (id: string): boolean => members().some((x) => x.id === id);
   const hasSpare = (): boolean => {
     const s = m.state();
-    return s !== undefined && order.live(s, role).some((n) => n.standing === 'live' && !isMember(n.id));
+    return s !== undefined && agreedState.liveNodes(s, role).some((n) => n.status === 'live' && !isMember(n.id));
   };
   while (isMember(m.id) && hasSpare() && runtime.clock.now() < end) await time.sleep(runtime.clock, replacedEvery);
 };
@@ -151,7 +151,7 @@
   const read = [...m.dissemination.all('workers/'), ...m.dissemination.all('read/')];
   const newest = Math.max(-Infinity, ...read.map((x) => x.item.at));
   const s = m.state();
-  const agents = s ? order.live(s, 'agent').map((n) => n.id) : [];
+  const agents = s ? agreedState.liveNodes(s, 'agent').map((n) => n.id) : [];
   const rank = Math.max(0, agents.indexOf(m.id));
   return now - newest >= duration.ms(850) + rank * duration.ms(200);
 };
@@ -163,11 +163,11 @@
     const durable = await durableStore.open(runtime.disk, disk.failed);
     const voter = leaseVoter.open({ runtime, rpc: p });
     const here: { membership?: Membership } = {};
-    const give = (version: Snapshot<Ordered>): void => {
+    const give = (version: Snapshot<AgreedState>): void => {
       const spread = { ...version, state: configuration.forNodes(version.state) };
       here.membership?.dissemination.put('order', version.index, snapshotCodec.encode(spread));
     };
-    let last: Snapshot<Ordered> | undefined;
+    let last: Snapshot<AgreedState> | undefined;
     const c = await core.open({
       runtime,
       rpc: p,
--- a/programs/thornsail/src/sweep-duty.ts
+++ b/programs/thornsail/src/sweep-duty.ts
@@ -5,7 +5,7 @@
 import { lease } from '@thornsail/leases';
 import type { Membership } from '@thornsail/membership';
 import { sweep, type Group, type Registers, type SweepPace, type SweepResult } from '@thornsail/register-store';
-import type { Ordered } from '@thornsail/consensus';
+import type { AgreedState } from '@thornsail/consensus';
 import type { Rpc } from '@thornsail/rpc';
 
 /** Between two passes while the group stays as it is. */
@@ -23,8 +23,8 @@
   return keepers && keepers.mark > 0 ? { mark: keepers.mark, members: keepers.members } : undefined;
 };
 /** The member that sweeps after a change: the first that the roster has alive. */
-const firstMember = ({ storeGroup: keepers, roster }: Ordered): string | undefined =>
-  keepers.members.find(({ id }) => roster[id] !== undefined && roster[id].standing !== 'dead')?.id;
+const firstMember = ({ storeGroup: keepers, nodes: roster }: AgreedState): string | undefined =>
+  keepers.members.find(({ id }) => roster[id] !== undefined && roster[id].status !== 'dead')?.id;
 
 type SweepDutyOptions = {
   runtime: Runtime;
@@ -89,7 +89,7 @@
     lastFull = clock.now() - fullEvery;
     if (await pass(group, 'fill')) lastFull = clock.now();
   };
-  const isMine = (ordered: Ordered): boolean =>
+  const isMine = (ordered: AgreedState): boolean =>
     firstMember(ordered) === id || (sweepLease.holds() && clock.now() - changed.at > firstWithin);
   return {
     once: async () => {
--- a/tools/simulation/src/guards/consensus.ts
+++ b/tools/simulation/src/guards/consensus.ts
@@ -47,7 +47,7 @@
     name: 'a new identity at an address shows that the former is gone',
     rule: '12 recovery',
     file: 'consensus/src/presence.js',
-    find: "if (isGone(ordered, member)) return 'gone';",
+    find: "if (isGone(state, member)) return 'gone';",
     replacement: '',
     noticedBy: { test: 'consensus/test/presence.test.js' },
   }),
--- a/tools/simulation/src/measurement/capacity/acknowledging.ts
+++ b/tools/simulation/src/measurement/capacity/acknowledging.ts
@@ -35,7 +35,7 @@
     let client: CoreClient | undefined;
     void rpc
       .open(runtime, '10.1.0.1:1')
-      .then((p) => (client = coreClient.open({ runtime, rpc: p, towers: () => founders })));
+      .then((p) => (client = coreClient.open({ runtime, rpc: p, coordinators: () => founders })));
     await w.run(duration.s(3));
     const ask = async <R extends CoreRequest>(request: R): Promise<CoreValue<R>> => {
       let got: { value: CoreValue<R> } | undefined;
@@ -49,7 +49,10 @@
     const cut = all.slice(0, 2 * Math.round(gateways * 0.6));
     const left = all.slice(cut.length);
     const by = left.slice(0, 2).map((n) => n.id);
-    await ask({ type: 'suspect', suspicions: cut.flatMap((n) => by.map((b) => ({ by: b, id: n.id, inc: 1 }))) });
+    await ask({
+      type: 'suspect',
+      suspicions: cut.flatMap((n) => by.map((watcher) => ({ watcher, id: n.id, incarnation: 1 }))),
+    });
     await w.run(w.now() + duration.s(8));
     for (const n of left) using.set(n.id, 1);
     const body = hollowConfig(1);
--- a/tools/simulation/src/measurement/capacity/fixtures.ts
+++ b/tools/simulation/src/measurement/capacity/fixtures.ts
@@ -1,6 +1,13 @@
 // Nodes, configurations, versions and load messages of a given size, as the measurements encode them.
 import { admissionScheduler } from '@thornsail/admission-scheduler';
-import { type NodeEntry, type Ordered, type Snapshot, order, snapshotCodec } from '@thornsail/consensus';
+import {
+  type AgreedState,
+  type JoiningNode,
+  type Snapshot,
+  agreedState,
+  configuration,
+  snapshotCodec,
+} from '@thornsail/consensus';
 import type { EdgeLoad } from '@thornsail/data-plane';
 import { rpc } from '@thornsail/rpc';
 import { type Runtime, type Microseconds, duration } from '@thornsail/runtime';
@@ -29,16 +36,16 @@
   return sent[0]!;
 };
 
-export const nodeOf = (i: number): Omit<NodeEntry, 'standing' | 'since'> => {
+export const nodeOf = (i: number): JoiningNode => {
   const role = i < 19 ? (i < 3 ? 'coordinator' : 'store') : i % 2 ? 'agent' : 'gateway';
   const at = `10.${20 + (i >> 8)}.${i & 255}.7`;
   const id = `${role}-${(i * 7_919 + 0x10000).toString(16).padStart(18, 'a1b2c3d4e5f6')}`;
-  return { id, name: `${role}${i}`, role, place: `${at}:7101`, http: `${at}:7102`, zone: `z${i % 14}`, inc: 1 };
+  return { id, name: `${role}${i}`, role, place: `${at}:7101`, http: `${at}:7102`, zone: `z${i % 14}`, incarnation: 1 };
 };
 
-export const withRoster = (n: number): Ordered => {
-  let s = order.initial();
-  for (let i = 0; i < n; i++) s = order.join(s, nodeOf(i), 1_790_000_000_000_000 + i).state;
+export const withRoster = (n: number): AgreedState => {
+  let s = agreedState.initial();
+  for (let i = 0; i < n; i++) s = agreedState.join(s, nodeOf(i), 1_790_000_000_000_000 + i).state;
   return s;
 };
 
@@ -68,11 +75,11 @@
 });
 
 /** The ordered state after ten pushes, so that its history of configurations is as full as it gets. */
-export const withConfig = (s: Ordered, config: Record<string, unknown>): Ordered => {
+export const withConfig = (s: AgreedState, config: Record<string, unknown>): AgreedState => {
   let state = s;
   for (let i = 0; i < 10; i++) {
     const body = { ...config, limits: { onceKeepSeconds: 1000 + i } };
-    const r = order.push(state, { id: `change-${i}`, base: i, how: 'whole', body }, 1_790_000_000_000_000);
+    const r = configuration.push(state, { id: `change-${i}`, base: i, how: 'whole', body }, 1_790_000_000_000_000);
     if (!r.result.ok) throw new Error(JSON.stringify(r.result));
     state = r.state;
   }
@@ -81,9 +88,9 @@
 
 const members = [0, 1, 2].map((i) => ({ id: nodeOf(i).id, at: nodeOf(i).place }));
 
-export const version = (state: Ordered): Snapshot<Ordered> => ({ term: 3, index: 4711, members, state });
+export const version = (state: AgreedState): Snapshot<AgreedState> => ({ term: 3, index: 4711, members, state });
 
-export const newsOf = (v: Snapshot<Ordered>): unknown => [
+export const newsOf = (v: Snapshot<AgreedState>): unknown => [
   { name: 'order', mark: v.index, value: snapshotCodec.encode(v) },
 ];
 
--- a/tools/simulation/src/measurement/capacity/losses.ts
+++ b/tools/simulation/src/measurement/capacity/losses.ts
@@ -1,5 +1,5 @@
 // Versions for each process that is lost, and how long the coordinators take to rule it dead.
-import type { Ordered } from '@thornsail/consensus';
+import type { AgreedState } from '@thornsail/consensus';
 import { duration } from '@thornsail/runtime';
 import type { Point } from '../fit.js';
 import { hollow } from '../hollow.js';
@@ -18,8 +18,8 @@
     const before = seq();
     const begun = h.w.now();
     for (const n of gone) h.kill(n);
-    const roster = (): Ordered['roster'] => h.head()?.node?.membership.state()?.roster ?? {};
-    await h.until(() => ids.every((id) => roster()[id]?.standing === 'dead'), duration.s(20));
+    const roster = (): AgreedState['nodes'] => h.head()?.node?.membership.state()?.nodes ?? {};
+    await h.until(() => ids.every((id) => roster()[id]?.status === 'dead'), duration.s(20));
     versions.push([2 * lost, seq() - before]);
     took.push([2 * lost, duration.toMs(h.w.now() - begun)]);
   }
--- a/tools/simulation/src/measurement/capacity/state.ts
+++ b/tools/simulation/src/measurement/capacity/state.ts
@@ -1,5 +1,5 @@
 // Bytes of what nodes send whole: versions, lists of workers, loads, digests.
-import type { Ordered } from '@thornsail/consensus';
+import type { AgreedState } from '@thornsail/consensus';
 import type { EdgeLoad } from '@thornsail/data-plane';
 import type { Point } from '../fit.js';
 import { workerList } from '../hollow.js';
@@ -18,11 +18,11 @@
 import { type Part, type Slope, pick, points, slope } from './slope.js';
 
 export const state: Part = async (sizes) => {
-  const bytes = (s: Ordered): Promise<number> => frameBytes('beam.news', newsOf(version(s)));
+  const bytes = (s: AgreedState): Promise<number> => frameBytes('beam.news', newsOf(version(s)));
   const load = (l: EdgeLoad): Promise<number> => frameBytes('load', { from: nodeOf(20).id, mark: 99, load: l });
   const roster = pick(sizes, [50, 100, 200, 400, 800], [10, 20, 30, 40]);
   const few = withRoster(6);
-  const by = (k: 'classes' | 'routes' | 'services', x: number): Ordered =>
+  const by = (k: 'classes' | 'routes' | 'services', x: number): AgreedState =>
     withConfig(few, configOf({ classes: 10, routes: 10, services: 10, [k]: x }));
   const counts = pick(sizes, [50, 100, 200, 400], [12, 14, 16, 18]);
   const turns = pick(sizes, [50, 100, 200, 400, 800], [5, 10, 15, 20]);
--- a/tools/simulation/test/api.test.ts
+++ b/tools/simulation/test/api.test.ts
@@ -196,7 +196,7 @@
   f.addStore('store7', '127.77.2.7');
   await f.until(
     'the spare in the roster',
-    () => Object.values(f.process('agent-edge2').node!.membership.state()!.roster).some((n) => n.name === 'store7'),
+    () => Object.values(f.process('agent-edge2').node!.membership.state()!.nodes).some((n) => n.name === 'store7'),
     duration.s(10),
   );
   assert.is((await ask('GET')).body['state'], 'not draining');
