--- a/tools/simulation/test/docs.test.ts
+++ b/tools/simulation/test/docs.test.ts
@@ -1,5 +1,7 @@
-import { spawnSync } from 'node:child_process';
+import { execFile, spawnSync } from 'node:child_process';
 import { readFileSync, readdirSync, existsSync } from 'node:fs';
+import { createServer } from 'node:http';
+import type { AddressInfo } from 'node:net';
 import path from 'node:path';
 import { fileURLToPath, pathToFileURL } from 'node:url';
 import { test } from 'uvu';
@@ -141,9 +143,38 @@
   assert.is(lines(rows), lines(expected));
 });
 
+const commandLine = path.join(root, 'programs/thornsail/src/bin.js');
+/** The exit code of `thornsail classes` at a node that answers with a status. */
+const exitCodeFor = async (status: number): Promise<number> => {
+  const server = createServer((_request, response) =>
+    response.writeHead(status).end('{"error":"any","mark":1,"classes":{}}'),
+  );
+  await new Promise<void>((listening) => server.listen(0, '127.0.0.1', listening));
+  const at = `127.0.0.1:${(server.address() as AddressInfo).port}`;
+  const code = await new Promise<number>((ended) => {
+    const child = execFile(process.execPath, [commandLine, 'classes', '--at', at]);
+    child.on('exit', (exitCode) => ended(exitCode ?? -1));
+  });
+  server.close();
+  server.closeAllConnections();
+  return code;
+};
+test('ERRORS.md has the exit code that each status of an operator call leads to', async () => {
+  const rows = rowsOf(sectionOf(read('docs/ERRORS.md'), 'Exit codes of the command line'));
+  const statuses = rows.flatMap((row) => row[2]!.split(', ').map((status) => ({ status, code: Number(row[0]) })));
+  assert.equal(
+    rows.map((row) => row[0]),
+    ['0', '1', '2', '3', '4'],
+  );
+  const operators = sectionOf(read('docs/ERRORS.md'), 'What an operator gets');
+  for (const status of new Set([...operators.matchAll(/\| (\d{3}) \|/g)].map((match) => match[1]!)))
+    assert.ok(status === '412' || statuses.some((row) => row.status === status), `${status} has no exit code`);
+  for (const { status, code } of statuses) assert.is(await exitCodeFor(Number(status)), code, status);
+});
+
 const pagesWithCommands = ['README.md', 'docs/OPERATING.md', 'docs/RUNBOOK.md', 'docs/CONFIG.md'];
 test('every command of the pages for operators is one of the program', () => {
-  const { stdout } = spawnSync(process.execPath, [path.join(root, 'programs/thornsail/src/bin.js'), '--help'], {
+  const { stdout } = spawnSync(process.execPath, [commandLine, '--help'], {
     encoding: 'utf8',
   });
   const known = new Set([...stdout.matchAll(/^\s+`?([a-z]+)`?\s{2,}/gm)].map((match) => match[1]!));
