--- /dev/null
+++ b/tools/simulation/src/fleet/index.ts
@@ -0,0 +1,3 @@
+// A whole deployment in the simulator.
+export { fleet } from './fleet.js';
+export type { Fleet, FleetProcess } from './types.js';
--- /dev/null
+++ b/tools/simulation/src/fleet/workers.ts
@@ -0,0 +1,59 @@
+// The workers and the platform of a simulated deployment.
+import { duration } from '@thornsail/runtime';
+import {
+  standIns,
+  type Layout,
+  type Listed,
+  type Platform,
+  type RequestLog,
+  type Shape,
+  type StandIn,
+} from '@thornsail/test-harness';
+import type { World } from '../world/index.js';
+import type { Machines } from './machines.js';
+
+/** Workers by kind, in the order in which they were started. */
+export type Workers = {
+  models: StandIn[];
+  apps: StandIn[];
+  platform: Platform;
+  start: (worker: Listed, zone: string) => Promise<StandIn>;
+};
+type WorkersOptions = {
+  world: World;
+  machines: Machines;
+  shape: Shape;
+  layout: Layout;
+  requestLog: RequestLog;
+  places: { model: number; app: number };
+};
+
+const prefillPerToken = 60;
+const appTakes = duration.ms(15);
+const zones = 3;
+const ipOf = (at: string): string => at.split(':')[0]!;
+
+/** Starts all workers of the layout, and then the platform that lists them. */
+export const openWorkers = async (options: WorkersOptions): Promise<Workers> => {
+  const { world, machines, shape, layout, requestLog, places } = options;
+  const models: StandIn[] = [];
+  const apps: StandIn[] = [];
+  const start = async ({ id, at, kind }: Listed, zone: string): Promise<StandIn> => {
+    const runtime = world.runtime(machines.host(ipOf(at), zone));
+    const common = { id, at, requestLog, rand: runtime.rand };
+    const { capacity, firstToken, perToken } = shape;
+    const speed = { capacity, firstToken, perToken, perPrefill: prefillPerToken };
+    const worker =
+      kind === 'model'
+        ? await standIns.model(runtime, { ...common, ...speed, places: places.model })
+        : await standIns.app(runtime, { ...common, takes: appTakes, places: places.app });
+    (kind === 'model' ? models : apps).push(worker);
+    return worker;
+  };
+  for (const [i, worker] of layout.workers.entries()) await start(worker, `z${(i % zones) + 1}`);
+  const platform = await standIns.platform(world.runtime(machines.host(ipOf(layout.platform), 'z1')), {
+    at: layout.platform,
+    workers: layout.workers,
+  });
+  return { models, apps, platform, start };
+};
--- a/tools/simulation/src/measurement/day.ts
+++ b/tools/simulation/src/measurement/day.ts
@@ -1,7 +1,7 @@
 // A loaded deployment in the simulator, and what its scheduler did (§4).
 import { duration } from '@thornsail/runtime';
 import type { ShapeName } from '@thornsail/test-harness';
-import { type Fleet, fleet } from '../fleet.js';
+import { type Fleet, fleet } from '../fleet/index.js';
 import { sum } from '../scene.js';
 
 export const seeds = [1, 2, 3, 4];
--- a/tools/simulation/src/measurement/spread.ts
+++ b/tools/simulation/src/measurement/spread.ts
@@ -1,6 +1,6 @@
 // Changes of the configuration: from the acknowledgement to their use, and past the loss of the leader (§7.2).
 import { duration } from '@thornsail/runtime';
-import { type Fleet, fleet } from '../fleet.js';
+import { type Fleet, fleet } from '../fleet/index.js';
 import { head, mean, out, pct, row } from './table.js';
 
 export const spread = async (): Promise<void> => {
--- a/tools/simulation/src/measurement/turns.ts
+++ b/tools/simulation/src/measurement/turns.ts
@@ -1,6 +1,6 @@
 // What a turn costs in syncs, frames and ballots.
 import { duration } from '@thornsail/runtime';
-import { fleet } from '../fleet.js';
+import { fleet } from '../fleet/index.js';
 import { sum } from '../scene.js';
 import { head, out, row } from './table.js';
 
--- a/tools/simulation/src/operator-calls.ts
+++ b/tools/simulation/src/operator-calls.ts
@@ -2,7 +2,7 @@
 // acknowledged are in use.
 import { root } from '@thornsail/admin-api';
 import { type Address, type Microseconds, duration } from '@thornsail/runtime';
-import type { Fleet } from './fleet.js';
+import type { Fleet } from './fleet/index.js';
 import { gatewayAt } from './scene.js';
 
 /** Runs `fn` once `after` microseconds of simulated time have passed. */
--- a/tools/simulation/src/scenarios/budget.ts
+++ b/tools/simulation/src/scenarios/budget.ts
@@ -1,6 +1,6 @@
 // Scenario `budget` (§9.4).
 import { duration } from '@thornsail/runtime';
-import { fleet } from '../fleet.js';
+import { fleet } from '../fleet/index.js';
 import { type Scenario, finish, gatewayAt, gateways, keepers, ofLive, patch, pause, run, sum } from '../scene.js';
 
 /** A few programs driven from several edges at once, while gateways and stores fail. */
--- a/tools/simulation/src/scenarios/burst.ts
+++ b/tools/simulation/src/scenarios/burst.ts
@@ -1,7 +1,7 @@
 // Scenario `burst` (§9.4).
 import { type Microseconds, duration } from '@thornsail/runtime';
 import { classNames } from '@thornsail/test-harness';
-import { fleet } from '../fleet.js';
+import { fleet } from '../fleet/index.js';
 import { later } from '../operator-calls.js';
 import { type Scenario, finish, gatewayAt, keepers, run, settleLoad } from '../scene.js';
 
--- a/tools/simulation/src/scenarios/clocks.ts
+++ b/tools/simulation/src/scenarios/clocks.ts
@@ -1,6 +1,6 @@
 // Scenario `clocks` (§9.4).
 import { duration } from '@thornsail/runtime';
-import { fleet } from '../fleet.js';
+import { fleet } from '../fleet/index.js';
 import { type Pushed, later, operator } from '../operator-calls.js';
 import { type Scenario, finish, gatewayAt, gateways, keepers, run, serving, settleLoad, towers } from '../scene.js';
 
--- a/tools/simulation/src/scenarios/closing.ts
+++ b/tools/simulation/src/scenarios/closing.ts
@@ -1,6 +1,6 @@
 // Scenario `closing` (§9.4).
 import { type Microseconds, duration } from '@thornsail/runtime';
-import { fleet } from '../fleet.js';
+import { fleet } from '../fleet/index.js';
 import { type Scenario, finish, keepers, run, serving, settleLoad, towers } from '../scene.js';
 
 /** The faults that end a day, one after another; each is timed until all gateways serve again. */
--- a/tools/simulation/src/scenarios/config.ts
+++ b/tools/simulation/src/scenarios/config.ts
@@ -1,7 +1,7 @@
 // Scenario `config` (§9.4).
 import { root } from '@thornsail/admin-api';
 import { type Address, type Microseconds, duration } from '@thornsail/runtime';
-import { fleet } from '../fleet.js';
+import { fleet } from '../fleet/index.js';
 import { type Scenario, finish, gateways, ofLive, run, towers } from '../scene.js';
 
 /** Two operators that change the configuration at once, some of it invalid, while nodes fail. */
--- a/tools/simulation/src/scenarios/disk.ts
+++ b/tools/simulation/src/scenarios/disk.ts
@@ -1,6 +1,6 @@
 // Scenario `disk` (§9.4).
 import { duration } from '@thornsail/runtime';
-import { type Fleet, fleet } from '../fleet.js';
+import { type Fleet, fleet } from '../fleet/index.js';
 import { type Pushed, headOf, later, operator, read } from '../operator-calls.js';
 import { type Scenario, finish, gatewayAt, keepers, run, serving, settleLoad } from '../scene.js';
 
--- a/tools/simulation/src/scenarios/durable.ts
+++ b/tools/simulation/src/scenarios/durable.ts
@@ -1,7 +1,7 @@
 // Scenario `durable` (§9.4).
 import { root } from '@thornsail/admin-api';
 import { duration } from '@thornsail/runtime';
-import { fleet } from '../fleet.js';
+import { fleet } from '../fleet/index.js';
 import { type Scenario, finish, gatewayAt, ofLive, run } from '../scene.js';
 
 /** Acknowledged configurations, while coordinators lose power or disks at every moment. */
--- a/tools/simulation/src/scenarios/hold.ts
+++ b/tools/simulation/src/scenarios/hold.ts
@@ -1,6 +1,6 @@
 // Scenario `hold` (§9.4).
 import { duration } from '@thornsail/runtime';
-import { fleet } from '../fleet.js';
+import { fleet } from '../fleet/index.js';
 import { type Scenario, finish, gateways, keepers, settleLoad, sum } from '../scene.js';
 
 /** Workers with too little cache: turns are held at tool boundaries while news between edges goes missing. */
--- a/tools/simulation/src/scenarios/kept.ts
+++ b/tools/simulation/src/scenarios/kept.ts
@@ -1,6 +1,6 @@
 // Scenario `kept` (§9.4).
 import { type Address, type Microseconds, duration } from '@thornsail/runtime';
-import { fleet } from '../fleet.js';
+import { fleet } from '../fleet/index.js';
 import { type Scenario, finish, gateways, keepers, ofLive, settleLoad } from '../scene.js';
 
 /** Kept conversations, while stores are replaced and their clocks are wrong. */
--- a/tools/simulation/src/scenarios/leaving.ts
+++ b/tools/simulation/src/scenarios/leaving.ts
@@ -1,6 +1,6 @@
 // Scenario `leaving` (§9.4).
 import { type Microseconds, duration } from '@thornsail/runtime';
-import { fleet } from '../fleet.js';
+import { fleet } from '../fleet/index.js';
 import { type Scenario, edges, finish, gateways, keepers, settleLoad, towers } from '../scene.js';
 
 /** Workers that leave while the coordinators are cut off and a gateway is frozen. */
--- a/tools/simulation/src/scenarios/notrun.ts
+++ b/tools/simulation/src/scenarios/notrun.ts
@@ -1,6 +1,6 @@
 // Scenario `notrun` (§9.4).
 import { duration } from '@thornsail/runtime';
-import { fleet } from '../fleet.js';
+import { fleet } from '../fleet/index.js';
 import { type Scenario, finish, gatewayAt, gateways, patch, run } from '../scene.js';
 
 /** Too many jobs for the slots: refusals that promise "not run", next to copies with the same key. */
--- a/tools/simulation/src/scenarios/once.ts
+++ b/tools/simulation/src/scenarios/once.ts
@@ -1,6 +1,6 @@
 // Scenario `once` (§9.4).
 import { duration } from '@thornsail/runtime';
-import { fleet } from '../fleet.js';
+import { fleet } from '../fleet/index.js';
 import { type Scenario, finish, gateways, run } from '../scene.js';
 
 /** Jobs with the same key at several edges at once, whose results are lost. */
--- a/tools/simulation/src/scenarios/random.ts
+++ b/tools/simulation/src/scenarios/random.ts
@@ -1,6 +1,6 @@
 // Scenario `random` (§9.4).
 import { duration } from '@thornsail/runtime';
-import { fleet } from '../fleet.js';
+import { fleet } from '../fleet/index.js';
 import { type Scenario, finish, gatewayAt, keepers, oneToLeave, run, serving, settleLoad, towers } from '../scene.js';
 
 /** Two or three faults of any kind in one run. */
--- a/tools/simulation/src/scenarios/rolling.ts
+++ b/tools/simulation/src/scenarios/rolling.ts
@@ -1,7 +1,7 @@
 // Scenario `rolling` (§9.4).
 import { root } from '@thornsail/admin-api';
 import { type Address, duration } from '@thornsail/runtime';
-import { fleet } from '../fleet.js';
+import { fleet } from '../fleet/index.js';
 import { type Scenario, finish, gatewayAt, oneToLeave, replaceWorker, run, serving, settleLoad } from '../scene.js';
 
 /** A rolling replacement of workers, seeds, store machines and coordinators, and an added edge machine. */
--- a/tools/simulation/src/scenarios/split.ts
+++ b/tools/simulation/src/scenarios/split.ts
@@ -1,6 +1,6 @@
 // Scenario `split` (§9.4).
 import { type Address, duration } from '@thornsail/runtime';
-import { fleet } from '../fleet.js';
+import { fleet } from '../fleet/index.js';
 import { type Pushed, inUse, later, operator } from '../operator-calls.js';
 import {
   type Scenario,
--- a/tools/simulation/src/scenarios/storm.ts
+++ b/tools/simulation/src/scenarios/storm.ts
@@ -1,6 +1,6 @@
 // Scenario `storm` (§9.4).
 import { duration } from '@thornsail/runtime';
-import { fleet } from '../fleet.js';
+import { fleet } from '../fleet/index.js';
 import { type Scenario, finish, gatewayAt, patch, run, serving, settleLoad } from '../scene.js';
 
 /** Many faults of any kind in one run, under a heavier load and a rough network. */
--- a/tools/simulation/src/scenarios/streams.ts
+++ b/tools/simulation/src/scenarios/streams.ts
@@ -1,6 +1,6 @@
 // Scenario `streams` (§9.4).
 import { duration } from '@thornsail/runtime';
-import { fleet } from '../fleet.js';
+import { fleet } from '../fleet/index.js';
 import { type Scenario, finish, gateways, settleLoad } from '../scene.js';
 
 /** Workers that die within a stream, and gateways that are killed. */
--- a/tools/simulation/src/scenarios/uncut.ts
+++ b/tools/simulation/src/scenarios/uncut.ts
@@ -1,6 +1,6 @@
 // Scenario `uncut` (§9.4).
 import { type Microseconds, duration } from '@thornsail/runtime';
-import { fleet } from '../fleet.js';
+import { fleet } from '../fleet/index.js';
 import { type Scenario, finish, gateways, settleLoad } from '../scene.js';
 
 /** Changes that are part of normal operation: workers leave, a configuration changes, gateways drain. */
--- a/tools/simulation/src/scenarios/urgent.ts
+++ b/tools/simulation/src/scenarios/urgent.ts
@@ -1,6 +1,6 @@
 // Scenario `urgent` (§9.4).
 import { type Microseconds, duration } from '@thornsail/runtime';
-import { fleet } from '../fleet.js';
+import { fleet } from '../fleet/index.js';
 import { type Scenario, finish, gatewayAt, run, settleLoad } from '../scene.js';
 
 /** Urgent turns in a crowd that has borrowed their share of the slots. */
--- a/tools/simulation/src/scenarios/workers.ts
+++ b/tools/simulation/src/scenarios/workers.ts
@@ -1,7 +1,7 @@
 // Scenario `workers` (§9.4).
 import { duration } from '@thornsail/runtime';
 import type { Listed } from '@thornsail/test-harness';
-import { fleet } from '../fleet.js';
+import { fleet } from '../fleet/index.js';
 import { later } from '../operator-calls.js';
 import { type Scenario, finish, replaceWorker, run, serving, settleLoad } from '../scene.js';
 
--- a/tools/simulation/src/scene.ts
+++ b/tools/simulation/src/scene.ts
@@ -2,7 +2,7 @@
 import { duration, type Address, type Microseconds } from '@thornsail/runtime';
 import { silent, type Listed, type ShapeName, type StandIn } from '@thornsail/test-harness';
 import { root } from '@thornsail/admin-api';
-import type { Fleet } from './fleet.js';
+import type { Fleet } from './fleet/index.js';
 
 export type Outcome = { breaches: string[]; figures: Record<string, number>; hash: string };
 export type Scenario = {
