--- a/packages/consensus/src/client.ts
+++ b/packages/consensus/src/client.ts
@@ -1,10 +1,11 @@
-// How any node reaches the coordinators (§3.3): the leader it knew last, then a redirect, then the others.
+/** How any node reaches the coordinators (§3.3): the leader it knew last, then a redirect, then the others. */
 import { time, duration, type Clock, type Runtime, type Address, type Microseconds } from '@thornsail/runtime';
 import type { Rpc } from '@thornsail/rpc';
 import { coreCodec, coreRequestName } from './core-messages.js';
 import { consensusErrors } from './errors.js';
 import type { CoreRequest, CoreResult, CoreValue, EncodedResult } from './core-messages.js';
 
+/** A node's client of the coordinators. Time-outs are in microseconds. */
 export type CoreClient = {
   /**
    * Every operation may be repeated safely, so an unknown outcome is simply asked again. Throws with code
@@ -138,6 +139,7 @@
   throw consensusErrors.create('no-quorum', { step: `core.${request.type}`, cause: client.lastError });
 };
 
+/** Opens a client; `coordinators` gives the addresses known now, to which those that members name are added. */
 export const coreClient = {
   open: (options: { runtime: Runtime; rpc: Rpc; coordinators: () => Address[] }): CoreClient => {
     const { runtime, rpc, coordinators } = options;
