--- a/tools/simulation/test/docs.test.ts
+++ b/tools/simulation/test/docs.test.ts
@@ -210,6 +210,9 @@
       for (const piece of text!.split('…').filter((piece) => piece.trim().length > 3))
         assert.ok(code.includes(piece), `${title}: no log line has "${piece}"`);
     }
+    for (const [, finding] of look.matchAll(/"([^"]+)"/g))
+      for (const piece of finding!.split('…').filter((text) => text.trim().length > 3))
+        assert.ok(code.includes(piece.trim()), `${title}: nothing says "${piece}"`);
   }
 });
 /** Paths in the tree, as pages quote them. */
