--- a/tools/simulation/test/docs.test.ts
+++ b/tools/simulation/test/docs.test.ts
@@ -70,6 +70,17 @@
   for (const s of Object.keys(scenarios)) assert.ok(doc.includes(`\`${s}\``), `scenario ${s}`);
   for (const { name } of guards) assert.ok(doc.includes(name), `guard ${name}`);
 });
+test('FAILURES.md names scenarios of the platform that exist', () => {
+  const text = filesBelow('platform/test')
+    .filter((file) => !file.endsWith('.d.ts'))
+    .map(read)
+    .join('\n');
+  const names = rowsOf(sectionOf(read('docs/FAILURES.md'), 'Losses in turn, on the platform'))
+    .flatMap((row) => [...row[0]!.matchAll(/`([a-z-]+)`/g)])
+    .map((match) => match[1]!);
+  assert.ok(names.length > 5);
+  for (const name of names) assert.ok(text.includes(`'${name}'`), `the platform has no scenario ${name}`);
+});
 test('BRIEF.md names only checks that exist, and every proved row names one', () => {
   const rows = read('docs/BRIEF.md')
     .split('\n')
