--- a/packages/data-plane/src/chat.ts
+++ b/packages/data-plane/src/chat.ts
@@ -1,5 +1,4 @@
 // Carrying out a turn of a program (§5.1), a function for each stage: claim, context, admission, slot, charge, send.
-import type { RejectionReason } from '@thornsail/admission-scheduler';
 import { formats, type WorkerEntry } from '@thornsail/load-balancer';
 import { fault, invariant, duration, type HttpResponseWriter, type Microseconds } from '@thornsail/runtime';
 import type { Released } from './admission.js';
@@ -42,13 +41,13 @@
 const spent = (r: Run): Microseconds => r.x.runtime.clock.now() - r.begun;
 const left = (r: Run): Microseconds => Math.min(silenceLimit, r.p.timeLeft) - spent(r);
 /** What may be waited: the client's patience less what charging and a first token are likely to take (§4.3). */
-const quiet = (r: Run, forced = false): Microseconds => silenceLimit - spent(r) - r.x.adm.ahead(r.p.cls, forced);
+const quiet = (r: Run, forced = false): Microseconds => silenceLimit - spent(r) - r.x.adm.likelyDelay(r.p.cls, forced);
 
 /** Gives the turn up before anything was sent: the answer goes out first, the records follow. */
 const no = (r: Run, error: ErrorCode, text: string, retryAfter: number | null, ran?: Ran): 'done' => {
   const { x, p } = r;
   r.st.go('reject');
-  if (r.inTable) x.adm.end(r.turn, { tokens: null, final: false, worker: null });
+  if (r.inTable) x.adm.endTurn(r.turn, { tokens: null, final: false, worker: null });
   r.inTable = false;
   r.closing = true;
   const close = async (): Promise<void> => {
@@ -80,7 +79,7 @@
   try {
     const [kept, budgetRecord] = await Promise.all([
       p.conversation === null ? undefined : x.turnRecords.kept(p.conversation, left(r)),
-      x.adm.knows(p.program) ? undefined : x.turnRecords.budgetRecord(p.program, left(r)),
+      x.adm.knowsProgram(p.program) ? undefined : x.turnRecords.budgetRecord(p.program, left(r)),
     ]);
     if (budgetRecord && budgetRecord.turns > 0) x.tookOver(p.program);
     const messages = [...(kept?.messages ?? []), ...p.messages];
@@ -105,39 +104,39 @@
 /** The scheduler's word: now, later at this boundary, or not at all (§4). */
 const admit = (r: Run, c: Context, onHold: () => void): Promise<Released> => {
   const { x, p } = r;
-  const t = x.adm.turn(
+  const t = x.adm.admitTurn(
     {
       turn: r.turn,
       program: p.program,
       tokens: c.guess,
       timeLeft: p.timeLeft - spent(r),
-      expectedService: x.adm.expected(p.cls),
+      expectedService: x.adm.expectedService(p.cls),
       // A hold that runs out ends forced.
       patience: quiet(r, true),
       known: c.known,
     },
     onHold,
   );
-  r.say.onGone(t.gone);
-  if (r.say.gone()) t.gone();
+  r.say.onGone(t.abandon);
+  if (r.say.gone()) t.abandon();
   return t.released;
 };
-const notAdmitted = (r: Run, why: RejectionReason | 'gone'): 'done' => {
-  if (why === 'gone') return gone(r);
+const notAdmitted = (r: Run, answer: Exclude<Released, { type: 'released' }>): 'done' => {
+  if (answer.type === 'abandoned') return gone(r);
   const again = r.x.say.backoff();
-  if (why === 'program-busy') return no(r, 'turn_open', 'another turn of this program is open', again);
-  return no(r, 'full', `the table of ${why === 'turn-limit' ? 'turns' : 'programs'} is full`, again);
+  if (answer.reason === 'program-busy') return no(r, 'turn_open', 'another turn of this program is open', again);
+  return no(r, 'full', `the table of ${answer.reason === 'turn-limit' ? 'turns' : 'programs'} is full`, again);
 };
 
 const slot = async (r: Run): Promise<WorkerEntry | 'done'> => {
   const { x, p } = r;
-  const limit = Math.min(slotLimit - spent(r), p.timeLeft - spent(r) - x.adm.expected(p.cls), quiet(r));
-  const want = x.adm.slot(p.cls, { hint: r.hint, not: r.not, force: r.forced, limit });
-  r.say.onGone(want.gone);
-  const s = await want.got;
-  if (s.ok) return s.worker;
+  const limit = Math.min(slotLimit - spent(r), p.timeLeft - spent(r) - x.adm.expectedService(p.cls), quiet(r));
+  const want = x.adm.acquireSlot(p.cls, { preferred: r.hint, excluded: r.not, force: r.forced, limit });
+  r.say.onGone(want.abandon);
+  const s = await want.slot;
+  if (s.type === 'acquired') return s.worker;
   const again = x.say.backoff();
-  if (s.why === 'none') return no(r, 'no_worker', 'no model worker is there', again);
+  if (s.type === 'no-worker') return no(r, 'no_worker', 'no model worker is there', again);
   return no(r, 'busy', 'all workers of this class are taken', again);
 };
 
@@ -161,7 +160,7 @@
     if (left(r) < duration.ms(400)) return no(r, 'turn_open', 'other turns of this program hold its budget', 1);
     await untilRoom(x, p.program, p.of.budgetTokens, { left: left(r) - duration.ms(400), gone: () => r.say.gone() });
   }
-  x.adm.sawCharge(x.runtime.clock.now() - begun);
+  x.adm.observeCharge(x.runtime.clock.now() - begun);
   if (r.st.now() === 'admitted') r.st.go('charge');
   return 'again';
 };
@@ -219,14 +218,14 @@
   const lost = { actual: c.reserve, tokens: c.guess, worker: null };
   await x.turnRecords.settle(accountOf(p), r.turn, lost, Math.max(duration.ms(50), left(r))).catch(() => undefined);
   r.charged = false;
-  x.adm.end(r.turn, { tokens: null, final: false, worker: null });
+  x.adm.endTurn(r.turn, { tokens: null, final: false, worker: null });
   r.inTable = false;
   const was = r.turn;
   r.turn = `${x.me}.${x.runtime.rand.id()}`;
   x.inFlight.add(r.turn);
   x.inFlight.delete(was);
   const rel = await admit(r, c, () => undefined);
-  if (!rel.ok) return false;
+  if (rel.type !== 'released') return false;
   r.inTable = true;
   r.hint = rel.worker;
   r.st.go('again');
@@ -240,7 +239,7 @@
   r.st.go('lose');
   x.bump('lost');
   if (again && (await secondTurn(r, c))) return 'again';
-  if (r.inTable) x.adm.end(r.turn, { tokens: null, final: false, worker: null });
+  if (r.inTable) x.adm.endTurn(r.turn, { tokens: null, final: false, worker: null });
   r.inTable = false;
   if (how === 'empty') {
     const text = 'the worker was lost before its first token';
@@ -274,7 +273,7 @@
       r.inTable = false;
       return 'done';
     }
-    x.adm.bad(to.id);
+    x.adm.markUnhealthy(to.id);
     if (s.how === 'unsent') {
       r.st.go('unsent');
       elsewhere();
@@ -284,7 +283,7 @@
     if (next === 'again') r.not.add(to.id);
     return next;
   } finally {
-    x.adm.leave(to.id, r.p.cls, took);
+    x.adm.releaseSlot(to.id, r.p.cls, took);
   }
 };
 
@@ -293,11 +292,11 @@
   const c = await context(r);
   if (c === 'done') return;
   const rel = await admit(r, c, () => r.st.go('hold'));
-  if (!rel.ok) return void notAdmitted(r, rel.why);
+  if (rel.type !== 'released') return void notAdmitted(r, rel);
   r.inTable = true;
   r.st.go('admit');
   r.hint = rel.worker;
-  r.forced = rel.why === 'forced';
+  r.forced = rel.reason === 'forced';
   for (let round = 0; ; round++) {
     const to = await slot(r);
     if (to === 'done' || (await tryAt(r, c, to, round)) === 'done') return;
@@ -330,6 +329,6 @@
   } finally {
     if (!r.closing) x.inFlight.delete(r.first);
     if (r.turn !== r.first) x.inFlight.delete(r.turn);
-    if (r.inTable) x.adm.end(r.turn, { tokens: null, final: false, worker: r.at });
+    if (r.inTable) x.adm.endTurn(r.turn, { tokens: null, final: false, worker: r.at });
   }
 };
--- a/packages/data-plane/src/forward/charge.ts
+++ b/packages/data-plane/src/forward/charge.ts
@@ -49,7 +49,7 @@
   reservations.account = account;
   placement.preferred = worker;
   // The line of turns was at another edge before: that one forgets it (§4.4).
-  if (worker !== null && !edge.adm.knows(lineOf(turn))) edge.tookOver(lineOf(turn));
+  if (worker !== null && !edge.adm.knowsProgram(lineOf(turn))) edge.tookOver(lineOf(turn));
 };
 
 /** Reserves the turn's most in the program's budget, before it is sent (§5.3). */
@@ -70,7 +70,7 @@
     }
     if (result.ok) {
       charged(request, account, turn, result.budgetRecord.worker);
-      edge.adm.sawCharge(edge.runtime.clock.now() - begun);
+      edge.adm.observeCharge(edge.runtime.clock.now() - begun);
       return 'again';
     }
     if (result.why === 'spent') {
--- a/packages/data-plane/src/forward/finish.ts
+++ b/packages/data-plane/src/forward/finish.ts
@@ -111,7 +111,7 @@
   placement.excluded.add(worker.id);
   placement.preferred = null;
   // One that was asked for a version of weights may be well, and have another one.
-  if (outcome.worker && relayed.version === null) edge.adm.bad(worker.id);
+  if (outcome.worker && relayed.version === null) edge.adm.markUnhealthy(worker.id);
   const most = plan.route.maxAttempts + (outcome.worker ? extraSends : 0);
   if (placement.sends < most && requests.left(request) > leastTimeToResend) return 'again';
   // A stream that was already begun and cannot go on anywhere is cut.
@@ -144,7 +144,7 @@
     case 'unsent':
       return unsent(request, worker, outcome);
     case 'lost':
-      request.edge.adm.bad(worker.id);
+      request.edge.adm.markUnhealthy(worker.id);
       return lost(request, worker, outcome);
     case 'cut':
       return lost(request, worker, outcome);
--- a/packages/data-plane/src/forward/place.ts
+++ b/packages/data-plane/src/forward/place.ts
@@ -12,58 +12,59 @@
     return 'again';
   }
   const known = placement.preferred === null ? {} : { known: { tokens: context.prompt, worker: placement.preferred } };
-  const asked = edge.adm.turn(
+  const asked = edge.adm.admitTurn(
     {
       turn: request.id,
       program: lineOf(turn),
       tokens: context.prompt,
       timeLeft: requests.left(request),
-      expectedService: edge.adm.expected(plan.cls),
-      patience: requests.untilGivenUp(request) - edge.adm.ahead(plan.cls, true),
+      expectedService: edge.adm.expectedService(plan.cls),
+      patience: requests.untilGivenUp(request) - edge.adm.likelyDelay(plan.cls, true),
       ...known,
       ...(turn.remaining === null ? {} : { programTimeLeft: turn.remaining }),
     },
     () => request.stages.go('hold'),
   );
-  request.response.onGone(asked.gone);
+  request.response.onGone(asked.abandon);
   const released = await asked.released;
-  if (!released.ok) {
-    const { why } = released;
-    if (why === 'gone') return requests.clientGone(request);
+  if (released.type === 'abandoned') return requests.clientGone(request);
+  if (released.type === 'rejected') {
+    const { reason } = released;
     const again = requests.soon(request);
-    if (why === 'program-busy')
+    if (reason === 'program-busy')
       return requests.reject(request, 'turn_open', 'another turn of this session is open', again);
     return requests.reject(
       request,
       'full',
-      `the table of ${why === 'turn-limit' ? 'turns' : 'programs'} is full`,
+      `the table of ${reason === 'turn-limit' ? 'turns' : 'programs'} is full`,
       again,
     );
   }
   placement.scheduled = true;
   request.stages.go('admit');
-  placement.warm = placement.preferred !== null && released.why === 'ordinary';
+  placement.warm = placement.preferred !== null && released.reason === 'ordinary';
   placement.preferred = released.worker;
-  placement.forced = released.why === 'forced';
+  placement.forced = released.reason === 'forced';
   return 'again';
 };
 
 /** A worker with a free slot, waited for if need be. */
 export const takeSlot = async (request: Request): Promise<WorkerEntry | 'done'> => {
   const { edge, plan, placement } = request;
-  const asked = edge.adm.slot(plan.cls, {
-    hint: placement.preferred,
-    warm: placement.warm,
-    not: placement.excluded,
+  const asked = edge.adm.acquireSlot(plan.cls, {
+    preferred: placement.preferred,
+    preferredHasContext: placement.warm,
+    excluded: placement.excluded,
     force: placement.forced,
-    limit: Math.min(requests.untilGivenUp(request), requests.left(request)) - edge.adm.expected(plan.cls),
+    limit: Math.min(requests.untilGivenUp(request), requests.left(request)) - edge.adm.expectedService(plan.cls),
     service: placement.service,
   });
-  request.response.onGone(asked.gone);
-  const slot = await asked.got;
-  if (slot.ok) return slot.worker;
-  if (slot.why === 'gone') return requests.clientGone(request);
+  request.response.onGone(asked.abandon);
+  const slot = await asked.slot;
+  if (slot.type === 'acquired') return slot.worker;
+  if (slot.type === 'abandoned') return requests.clientGone(request);
   const again = requests.soon(request);
-  if (slot.why === 'none') return requests.reject(request, 'no_worker', 'no worker of this service is there', again);
+  if (slot.type === 'no-worker')
+    return requests.reject(request, 'no_worker', 'no worker of this service is there', again);
   return requests.reject(request, 'busy', 'all workers of this class are taken', again);
 };
--- a/packages/data-plane/src/forward/request.ts
+++ b/packages/data-plane/src/forward/request.ts
@@ -176,7 +176,7 @@
 
 const leaveScheduler = (request: Request, tokens: number | null, worker: string | null, final = false): void => {
   const { placement, edge, id } = request;
-  if (placement.scheduled) edge.adm.end(id, { tokens, final, worker });
+  if (placement.scheduled) edge.adm.endTurn(id, { tokens, final, worker });
   placement.scheduled = false;
 };
 
--- a/packages/data-plane/src/forward/send.ts
+++ b/packages/data-plane/src/forward/send.ts
@@ -95,7 +95,7 @@
   };
   return {
     head: (status, headers) => {
-      edge.adm.sawFirst(plan.cls, edge.runtime.clock.now() - sentAt, placement.forced);
+      edge.adm.observeFirstToken(plan.cls, edge.runtime.clock.now() - sentAt, placement.forced);
       if (request.stages.now() === 'sent') request.stages.go('relay');
       const version = dialect.headVersion(headers);
       // An answer never mixes two versions of weights.
@@ -170,6 +170,6 @@
     if (outcome.how === 'streamed' || outcome.how === 'answer') took = edge.runtime.clock.now() - sentAt;
     return await finish(request, worker, outcome);
   } finally {
-    edge.adm.leave(worker.id, plan.cls, took);
+    edge.adm.releaseSlot(worker.id, plan.cls, took);
   }
 };
--- a/packages/data-plane/src/index.ts
+++ b/packages/data-plane/src/index.ts
@@ -84,7 +84,13 @@
     const log = runtime.log('data-plane');
     const me = membership.id;
     const reports = report.open({ clock, rpc, membership, me, adm: () => adm, uses: () => configMark });
-    const adm: Admission = admission.open(runtime, me, reports.changed, o.plain, o.zone);
+    const adm: Admission = admission.open({
+      runtime,
+      self: me,
+      onChange: reports.changed,
+      withoutScheduler: o.plain ?? false,
+      zone: o.zone ?? '',
+    });
     const regs = registers.open({
       runtime,
       rpc,
@@ -141,13 +147,13 @@
       invariant.hold(s.config.mark > configMark, 'the configuration slipped back');
       configMark = s.config.mark;
       config = s.config.value;
-      adm.config(config);
+      adm.setConfig(config);
       log(`configuration ${configMark} is in use.`);
       reports.changed();
     };
     const takeWorkers = (): void => {
       const list = workersOf(membership.dissemination, clock.now());
-      adm.workers(list);
+      adm.setWorkers(list);
       pool.retain(new Set(list.map((w) => w.id)));
     };
     membership.onState(takeState);
@@ -371,7 +377,7 @@
         ...Object.fromEntries(Object.entries(pool.counts()).map(([k, v]) => [`connections_${k}`, v])),
         ...adm.counts(),
         in_flight: inFlight.size,
-        holding: adm.held(),
+        holding: adm.heldTurns(),
         config_mark: configMark,
         ...Object.fromEntries(Object.entries(regs.counts()).map(([k, v]) => [`register_${k}`, v])),
       }),
--- a/packages/data-plane/src/job.ts
+++ b/packages/data-plane/src/job.ts
@@ -49,18 +49,18 @@
 
 const slot = async (r: Run): Promise<WorkerEntry | 'done'> => {
   const { x, p } = r;
-  const limit = Math.min(slotLimit - spent(r), left(r) - x.adm.expected(p.cls));
-  const want = x.adm.slot(p.cls, { hint: null, not: r.not, force: false, limit });
-  r.say.onGone(want.gone);
-  const s = await want.got;
-  if (s.ok) return s.worker;
-  if (s.why === 'gone') {
+  const limit = Math.min(slotLimit - spent(r), left(r) - x.adm.expectedService(p.cls));
+  const want = x.adm.acquireSlot(p.cls, { preferred: null, excluded: r.not, force: false, limit });
+  r.say.onGone(want.abandon);
+  const s = await want.slot;
+  if (s.type === 'acquired') return s.worker;
+  if (s.type === 'abandoned') {
     r.st.go('reject');
     close(r);
     return 'done';
   }
   const again = x.say.backoff();
-  if (s.why === 'none') return no(r, 'no_worker', 'no worker of this kind is there', again);
+  if (s.type === 'no-worker') return no(r, 'no_worker', 'no worker of this kind is there', again);
   return no(r, 'busy', 'all workers of this class are taken', again);
 };
 
@@ -124,7 +124,7 @@
       left: Math.max(duration.ms(100), p.timeLeft - spent(r)),
     });
     if (!got.ok) {
-      x.adm.bad(now.id);
+      x.adm.markUnhealthy(now.id);
       r.not.add(now.id);
       if (!got.unsent) return lost(r, 'the worker was lost before its result', round === 0);
       r.st.go('unsent');
@@ -141,7 +141,7 @@
     await tell(r, got.res, body);
     return 'done';
   } finally {
-    x.adm.leave(to.id, p.cls, took);
+    x.adm.releaseSlot(to.id, p.cls, took);
   }
 };
 
--- a/packages/data-plane/src/relay.ts
+++ b/packages/data-plane/src/relay.ts
@@ -107,7 +107,7 @@
         completion: completion ?? count,
       });
     await settled;
-    adm.end(turn, { tokens, final: finish !== null && finish !== 'tool_calls', worker: x.worker });
+    adm.endTurn(turn, { tokens, final: finish !== null && finish !== 'tool_calls', worker: x.worker });
   };
   try {
     for await (const text of res.body) {
@@ -140,7 +140,7 @@
         }
         if (st.now() === 'sent') {
           st.go('relay');
-          adm.sawFirst(p.cls, clock.now() - x.sentAt, x.forced);
+          adm.observeFirstToken(p.cls, clock.now() - x.sentAt, x.forced);
         }
         content += piece.text;
         if (piece.finish !== null) finish = piece.finish;
@@ -149,7 +149,7 @@
           completion = piece.completion;
         } else if (piece.text !== '' || piece.toolCall) count += 1;
         if (piece.toolCall) mergeTools(tools, piece.data);
-        adm.grow(p.program, prompt + (completion ?? count));
+        adm.contextGrew(p.program, prompt + (completion ?? count));
         await tell(piece.data);
       }
     }
--- a/packages/data-plane/src/report.ts
+++ b/packages/data-plane/src/report.ts
@@ -70,7 +70,7 @@
       return (edges = { of: state, live, paths: loadPaths.of(live, me) });
     };
     const pause = (): Microseconds => {
-      const scarce = o.adm().waits() || [...exchange.received.values()].some((h) => waits(h.load));
+      const scarce = o.adm().hasWaitingTurns() || [...exchange.received.values()].some((h) => waits(h.load));
       return scarce ? soonestWhileWaiting : soonest;
     };
     const put = (): void => {
@@ -109,7 +109,7 @@
       const now = clock.now();
       lastTaken = now;
       const fresh = [...newest()].filter(([, h]) => now - h.at < forgetAfter);
-      o.adm().siblings(fresh.map(([id, h]) => ({ ...h.load, id })));
+      o.adm().setPeerLoads(fresh.map(([id, h]) => ({ ...h.load, id })));
     };
     const soon = (): void => {
       if (gathering) return;
--- a/tools/simulation/src/guards/data-plane.ts
+++ b/tools/simulation/src/guards/data-plane.ts
@@ -7,13 +7,13 @@
     name: 'a hold leaves room for a slow first token',
     rule: '2 hold',
     file: 'data-plane/src/relay.js',
-    find: 'adm.sawFirst(p.cls, clock.now() - x.sentAt, x.forced);',
+    find: 'adm.observeFirstToken(p.cls, clock.now() - x.sentAt, x.forced);',
     replacement: '',
     noticedBy: { scenario: 'hold', from: 2, to: 2 },
     also: [
       {
-        file: 'data-plane/src/admission.js',
-        find: 'forcedFirsts.get(cls)?.likely() ?? expected(cls)',
+        file: 'data-plane/src/admission/service-times.js',
+        find: 'forcedFirstTokens.get(className)?.likely() ?? expectedService(className)',
         replacement: '0',
       },
     ],
@@ -122,7 +122,7 @@
     find: "throw fault.make({ step: 'relay', sibling: x.worker }, 'the stream ended without its end marker');",
     replacement:
       "st.go('end'); say.end('id: 999\\ndata: [DONE]\\n\\n');" +
-      " adm.end(turn, { tokens: null, final: false, worker: null }); return 'done';",
+      " adm.endTurn(turn, { tokens: null, final: false, worker: null }); return 'done';",
     noticedBy: { test: 'simulation/test/streams.test.js' },
   }),
   guard({
--- a/tools/simulation/src/guards/load-balancer.ts
+++ b/tools/simulation/src/guards/load-balancer.ts
@@ -62,8 +62,8 @@
       },
       { file: 'load-balancer/src/class-shares.js', find: 'if (ownReserve > 0)', replacement: 'if (false)' },
       {
-        file: 'data-plane/src/admission.js',
-        find: 'Number(config?.classes[b]?.urgent ?? false) - Number(config?.classes[a]?.urgent ?? false)',
+        file: 'data-plane/src/admission/slot-queue.js',
+        find: 'urgency(b) - urgency(a)',
         replacement: '0',
       },
     ],
--- a/tools/simulation/src/measurement/capacity/messages.ts
+++ b/tools/simulation/src/measurement/capacity/messages.ts
@@ -34,8 +34,15 @@
       const adm = n.node?.dataPlane?.admission;
       const worker = adm?.worker('worker-00000');
       if (!adm || !worker) continue;
-      if (i % 2) adm.leave(worker.id, 'chat', null);
-      else void adm.slot('chat', { hint: worker.id, not: new Set(), force: true, limit: 0, service: 'model-0' });
+      if (i % 2) adm.releaseSlot(worker.id, 'chat', null);
+      else
+        void adm.acquireSlot('chat', {
+          preferred: worker.id,
+          excluded: new Set(),
+          force: true,
+          limit: 0,
+          service: 'model-0',
+        });
     }
   };
   for (let i = 0; i * every < stirred * 1000; i++) h.w.scheduleAt(h.w.now() + i * duration.ms(every), () => step(i));
--- a/tools/simulation/src/measurement/capacity/processor.ts
+++ b/tools/simulation/src/measurement/capacity/processor.ts
@@ -110,7 +110,7 @@
       ...loadOf(i + 1, 763, Math.round(edges * 31.6)),
       id: `e${i}`,
     }));
-    return cpuOf(() => adm.siblings(l), 10);
+    return cpuOf(() => adm.setPeerLoads(l), 10);
   };
   const turns = pick(sizes, [1000, 4000, 8000, 16_000], [50, 100, 150, 200]);
   const workers = pick(sizes, [1500, 3000, 6000, 12_000], [50, 100, 150, 200]);
--- a/tools/simulation/test/load.test.ts
+++ b/tools/simulation/test/load.test.ts
@@ -50,7 +50,12 @@
   return h!;
 };
 const begin = (n: HollowNode): void =>
-  void n.node!.dataPlane!.admission.slot('chat', { hint: worker, not: new Set(), force: true, limit: 0 });
+  void n.node!.dataPlane!.admission.acquireSlot('chat', {
+    preferred: worker,
+    excluded: new Set(),
+    force: true,
+    limit: 0,
+  });
 /** Turns that an edge takes to be running at the worker, at all edges. */
 const runningSeenBy = (n: HollowNode): number => n.node!.dataPlane!.admission.runningAt(worker);
 
@@ -84,8 +89,8 @@
   for (let slot = 0; slot < 24; slot++) begin(gateways[2]!);
   await h.run(duration.s(1));
   const waiting = gateways[3]!.node!.dataPlane!.admission;
-  waiting.slot('chat', { hint: null, not: new Set(), force: false, limit: duration.s(60) });
-  assert.ok(waiting.waits(), 'a turn waits');
+  waiting.acquireSlot('chat', { preferred: null, excluded: new Set(), force: false, limit: duration.s(60) });
+  assert.ok(waiting.hasWaitingTurns(), 'a turn waits');
   await h.run(duration.s(2));
   for (const n of [0, 11, 23]) {
     const took = await untilKnown(h, gateways[n]!);
@@ -110,7 +115,7 @@
   h.clear();
   for (let step = 0; step < span * 10; step++) {
     if (step % 2 === 0) for (const n of h.of('gateway')) begin(n);
-    else for (const n of h.of('gateway')) n.node!.dataPlane!.admission.leave(worker, 'chat', null);
+    else for (const n of h.of('gateway')) n.node!.dataPlane!.admission.releaseSlot(worker, 'chat', null);
     await h.run(duration.ms(100));
   }
   /** Messages a second at a node of a role, in the mean. */
