--- a/packages/data-plane/src/forward/kept.ts
+++ b/packages/data-plane/src/forward/kept.ts
@@ -72,7 +72,7 @@
           const next = was ?? turn;
           if (!next || (was && promised >= w.max + span)) return { keep: true, result: was };
           const value = { ...next, until: Math.max(promised, w.max + 2 * span) };
-          return { held: { value, until: value.until }, result: value };
+          return { stored: { value, expiresAt: value.until }, result: value };
         },
         left,
         { fresh: turn !== undefined },
--- a/packages/data-plane/src/index.ts
+++ b/packages/data-plane/src/index.ts
@@ -97,7 +97,7 @@
       by: me,
       group: () => {
         const k = membership.state()?.storeGroup;
-        return k && k.mark > 0 ? { mark: k.mark, members: k.members } : undefined;
+        return k && k.mark > 0 ? { version: k.mark, members: k.members } : undefined;
       },
     });
     const c: Record<string, number> = {
--- a/packages/data-plane/src/turn-records.ts
+++ b/packages/data-plane/src/turn-records.ts
@@ -3,7 +3,7 @@
 import type { Config } from '@thornsail/config-schema';
 import { tokenBudget, type BudgetRecord } from '@thornsail/token-budget';
 import { fault, time, duration, type Runtime, type Microseconds } from '@thornsail/runtime';
-import type { Registers, Walls, Write } from '@thornsail/register-store';
+import type { Registers, WallClocks, Write } from '@thornsail/register-store';
 import type { Plan } from './plan.js';
 
 export type Chat = Plan & { kind: 'chat' };
@@ -105,7 +105,7 @@
       conv: (id: string): string => `conv/${id}`,
     };
     /** A shorter keeping time pushed meanwhile does not cut what was promised. */
-    const until = (w: Walls, promised: Microseconds, secs: number): Microseconds =>
+    const until = (w: WallClocks, promised: Microseconds, secs: number): Microseconds =>
       Math.max(promised, w.max + duration.s(secs));
     /** Changes a value that must be there and this turn's; otherwise leaves it as it is. */
     const onceChange = (k: Key, turn: string, fn: (was: Once) => Once, left: Microseconds): Promise<void> =>
@@ -115,12 +115,15 @@
           const was = v as Once | undefined;
           return was?.turn !== turn
             ? { keep: true, result: undefined }
-            : { held: { value: fn(was), until: until(w, promised, o.limits().onceKeepSeconds) }, result: undefined };
+            : {
+                stored: { value: fn(was), expiresAt: until(w, promised, o.limits().onceKeepSeconds) },
+                result: undefined,
+              };
         },
         left,
       );
     /** A budget is remembered at least as long as the program's conversation can be resumed. */
-    const budgetRecordUntil = (a: Account, w: Walls, promised: Microseconds): Microseconds =>
+    const budgetRecordUntil = (a: Account, w: WallClocks, promised: Microseconds): Microseconds =>
       until(w, promised, Math.max(o.limits().programKeepSeconds, a.keepSeconds));
     const changeBudgetRecord = (
       a: Account,
@@ -133,7 +136,7 @@
           const next = fn(v as BudgetRecord | undefined);
           return next === v || next === undefined
             ? { keep: true, result: undefined }
-            : { held: { value: next, until: budgetRecordUntil(a, w, promised) }, result: undefined };
+            : { stored: { value: next, expiresAt: budgetRecordUntil(a, w, promised) }, result: undefined };
         },
         left,
       );
@@ -146,7 +149,7 @@
             if (was && was.turn !== turn) return { keep: true, result: { ok: false, once: was } };
             const once: Once = { by: me, at: w.max, turn, done: null, sum: k.sum };
             return {
-              held: { value: once, until: until(w, promised, o.limits().onceKeepSeconds) },
+              stored: { value: once, expiresAt: until(w, promised, o.limits().onceKeepSeconds) },
               result: { ok: true },
             };
           },
@@ -160,7 +163,7 @@
         if (quiet > 0) await time.sleep(runtime.clock, quiet);
         const free = (v: unknown): Write<void> =>
           (v as Once | undefined)?.turn === turn
-            ? { held: null, result: undefined }
+            ? { stored: null, result: undefined }
             : { keep: true, result: undefined };
         await regs.change<void>(keys.once(k), free, duration.s(2)).catch(() => undefined);
       },
@@ -187,7 +190,7 @@
             if (r.type !== 'charged')
               return { keep: true, result: { ok: false, why: r.type === 'exhausted' ? 'spent' : 'open' } };
             const result: Charged = { ok: true, budgetRecord: r.record };
-            return { held: { value: r.record, until: budgetRecordUntil(a, w, promised) }, result };
+            return { stored: { value: r.record, expiresAt: budgetRecordUntil(a, w, promised) }, result };
           },
           left,
           { fresh: a.fresh === true, past: a.past ?? 0 },
@@ -218,7 +221,7 @@
               marks: [...was.marks, mark].slice(-marksKept),
               ends: [...(was.ends ?? was.marks.map(() => -1)), messages.length].slice(-marksKept),
             };
-            return { held: { value: next, until: until(w, promised, p.of.keepSeconds) }, result: true };
+            return { stored: { value: next, expiresAt: until(w, promised, p.of.keepSeconds) }, result: true };
           },
           left,
         );
@@ -238,7 +241,7 @@
             if (was.marks.includes(mark) || was.fenced?.includes(mark))
               return { keep: true, result: replyOf(was, mark) };
             const next: Kept = { ...was, fenced: [...(was.fenced ?? []), mark].slice(-fencedKept) };
-            return { held: { value: next, until: until(w, promised, p.of.keepSeconds) }, result: undefined };
+            return { stored: { value: next, expiresAt: until(w, promised, p.of.keepSeconds) }, result: undefined };
           },
           left,
         );
--- a/packages/durable-files/src/batch-writer.ts
+++ b/packages/durable-files/src/batch-writer.ts
@@ -53,7 +53,7 @@
   reservation: BatchReservation,
   onBatch: () => void,
 ): BatchWriter<T> => {
-  const { disk, limits, next } = folder;
+  const { disk, limits, next, codec } = folder;
   let pending: Pending<T> = new Map();
   let committing = false;
   const take = (): Pending<T> => takeBatch(pending, limits.batchBytes);
@@ -86,7 +86,7 @@
         const former = pending.get(key);
         pending.set(key, {
           value,
-          line: recordFormat.batchLine(key, value),
+          line: recordFormat.batchLine(key, value, codec),
           resolve: [...(former?.resolve ?? []), resolve],
           reject: [...(former?.reject ?? []), reject],
         });
--- a/packages/durable-files/src/compaction.ts
+++ b/packages/durable-files/src/compaction.ts
@@ -20,7 +20,7 @@
 };
 
 /** The records of these files that are the newest of their key, without removals that nothing needs any more. */
-const selectNeeded = <T>(table: RecordTable<T>, files: RecordFile[]): Moved<T> => {
+const selectNeeded = <T>({ table, codec }: RecordFolder<T>, files: RecordFile[]): Moved<T> => {
   const older = countOlder(table, files);
   const moved: Moved<T> = new Map();
   for (const file of files)
@@ -29,7 +29,7 @@
       if (record?.file !== file) continue;
       if (isTombstone(record) && record.olderVersions <= (older.get(key) ?? 0)) continue;
       const { batch, value } = record;
-      const line = recordFormat.baseLine<T>(value === undefined ? { key, batch } : { key, batch, value });
+      const line = recordFormat.baseLine<T>(value === undefined ? { key, batch } : { key, batch, value }, codec);
       moved.set(key, { record, line, from: file });
     }
   return moved;
@@ -60,7 +60,7 @@
 /** Copies what is needed of some files into one base file; in effect with that file's name, all at once. */
 const compactFiles = async <T>(folder: RecordFolder<T>, compacted: RecordFile[]): Promise<void> => {
   const { disk, table, next } = folder;
-  const moved = selectNeeded(table, compacted);
+  const moved = selectNeeded(folder, compacted);
   const baseNumber = next.base++;
   const lastMergedBatch = Math.max(
     ...compacted.filter(({ kind }) => kind === 'batch').map(({ number }) => number),
--- a/packages/durable-files/src/legacy-documents.ts
+++ b/packages/durable-files/src/legacy-documents.ts
@@ -6,12 +6,12 @@
 type Piece<T> = { key: string; value: T; line: string }[];
 
 /** Splits the records into pieces of at most `pieceBytes`, one record at least. */
-const splitIntoPieces = <T>(records: ReadonlyMap<string, T>, pieceBytes: number): Piece<T>[] => {
+const splitIntoPieces = <T>({ limits, codec }: RecordFolder<T>, records: ReadonlyMap<string, T>): Piece<T>[] => {
   const pieces: Piece<T>[] = [];
   let bytes = Infinity;
   for (const [key, value] of records) {
-    const line = recordFormat.baseLine({ key, batch: 0, value });
-    if (bytes + line.length > pieceBytes) {
+    const line = recordFormat.baseLine({ key, batch: 0, value }, codec);
+    if (bytes + line.length > limits.pieceBytes) {
       pieces.push([]);
       bytes = 0;
     }
@@ -23,8 +23,8 @@
 
 /** Writes the records into base files; none is in effect before the last one exists. Fails as `Disk.put` does. */
 export const moveLegacyRecords = async <T>(folder: RecordFolder<T>, records: ReadonlyMap<string, T>): Promise<void> => {
-  const { disk, limits, table, next } = folder;
-  const pieces = splitIntoPieces(records, limits.pieceBytes);
+  const { disk, table, next } = folder;
+  const pieces = splitIntoPieces(folder, records);
   const first = next.base;
   for (const [i, piece] of pieces.entries()) {
     const baseFiles = i === pieces.length - 1 ? pieces.map((_, j) => first + j) : [];
--- a/packages/durable-files/src/record-folder.ts
+++ b/packages/durable-files/src/record-folder.ts
@@ -1,13 +1,14 @@
 /** What the modules of one folder of records share. */
 import type { Disk } from '@thornsail/runtime';
 import type { Limits } from './limits.js';
-import { recordFormat, type BaseHeader, type RecordFileKind } from './record-format.js';
+import { recordFormat, type BaseHeader, type RecordFileKind, type ValueCodec } from './record-format.js';
 import type { RecordTable } from './record-table.js';
 
 /** One folder of records. */
 export type RecordFolder<T> = {
   disk: Disk;
   limits: Limits;
+  codec: ValueCodec<T>;
   table: RecordTable<T>;
   /** The numbers of the next files. */
   next: Record<RecordFileKind, number>;
--- a/packages/durable-files/src/record-format.ts
+++ b/packages/durable-files/src/record-format.ts
@@ -14,6 +14,8 @@
 
 /** A base header on disk. */
 type HeaderDocument = { upTo: number; parts: number[] };
+/** How values stand in files, where that differs from their form in memory. */
+export type ValueCodec<T> = { encode: (value: T) => unknown; decode: (stored: unknown) => T };
 const filePrefixes: Record<RecordFileKind, string> = { batch: 'b', base: 'base' };
 const fileNumber = /^\d{12}$/;
 const format = checksummedFormat((content) => crc32(content));
@@ -44,16 +46,16 @@
     return { lastMergedBatch: upTo, baseFiles: parts };
   },
   /** A line of a batch file, whose number is that of all its records; no value if the key was removed. */
-  batchLine: <T>(key: string, value: T | undefined): string =>
-    JSON.stringify(value === undefined ? [key] : [key, value]),
-  readBatchLine: <T>(line: string, batch: number): StoredRecord<T> => {
-    const [key, value] = JSON.parse(line) as [string, T?];
-    return storedRecord(key, batch, value);
+  batchLine: <T>(key: string, value: T | undefined, codec: ValueCodec<T>): string =>
+    JSON.stringify(value === undefined ? [key] : [key, codec.encode(value)]),
+  readBatchLine: <T>(line: string, batch: number, codec: ValueCodec<T>): StoredRecord<T> => {
+    const [key, value] = JSON.parse(line) as [string, unknown?];
+    return storedRecord(key, batch, value === undefined ? undefined : codec.decode(value));
   },
-  baseLine: <T>({ key, batch, value }: StoredRecord<T>): string =>
-    JSON.stringify(value === undefined ? [key, batch] : [key, batch, value]),
-  readBaseLine: <T>(line: string): StoredRecord<T> => {
-    const [key, batch, value] = JSON.parse(line) as [string, number, T?];
-    return storedRecord(key, batch, value);
+  baseLine: <T>({ key, batch, value }: StoredRecord<T>, codec: ValueCodec<T>): string =>
+    JSON.stringify(value === undefined ? [key, batch] : [key, batch, codec.encode(value)]),
+  readBaseLine: <T>(line: string, codec: ValueCodec<T>): StoredRecord<T> => {
+    const [key, batch, value] = JSON.parse(line) as [string, number, unknown?];
+    return storedRecord(key, batch, value === undefined ? undefined : codec.decode(value));
   },
 };
--- a/packages/durable-files/src/record-loader.ts
+++ b/packages/durable-files/src/record-loader.ts
@@ -15,7 +15,7 @@
 
 /** Reads the base files in effect; undefined if one is missing or damaged. */
 const loadBases = async <T>(folder: RecordFolder<T>, files: string[]): Promise<BaseHeader | undefined> => {
-  const { table, next } = folder;
+  const { table, next, codec } = folder;
   const last = recordFormat.fileNumbers(files, 'base').pop();
   next.base = (last ?? 0) + 1;
   if (last === undefined) return { lastMergedBatch: 0, baseFiles: [] };
@@ -27,14 +27,14 @@
     const lines = await readLines(folder, 'base', number);
     if (!lines) isValid = false;
     const file = table.addFile('base', number);
-    for (const line of lines?.slice(1) ?? []) table.add(recordFormat.readBaseLine<T>(line), file, line.length);
+    for (const line of lines?.slice(1) ?? []) table.add(recordFormat.readBaseLine(line, codec), file, line.length);
   });
   return isValid ? header : undefined;
 };
 
 /** Reads the batches of these numbers; gives those files that exist, and whether each is empty. */
 const readBatches = async <T>(folder: RecordFolder<T>, batches: number[]): Promise<Map<number, { empty: boolean }>> => {
-  const { disk, table } = folder;
+  const { disk, table, codec } = folder;
   const found = new Map<number, { empty: boolean }>();
   await forEachConcurrent(batches, filesAtOnce, async (batch) => {
     const raw = await disk.get(recordFormat.fileName('batch', batch));
@@ -42,7 +42,7 @@
     found.set(batch, { empty: raw === '' });
     if (!lines) return;
     const file = table.addFile('batch', batch);
-    for (const line of lines) table.add(recordFormat.readBatchLine<T>(line, batch), file, line.length);
+    for (const line of lines) table.add(recordFormat.readBatchLine(line, batch, codec), file, line.length);
   });
   return found;
 };
--- a/packages/durable-files/src/record-store.ts
+++ b/packages/durable-files/src/record-store.ts
@@ -9,6 +9,7 @@
 import { moveLegacyRecords, removeLegacyDocuments } from './legacy-documents.js';
 import { checkedLimits, type Limits } from './limits.js';
 import type { RecordFolder } from './record-folder.js';
+import type { ValueCodec } from './record-format.js';
 import { loadRecords } from './record-loader.js';
 import { openRecordTable, type RecordIndex } from './record-table.js';
 
@@ -19,7 +20,7 @@
   /** As `write`: a removal is a record, too. */
   remove: (key: string) => Promise<void>;
   /** A record of the form before batches, one document each; to be given before `load`. */
-  addLegacy: (key: string, value: T) => void;
+  addLegacy: (key: string, stored: unknown) => void;
   /** Reads the folder; false if it is damaged (§6.1). */
   load: () => Promise<boolean>;
   /** Forgets everything, after the folder was erased. */
@@ -34,13 +35,18 @@
   /** What the names of documents of the former form begin with. */
   prefix: string;
   limits?: Partial<Limits>;
+  /** As they are, unless it is given. */
+  codec?: ValueCodec<T>;
 };
 
-const open = <T>({ durable, index, prefix, limits }: RecordStoreOptions<T>): RecordStore<T> => {
+const plainCodec = <T>(): ValueCodec<T> => ({ encode: (value) => value, decode: (stored) => stored as T });
+
+const open = <T>({ durable, index, prefix, limits, codec }: RecordStoreOptions<T>): RecordStore<T> => {
   const { disk } = durable;
   const folder: RecordFolder<T> = {
     disk,
     limits: checkedLimits(limits),
+    codec: codec ?? plainCodec<T>(),
     table: openRecordTable(index),
     next: { batch: 1, base: 1 },
     counters: { batches: 0, records: 0, merges: 0 },
@@ -64,7 +70,7 @@
   return {
     write: writer.write,
     remove: (key) => writer.write(key, undefined),
-    addLegacy: (key, value) => void legacy.set(key, value),
+    addLegacy: (key, stored) => void legacy.set(key, folder.codec.decode(stored)),
     load,
     clear: () => {
       table.clear();
--- a/packages/register-store/src/index.ts
+++ b/packages/register-store/src/index.ts
@@ -1,4 +1,8 @@
-export { store, grace, type Store } from './store.js';
-export { ballot, type Ballot, type Copy, type Group, type Held, type Keep } from './messages.js';
-export { registers, type Registers, type Walls, type Write } from './registers.js';
+export { ballot, type Ballot } from './ballot.js';
+export type { ChangeOptions, Decide, Write } from './change.js';
+export { registerErrors } from './errors.js';
+export { registers, type Registers } from './registers.js';
+export { store, type Store, type StoreCounts } from './store.js';
 export { sweep, type SweepPace, type SweepResult } from './sweep.js';
+export type { Group, Member, Replica, StoredValue, WallClocks } from './types.js';
+export { encodeGroup, type WireGroup, type WireReplica, type WireValue } from './wire.js';
--- a/packages/register-store/src/proposer.ts
+++ b/packages/register-store/src/proposer.ts
@@ -1,19 +1,12 @@
-// What the parts of a proposer share (§6.2): attempts with a growing pause, what a majority says, reads.
-import { fault, hash, time, duration, type Runtime, type Microseconds } from '@thornsail/runtime';
+/** What the operations of a proposer share (§6.2), and attempts with backoff. */
+import { duration, hash, lock, time, type Microseconds, type Runtime } from '@thornsail/runtime';
 import type { Rpc } from '@thornsail/rpc';
-import { remembered, type Remembered, type Walls } from './known.js';
-import { majority, type Asked, type Good, type Members } from './members.js';
-import {
-  ballot,
-  untilOf,
-  type Ballot,
-  type Group,
-  type Held,
-  type Keep,
-  type ReadReply,
-  type Seen,
-} from './messages.js';
+import { registerErrors } from './errors.js';
+import { openGroupClient, type GroupClient, type GroupClientOptions } from './group-client.js';
+import type { Group } from './types.js';
+import { openValueCache, type ValueCache } from './value-cache.js';
 
+/** How often a proposer did what. */
 export type Counts = {
   rounds: number;
   quick: number;
@@ -27,126 +20,83 @@
   openings: number;
   opened: number;
 };
+/** What the operations of a proposer share. */
 export type Proposer = {
   runtime: Runtime;
   rpc: Rpc;
-  members: Members;
-  cache: Remembered;
-  /** In every ballot and every op: short, and of no other proposer before or after. */
-  me: string;
-  c: Counts;
+  stores: GroupClient;
+  cache: ValueCache;
+  /** In every ballot and every operation: short, and of no other proposer before or after. */
+  id: string;
+  /** A name for a change. */
+  nextOperation: () => string;
+  /** One operation at a time for each key. */
+  exclusive: <T>(key: string, work: () => Promise<T>) => Promise<T>;
+  counts: Counts;
 };
-export const proposer = (o: { runtime: Runtime; rpc: Rpc; by: string; members: Members }): Proposer => ({
-  runtime: o.runtime,
-  rpc: o.rpc,
-  members: o.members,
-  cache: remembered(),
-  me: hash.of(o.by).toString(36) + o.runtime.rand.id().slice(0, 10),
-  c: {
-    rounds: 0,
-    quick: 0,
-    conflicts: 0,
-    mended: 0,
-    reads: 0,
-    done: 0,
-    reserved: 0,
-    extended: 0,
-    fetched: 0,
-    openings: 0,
-    opened: 0,
-  },
-});
 
-const askWithin = duration.ms(400);
-/** `again` at once, or nothing yet: then after a pause. */
-type Attempt<R> = { result: R } | 'again' | undefined;
-/** Repeats `once` until it gives a result, or the time is over; the pause grows, and differs by chance. */
-export const attempts = async <R>(
-  x: Proposer,
-  o: { step: string; what: string; end: Microseconds },
-  once: (g: Group, round: number, left: Microseconds) => Promise<Attempt<R>>,
-): Promise<R> => {
-  const { clock, rand } = x.runtime;
-  for (let round = 0; ; round++) {
-    const left = o.end - clock.now();
-    if (left <= 0) throw fault.make({ step: o.step, code: 'no-majority' }, `${o.what}: no majority in time`);
-    let g: Group;
-    try {
-      g = x.members.group();
-    } catch (e) {
-      if (left < duration.ms(50)) throw e;
-      await time.sleep(clock, duration.ms(50));
-      continue;
-    }
-    const got = await once(g, round, Math.min(left, askWithin));
-    if (got === 'again') continue;
-    if (got) return got.result;
-    await time.sleep(clock, duration.ms(2 + rand.int(Math.min(60, 6 * (round + 1)))));
-  }
-};
-
-/** What a majority says of one key: the highest ballot, how many have it, its value if one of them sent it. */
-export type Agreed = {
-  accepted: Ballot;
-  held: Held | null | undefined;
-  /** Until when it is kept: as the value says, and by the latest extension that any of them has seen. */
-  until: Microseconds;
-  extended: Microseconds;
-  walls: Walls;
-  same: number;
-};
-export const agreed = <T>(ok: Good<T>[], seenOf: (x: Good<T>) => Seen): Agreed => {
-  const all = ok.map(seenOf);
-  const accepted = all.reduce((b, s) => ballot.max(b, s.accepted), ballot.zero);
-  const best = all.filter((s) => ballot.same(s.accepted, accepted));
-  const walls = ok.map((x) => x.reply.wall);
+/** Opens a proposer. `by` names its node. */
+export const openProposer = (options: GroupClientOptions & { by: string }): Proposer => {
+  const { runtime, rpc, by } = options;
+  const id = hash.of(by).toString(36) + runtime.rand.id().slice(0, 10);
+  let operations = 0;
   return {
-    accepted,
-    held: best.find((s) => s.held !== undefined)?.held,
-    until: Math.max(...best.map(untilOf)),
-    extended: Math.max(...all.map((s) => s.extended ?? 0)),
-    walls: { min: Math.min(...walls), max: Math.max(...walls) },
-    same: best.length,
+    runtime,
+    rpc,
+    stores: openGroupClient(options),
+    cache: openValueCache(),
+    id,
+    nextOperation: () => `${id}.${(++operations).toString(36)}`,
+    exclusive: lock.keyed(),
+    counts: {
+      rounds: 0,
+      quick: 0,
+      conflicts: 0,
+      mended: 0,
+      reads: 0,
+      done: 0,
+      reserved: 0,
+      extended: 0,
+      fetched: 0,
+      openings: 0,
+      opened: 0,
+    },
   };
 };
 
-/** Whether what a majority shows is settled: an opening is only once all members show it (§6.2). */
-export const decided = (g: Group, a: Agreed): boolean =>
-  a.same >= (ballot.isOpening(a.accepted) ? g.members.length : majority(g.members.length));
+/** How long one round waits for the stores. */
+export const roundTimeout = duration.ms(400);
+const groupPollInterval = duration.ms(50);
+/** A pause is 2 ms and up to 6 ms more for each attempt, 60 ms at most. */
+const backoff = { baseMs: 2, stepMs: 6, mostMs: 60 };
 
-/** An opening that a majority shows: the last answer likely saves settling it. */
-export const lacksLast = (g: Group, a: Agreed): boolean =>
-  ballot.isOpening(a.accepted) && a.same >= majority(g.members.length) && !decided(g, a);
+/** How one attempt ended: with a result, or to be repeated at once, or after a pause. */
+export type Attempt<R> = { type: 'done'; result: R } | { type: 'again' } | { type: 'backoff' };
+/** What is attempted, for the text of errors, and until when by this node's clock. */
+export type AttemptOptions = { step: string; key: string; deadline: Microseconds };
 
-export type ReadMany = { copies: Seen[] };
-/** Asks for the copies of several keys; the values of members for which `bare` holds are left out. */
-export const askCopies = (
-  x: Proposer,
-  g: Group,
-  keys: string[],
-  left: Microseconds,
-  o: { bare: (k: Keep) => boolean; only?: Keep[] },
-): Asked<ReadMany>[] => {
-  const [full, bare] = [{ keys }, { keys, bare: true }];
-  const { only } = o;
-  const one = async (k: Keep, key: string): Promise<Seen> => {
-    const [a] = x.members.ask<ReadReply>(g, 'reg.read', () => ({ key }), left, { only: [k] });
-    const r = await a!.reply;
-    if (r.ok && r.copy) return r.copy;
-    throw fault.make({ step: 'reg.read', sibling: k.at }, 'no copy');
-  };
-  return x.members
-    .ask<ReadReply>(g, 'reg.read', (k) => (o.bare(k) ? bare : full), left, {
-      ...(only ? { only } : {}),
-      whole: { key: keys[0] },
-    })
-    .map(({ from, reply }) => ({
-      from,
-      reply: reply.then(async (r) => {
-        if (!r.ok) return r;
-        // A store of the release before knows one key at a time.
-        const copies = r.copies ?? [r.copy!, ...(await Promise.all(keys.slice(1).map((key) => one(from, key))))];
-        return { ...r, copies };
-      }),
-    }));
+/** Repeats `once` until it gives a result; throws `no-majority` at the deadline. The pause grows, and is jittered. */
+export const retry = async <R>(
+  { runtime, stores }: Proposer,
+  { step, key, deadline }: AttemptOptions,
+  once: (group: Group, attempt: number, timeLeft: Microseconds) => Promise<Attempt<R>>,
+): Promise<R> => {
+  const { clock, rand } = runtime;
+  for (let attempt = 0; ; attempt++) {
+    const left = deadline - clock.now();
+    if (left <= 0) throw registerErrors.create('no-majority', { step, message: `${key}: no majority in time` });
+    let group: Group;
+    try {
+      group = stores.group();
+    } catch (error) {
+      if (left < groupPollInterval) throw error;
+      await time.sleep(clock, groupPollInterval);
+      continue;
+    }
+    const ended = await once(group, attempt, Math.min(left, roundTimeout));
+    if (ended.type === 'done') return ended.result;
+    if (ended.type === 'again') continue;
+    const { baseMs, stepMs, mostMs } = backoff;
+    await time.sleep(clock, duration.ms(baseMs + rand.int(Math.min(mostMs, stepMs * (attempt + 1)))));
+  }
 };
--- a/packages/register-store/src/read.ts
+++ b/packages/register-store/src/read.ts
@@ -1,105 +1,102 @@
-// Reads (§6.2): the value comes from the nearest store, from the others only its ballot; a majority with the same
-// ballot is enough, else the value is settled by a ballot.
-import { duration, type Microseconds } from '@thornsail/runtime';
-import { majority, patience, type Good } from './members.js';
-import { ballot, keptUntil, type Ballot, type Group, type Keep, type Seen } from './messages.js';
-import { agreed, askCopies, decided, lacksLast, type Agreed, type Proposer, type ReadMany } from './proposer.js';
+/**
+ * The learner (§6.2): the value comes from the nearest store, from the others only its ballot; a majority with the same
+ * ballot is enough, else the value is settled by a ballot.
+ */
+import type { Microseconds } from '@thornsail/runtime';
+import { agreementOf, dependsOnExtension, isDecided, isExpired, lacksLastMember, type Agreement } from './agreement.js';
+import { ballot } from './ballot.js';
+import type { Answered, Round } from './gather.js';
+import { graceForOneMore } from './member-health.js';
+import { roundTimeout, type Proposer } from './proposer.js';
+import { fetchValues, repairOlder, requestViews, type Views } from './read-requests.js';
+import { majority, type Group, type Member } from './types.js';
+import type { WireView } from './wire.js';
 
-const askWithin = duration.ms(400);
-const expired = (a: Agreed): boolean => keptUntil(a.until, a.extended) <= a.walls.min;
-/** An extension that decides whether the value is there has to be on a majority before anybody is told of it. */
-export const hangsOnExtension = (a: Agreed): boolean =>
-  a.held !== null && a.until <= a.walls.min && a.extended > a.walls.min;
+/** Gives the value by a ballot, on a majority with the latest extension that was seen. */
+export type Settle = (key: string, timeLeft: Microseconds) => Promise<unknown>;
+/** `once`: these are written once, so any replica's value is the value, and need not be settled (§6.2). */
+export type ReadOptions = { once?: boolean };
 
-/** Brings a copy that a majority has to stores that answered with an older one. */
-export const mend = (
-  x: Proposer,
-  g: Group,
-  key: string,
-  a: Agreed,
-  copies: Promise<{ from: Keep; accepted: Ballot }[]>,
-): void => {
-  if (a.held === undefined) return;
-  const body = { key, ballot: a.accepted, held: a.held, ...(a.extended > 0 ? { extended: a.extended } : {}) };
-  void copies.then((all) => {
-    for (const { from, accepted } of all) {
-      if (ballot.cmp(accepted, a.accepted) >= 0) continue;
-      x.c.mended += 1;
-      x.rpc.request(from.at, 'reg.mend', { to: from.id, group: g, ...body }).catch(() => undefined);
-    }
-  });
+/** One key of a read. */
+type KeyRead = {
+  key: string;
+  agreement: Agreement;
+  /** Members that have the agreed ballot. */
+  from: Member[];
+  /** Members that have the latest extension. */
+  extendedAt: number;
+  viewOf: (answer: Answered<Views>) => WireView;
 };
+const viewAt =
+  (i: number) =>
+  ({ reply }: Answered<Views>): WireView =>
+    reply.views[i]!;
 
-/** Asks for the values that the first answers did not bring, each from a member that has the agreed ballot. */
-export const fetchValues = async (
-  x: Proposer,
-  g: Group,
-  lacking: { key: string; a: Agreed; from: Keep[] }[],
-  left: Microseconds,
-): Promise<void> => {
-  const order = x.members.near(g, lacking[0]?.key ?? '');
-  for (const k of order) {
-    const some = lacking.filter((l) => l.a.held === undefined && l.from.includes(k));
-    if (some.length === 0) continue;
-    x.c.fetched += some.length;
-    const keys = some.map((l) => l.key);
-    const [asked] = askCopies(x, g, keys, left, { bare: () => false, only: [k] });
-    const r = await asked!.reply.catch(() => undefined);
-    if (!r?.ok) continue;
-    for (const [i, l] of some.entries()) {
-      const s = r.copies[i]!;
-      if (ballot.same(s.accepted, l.a.accepted)) l.a.held = s.held;
-    }
-  }
+const gatherViews = (
+  proposer: Proposer,
+  group: Group,
+  keys: string[],
+  timeLeft: Microseconds,
+  once: boolean,
+): Promise<Round<Views>> => {
+  const { stores } = proposer;
+  const nearest = stores.byNearness(group, keys[0]!)[0]!;
+  const asked = requestViews(proposer, group, keys, timeLeft, { isBare: (member) => member !== nearest });
+  const agreementsOf = (answers: Answered<Views>[]): Agreement[] => keys.map((_, i) => agreementOf(answers, viewAt(i)));
+  return stores.gather(asked, {
+    // A store that is just syncing a change answers with what was before it: the third one decides.
+    isEnough: (answers, failed) =>
+      (failed.includes(nearest) || answers.some(({ from }) => from === nearest)) &&
+      (once || agreementsOf(answers).every((agreement) => isDecided(group, agreement))),
+    waitForMore: (answers) =>
+      agreementsOf(answers).some((agreement) => lacksLastMember(group, agreement))
+        ? stores.health.lastMemberTimeout(group)
+        : graceForOneMore,
+  });
 };
+const keyReads = (keys: string[], { answers }: Round<Views>): KeyRead[] =>
+  keys.map((key, i) => {
+    const viewOf = viewAt(i);
+    const agreement = agreementOf(answers, viewOf);
+    const from = answers.filter((answer) => ballot.equals(viewOf(answer).accepted, agreement.accepted));
+    const extendedAt = answers.filter((answer) => (viewOf(answer).extended ?? 0) >= agreement.extendedUntil).length;
+    return { key, agreement, from: from.map((answer) => answer.from), extendedAt, viewOf };
+  });
 
-/** `settle` gives the value by a ballot, on a majority with the latest end of keeping that was seen. */
-export const reader = (
-  x: Proposer,
-  settle: (key: string, left: Microseconds) => Promise<unknown>,
-): ((keys: string[], timeLeft: Microseconds, o?: { once?: boolean }) => Promise<unknown[]>) => {
-  const { clock } = x.runtime;
-  return async (keys, timeLeft, { once = false } = {}) => {
-    x.c.reads += keys.length;
-    const end = clock.now() + timeLeft;
-    const g = x.members.group();
-    const first = keys[0];
-    if (first === undefined) return [];
-    const need = majority(g.members.length);
-    const nearest = x.members.near(g, first)[0];
-    const seenOf =
-      (i: number) =>
-      (y: Good<ReadMany>): Seen =>
-        y.reply.copies[i]!;
-    const r = await x.members.gather(
-      askCopies(x, g, keys, Math.min(timeLeft, askWithin), { bare: (k) => k !== nearest }),
-      // A store that is just syncing a change answers with what was before it: the third one decides.
-      (ok, failed) =>
-        (failed.includes(nearest!) || ok.some((y) => y.from === nearest)) &&
-        keys.every((_, i) => once || decided(g, agreed(ok, seenOf(i)))),
-      (ok) => (keys.some((_, i) => lacksLast(g, agreed(ok, seenOf(i)))) ? x.members.lastWithin(g) : patience),
-    );
-    x.members.learn(r.no);
-    if (r.ok.length < need) return Promise.all(keys.map((key) => settle(key, end - clock.now())));
-    const all = keys.map((key, i) => {
-      const a = agreed(r.ok, seenOf(i));
-      const from = r.ok.filter((y) => ballot.same(seenOf(i)(y).accepted, a.accepted)).map((y) => y.from);
-      const extended = r.ok.filter((y) => (seenOf(i)(y).extended ?? 0) >= a.extended).length;
-      return { key, i, a, from, extended };
-    });
+/** Opens the reads of a proposer: values by keys, in their order; undefined for absent ones. */
+export const openReader =
+  (proposer: Proposer, settle: Settle) =>
+  async (keys: string[], timeLeft: Microseconds, { once = false }: ReadOptions = {}): Promise<unknown[]> => {
+    const { stores, counts, runtime } = proposer;
+    const { clock } = runtime;
+    counts.reads += keys.length;
+    const deadline = clock.now() + timeLeft;
+    const group = stores.group();
+    if (keys.length === 0) return [];
+    const needed = majority(group.members.length);
+    const round = await gatherViews(proposer, group, keys, Math.min(timeLeft, roundTimeout), once);
+    stores.learn(round.refusals);
+    const settleKey = (key: string): Promise<unknown> => settle(key, deadline - clock.now());
+    if (round.answers.length < needed) return Promise.all(keys.map(settleKey));
+    const reads = keyReads(keys, round);
     // What is written once has one value: whoever shows it is believed, and nobody who has it is in no majority.
-    const sure = (a: Agreed): boolean => decided(g, a) || (once && a.held !== null && !expired(a));
-    const lacking = all.filter((l) => sure(l.a) && l.a.held === undefined && !expired(l.a));
-    await fetchValues(x, g, lacking, Math.min(Math.max(0, end - clock.now()), askWithin));
-    const conclude = async ({ key, i, a, extended }: (typeof all)[number]): Promise<unknown> => {
-      if (!sure(a)) return settle(key, end - clock.now());
-      if (once && a.held && !expired(a)) return a.held.value;
-      const copies = r.late.then((l) => l.map((y) => ({ from: y.from, accepted: y.reply.copies[i]!.accepted })));
-      mend(x, g, key, a, copies);
-      if (a.held === null || expired(a)) return undefined;
-      if (a.held === undefined || (hangsOnExtension(a) && extended < need)) return settle(key, end - clock.now());
-      return a.held.value;
+    const isOnlyValue = (agreement: Agreement): boolean => once && agreement.stored !== null && !isExpired(agreement);
+    const isSure = (agreement: Agreement): boolean => isDecided(group, agreement) || isOnlyValue(agreement);
+    const missing = reads.filter(
+      ({ agreement }) => isSure(agreement) && agreement.stored === undefined && !isExpired(agreement),
+    );
+    await fetchValues(proposer, group, missing, Math.min(Math.max(0, deadline - clock.now()), roundTimeout));
+    const conclude = async ({ key, agreement, extendedAt, viewOf }: KeyRead): Promise<unknown> => {
+      if (!isSure(agreement)) return settleKey(key);
+      if (once && agreement.stored && !isExpired(agreement)) return agreement.stored.value;
+      const replicas = round.late.then((answers) =>
+        answers.map((answer) => ({ from: answer.from, accepted: viewOf(answer).accepted })),
+      );
+      repairOlder(proposer, group, key, agreement, replicas);
+      if (agreement.stored === null || isExpired(agreement)) return undefined;
+      if (agreement.stored === undefined || (dependsOnExtension(agreement) && extendedAt < needed))
+        return settleKey(key);
+      return agreement.stored.value;
     };
-    return Promise.all(all.map(conclude));
+    return Promise.all(reads.map(conclude));
   };
-};
--- a/packages/register-store/src/replica-table.ts
+++ b/packages/register-store/src/replica-table.ts
@@ -1,123 +1,138 @@
-// What a store holds, by ranges of keys (§6.3): digests that are kept up with each change, and lists that look at one
-// range, or at what ends at one time, so that nothing walks through a whole day's registers in one go.
+/**
+ * What a store has in memory, by ranges of keys (§6.3): digests that are kept up with each change, and lists that look
+ * at one range, or at what expires at one time, so that nothing walks through a whole day's registers at once.
+ */
 import { hash, duration, type Microseconds } from '@thornsail/runtime';
 import type { RecordEntry, RecordIndex } from '@thornsail/durable-files';
-import type { Ballot, Copy } from './messages.js';
+import type { Ballot } from './ballot.js';
+import type { Replica } from './types.js';
 
-/** Keys fall into ranges by their hash; the sweep compares a digest of each before it lists any (§6.5). */
-export const ranges = 64;
-export const rangeOf = (key: string): number => hash.of(key) % ranges;
+/** Keys fall into ranges by their hash; anti-entropy compares a digest of each before it lists any (§6.5). */
+export const rangeCount = 64;
+const rangeOf = (key: string): number => hash.of(key) % rangeCount;
 
-export type ReplicaTable = RecordIndex<Copy> & {
+/** The replicas of a store. */
+export type ReplicaTable = RecordIndex<Replica> & {
   size: () => number;
+  /** Equal for two stores whose replicas of this range have the same ballots and extensions. */
   digest: (range: number) => number;
-  /** Up to `limit` keys, with their ballots, that nothing has needed since `before`; what ended first comes first. */
+  /** Up to `limit` keys, with their ballots, not needed since `before`; what expired first comes first. */
   due: (before: Microseconds, limit: number) => [string, Ballot][];
-  /** The keys of a range after one, in order; one more than `limit` says that there are more. */
+  /** The keys of a range after one, in order; one more than `limit` shows that there are more. */
   keys: (range: number, after: string, limit: number) => string[];
-  /** The most copies that one call has looked at. */
+  /** The most replicas that one call has looked at. */
   longest: () => number;
 };
 
-/** Until when a copy may be needed (§6.4). */
-export const neededUntil = (c: Copy): Microseconds => Math.max(c.touched, c.held?.until ?? 0, c.extended ?? 0);
-/** Two hashes, packed into 52 bits: after a change of group an equal digest is trusted (§6.5). */
-const mix = (key: string, c: Copy): [number, number] => {
-  const text = `${key} ${c.accepted.join(' ')}${c.extended ? ` ${c.extended}` : ''}`;
+/** Until when a replica may be needed (§6.4). */
+export const neededUntil = ({ touched, stored, extendedUntil }: Replica): Microseconds =>
+  Math.max(touched, stored?.expiresAt ?? 0, extendedUntil ?? 0);
+
+/** Two sums of hashes, packed into 52 bits: after a change of group an equal digest is trusted (§6.5). */
+type Digest = [number, number];
+const digestOf = (key: string, { accepted, extendedUntil }: Replica): Digest => {
+  const text = `${key} ${accepted.join(' ')}${extendedUntil ? ` ${extendedUntil}` : ''}`;
   return [hash.of(text), hash.of(`2 ${text}`)];
 };
-type Digest = [number, number];
-const add = (d: Digest, m: Digest, sign: 1 | -1): Digest => [(d[0] + sign * m[0]) >>> 0, (d[1] + sign * m[1]) >>> 0];
+const addDigest = (sum: Digest, one: Digest, sign: 1 | -1): Digest => [
+  (sum[0] + sign * one[0]) >>> 0,
+  (sum[1] + sign * one[1]) >>> 0,
+];
 
-/** Keys by the time at which they end, so many microseconds together. */
-const together = duration.s(16);
-const endings = (): {
+/** Keys by the time until which they are needed. */
+type ExpiryIndex = {
   add: (key: string, at: Microseconds) => void;
-  drop: (key: string, at: Microseconds) => void;
+  delete: (key: string, at: Microseconds) => void;
   clear: () => void;
+  /** Sets of keys, the earliest first; the last may hold some that are needed at `at` or later. */
   before: (at: Microseconds) => Set<string>[];
-} => {
-  const all = new Map<number, Set<string>>();
-  const of = (at: Microseconds): number => Math.floor(at / together);
+};
+const bucketSpan = duration.s(16);
+const openExpiryIndex = (): ExpiryIndex => {
+  const buckets = new Map<number, Set<string>>();
+  const bucketOf = (at: Microseconds): number => Math.floor(at / bucketSpan);
   return {
     add: (key, at) => {
-      const set = all.get(of(at));
-      if (set) set.add(key);
-      else all.set(of(at), new Set([key]));
+      const keys = buckets.get(bucketOf(at));
+      if (keys) keys.add(key);
+      else buckets.set(bucketOf(at), new Set([key]));
     },
-    drop: (key, at) => {
-      const set = all.get(of(at));
-      if (set?.delete(key) && set.size === 0) all.delete(of(at));
+    delete: (key, at) => {
+      const keys = buckets.get(bucketOf(at));
+      if (keys?.delete(key) && keys.size === 0) buckets.delete(bucketOf(at));
     },
-    clear: () => all.clear(),
+    clear: () => buckets.clear(),
     before: (at) => {
-      const some = [...all.keys()].filter((n) => n * together < at).sort((a, b) => a - b);
-      return some.map((n) => all.get(n)!);
+      const due = [...buckets.keys()].filter((bucket) => bucket * bucketSpan < at).sort((a, b) => a - b);
+      return due.map((bucket) => buckets.get(bucket)!);
     },
   };
 };
 
+type Range = { entries: Map<string, RecordEntry<Replica>>; digest: Digest };
+const openRanges = (): Range[] =>
+  Array.from({ length: rangeCount }, () => ({ entries: new Map(), digest: [0, 0] as Digest }));
+const listDue = (ranges: Range[], expiries: ExpiryIndex, before: Microseconds, limit: number) => {
+  const due: [string, Ballot][] = [];
+  let looked = 0;
+  for (const keys of expiries.before(before))
+    for (const key of keys) {
+      const { value } = ranges[rangeOf(key)]!.entries.get(key)!;
+      looked += 1;
+      if (neededUntil(value) < before) due.push([key, value.accepted]);
+      if (due.length >= limit) return { due, looked };
+    }
+  return { due, looked };
+};
+
+/** Replicas in memory. */
 export const replicaTable = {
+  /** Opens an empty table. */
   open: (): ReplicaTable => {
-    const all = Array.from({ length: ranges }, () => ({
-      at: new Map<string, RecordEntry<Copy>>(),
-      digest: [0, 0] as Digest,
-    }));
-    const ends = endings();
+    const ranges = openRanges();
+    const expiries = openExpiryIndex();
     let longest = 0;
-    const of = (key: string): (typeof all)[number] => all[rangeOf(key)]!;
-    const drop = (key: string): void => {
-      const r = of(key);
-      const was = r.at.get(key);
-      if (!was) return;
-      r.digest = add(r.digest, mix(key, was.value), -1);
-      ends.drop(key, neededUntil(was.value));
-      r.at.delete(key);
+    const rangeFor = (key: string): Range => ranges[rangeOf(key)]!;
+    /** Takes a replica out of the digest of its range and out of the expiries. */
+    const unindex = (range: Range, key: string): boolean => {
+      const entry = range.entries.get(key);
+      if (!entry) return false;
+      range.digest = addDigest(range.digest, digestOf(key, entry.value), -1);
+      expiries.delete(key, neededUntil(entry.value));
+      return true;
     };
     return {
-      get: (key) => of(key).at.get(key),
-      set: (key, slot) => {
-        const r = of(key);
-        const was = r.at.get(key);
-        if (was) {
-          r.digest = add(r.digest, mix(key, was.value), -1);
-          ends.drop(key, neededUntil(was.value));
-        }
-        r.at.set(key, slot);
-        r.digest = add(r.digest, mix(key, slot.value), 1);
-        ends.add(key, neededUntil(slot.value));
+      get: (key) => rangeFor(key).entries.get(key),
+      set: (key, entry) => {
+        const range = rangeFor(key);
+        unindex(range, key);
+        range.entries.set(key, entry);
+        range.digest = addDigest(range.digest, digestOf(key, entry.value), 1);
+        expiries.add(key, neededUntil(entry.value));
+      },
+      delete: (key) => {
+        const range = rangeFor(key);
+        if (unindex(range, key)) range.entries.delete(key);
       },
-      delete: drop,
       clear: () => {
-        for (const r of all) {
-          r.at.clear();
-          r.digest = [0, 0];
+        for (const range of ranges) {
+          range.entries.clear();
+          range.digest = [0, 0];
         }
-        ends.clear();
+        expiries.clear();
       },
-      size: () => all.reduce((a, r) => a + r.at.size, 0),
-      digest: (range) => all[range]!.digest[0] * 2 ** 20 + (all[range]!.digest[1] & 0xfffff),
+      size: () => ranges.reduce((sum, { entries }) => sum + entries.size, 0),
+      digest: (range) => ranges[range]!.digest[0] * 2 ** 20 + (ranges[range]!.digest[1] & 0xfffff),
       due: (before, limit) => {
-        const some: [string, Ballot][] = [];
-        let looked = 0;
-        for (const set of ends.before(before))
-          for (const key of set) {
-            const { value } = of(key).at.get(key)!;
-            looked += 1;
-            if (neededUntil(value) < before) some.push([key, value.accepted]);
-            if (some.length >= limit) {
-              longest = Math.max(longest, looked);
-              return some;
-            }
-          }
+        const { due, looked } = listDue(ranges, expiries, before, limit);
         longest = Math.max(longest, looked);
-        return some;
+        return due;
       },
       keys: (range, after, limit) => {
-        const r = all[range]!;
-        longest = Math.max(longest, r.at.size);
-        return [...r.at.keys()]
-          .filter((k) => k > after)
+        const { entries } = ranges[range]!;
+        longest = Math.max(longest, entries.size);
+        return [...entries.keys()]
+          .filter((key) => key > after)
           .sort()
           .slice(0, limit + 1);
       },
--- a/packages/register-store/src/sweep.ts
+++ b/packages/register-store/src/sweep.ts
@@ -1,24 +1,26 @@
-// The sweep (§6.5): finds the copies that no read has mended, drops what has expired everywhere,
-// and after a change of group brings every record onto a majority of the new one.
+/**
+ * Anti-entropy (§6.5): a sweep finds the replicas that no read has repaired, drops what has expired everywhere, and
+ * after a change of group brings every register onto a majority of the new one.
+ */
 import { time, duration, type Clock, type Microseconds } from '@thornsail/runtime';
 import type { Rpc } from '@thornsail/rpc';
-import {
-  ballot,
-  type Ballot,
-  type DigestResult,
-  type DueResult,
-  type Group,
-  type Keep,
-  type ListResult,
-} from './messages.js';
-import { majority, type Registers } from './registers.js';
-import { ranges } from './replica-table.js';
+import { ballot, type Ballot } from './ballot.js';
+import { dropExpired } from './drop-expired.js';
+import type { Registers } from './registers.js';
+import { rangeCount } from './replica-table.js';
+import { requestMembers, tellFilled, type MemberReply } from './sweep-requests.js';
+import { majority, type Group, type Member } from './types.js';
+import { messages, type DigestReply, type ListReply } from './wire.js';
 
+/** What one pass did. */
 export type SweepResult = {
+  /** Whether all that differs was settled. */
   complete: boolean;
-  mark: number;
+  /** The version of the group. */
+  groupVersion: number;
+  /** Keys looked at, settled, and dropped; ranges listed. */
   seen: number;
-  mended: number;
+  repaired: number;
   purged: number;
   ranges: number;
 };
@@ -31,202 +33,168 @@
   fill: { ranges: 8, keys: 8 },
   usual: { ranges: 1, keys: 4 },
 };
+/** How much is done at once. */
 export type SweepPace = keyof typeof paces;
-/** Keys that are looked at for dropping in one go. */
-const dueAtOnce = 256;
-/** What one member is waited for. */
-const askWithin = duration.ms(800);
-/** What further members are waited for after a change of group, once a majority has answered. */
-const lateWithin = duration.ms(100);
-const settleWithin = duration.s(2);
-/** Keys listed in one answer. */
-const pageOf = 128;
-type Found = { k: Keep; accepted: Ballot; extended: Microseconds };
-const alike = (a: Found, b: Found): boolean => ballot.same(a.accepted, b.accepted) && a.extended === b.extended;
-/** The value, and with it the latest extension that is known of it. */
-const onMajority = (copies: Found[], need: number): boolean => {
-  const extended = Math.max(...copies.map((c) => c.extended));
-  return copies.some((c) => c.extended === extended && copies.filter((x) => alike(x, c)).length >= need);
-};
-
-/**
- * Drops what has expired everywhere: what every member has under the same ballot, and has not needed since its grace
- * began. Gives how many, or nothing if a member did not answer.
- */
-const dropDue = async (o: {
-  clock: Clock;
-  rpc: Rpc;
-  group: Group;
-  pause: Microseconds;
-  still: () => boolean;
-}): Promise<number> => {
-  const { rpc, group } = o;
-  const each = <T>(kind: string, body: object): Promise<(T | undefined)[]> =>
-    Promise.all(
-      group.members.map((k) =>
-        rpc.request<T>(k.at, kind, { to: k.id, group, ...body }, duration.ms(800)).catch(() => undefined),
-      ),
-    );
-  for (let dropped = 0; ;) {
-    const lists = await each<DueResult>('reg.due', { limit: dueAtOnce });
-    const good = lists.flatMap((l) => (l?.ok ? [l] : []));
-    if (good.length < group.members.length || !o.still()) return dropped;
-    const rest = good.slice(1).map((l) => new Map(l.keys));
-    const keys = good[0]!.keys.filter(([key, b]) => rest.every((m) => m.has(key) && ballot.same(m.get(key)!, b)));
-    if (keys.length === 0) return dropped;
-    await each('reg.drop', { keys, wall: Math.min(...good.map((l) => l.wall)) });
-    dropped += keys.length;
-    if (o.pause > 0) await time.sleep(o.clock, o.pause);
-  }
-};
-
-/** All members hold the same now, or it is settled: whatever was opened before is known to this one (§6.5). */
-const tellFilled = (o: { rpc: Rpc; group: Group }, k: Keep): Promise<unknown> =>
-  o.rpc.request(k.at, 'reg.filled', { to: k.id, group: o.group }, duration.ms(800)).catch(() => undefined);
-
-type Page = Extract<ListResult, { ok: true }>;
-type Member<T> = { store: Keep; reply: T };
-/**
- * The replies of a group: all that come within `askWithin`, or, with `need`, those that come until a little after so
- * many are there. A member that was lost holds up nothing that is complete without it.
- */
-const collect = <T>(clock: Clock, asked: Promise<Member<T> | undefined>[], need?: number): Promise<Member<T>[]> =>
-  new Promise((done) => {
-    const got: Member<T>[] = [];
-    let open = asked.length;
-    let waits = false;
-    const say = (): void => done([...got]);
-    const check = (): void => {
-      if (open === 0) return say();
-      if (need === undefined || got.length < need || waits) return;
-      waits = true;
-      clock.schedule(lateWithin, say);
-    };
-    check();
-    for (const one of asked)
-      void one.then((reply) => {
-        open -= 1;
-        if (reply) got.push(reply);
-        check();
-      });
-  });
-
-type Pass = {
+/** One pass. */
+export type SweepOptions = {
   clock: Clock;
   rpc: Rpc;
   registers: Registers;
   group: Group;
+  /** Settles every key, as after a change of group; else only what differs or may be dropped is listed. */
   all: boolean;
+  /** Between two keys; 0 for none. */
   pause: Microseconds;
-  /** As `change` where `all` is asked for, else `usual`, unless it is said. */
+  /** As `change` where `all` is asked for, else `usual`, unless it is given. */
   pace?: SweepPace;
-  still: () => boolean;
-  progress?: (seen: number) => void;
+  shouldContinue: () => boolean;
+  /** Is told how many keys were looked at. */
+  onProgress?: (seen: number) => void;
 };
-const paceOf = (o: Pass): { ranges: number; keys: number } => paces[o.pace ?? (o.all ? 'change' : 'usual')];
-const askMembers = async <T extends { ok: boolean }>(
-  o: Pass,
-  keepers: Keep[],
-  kind: string,
-  body: object,
-): Promise<Member<Extract<T, { ok: true }>>[]> => {
-  const asked = keepers.map((store) =>
-    o.rpc.request<T>(store.at, kind, { to: store.id, group: o.group, ...body }, askWithin).then(
-      (reply) => (reply.ok ? { store, reply: reply as Extract<T, { ok: true }> } : undefined),
-      () => undefined,
-    ),
+
+const settleTimeout = duration.s(2);
+/** Keys listed in one answer. */
+const pageSize = 128;
+type Page = Extract<ListReply, { ok: true }>;
+/** What one member has of a key. */
+type Listed = { member: Member; accepted: Ballot; extendedUntil: Microseconds };
+type KeyListed = [key: string, replicas: Listed[]];
+
+const isSame = (a: Listed, b: Listed): boolean =>
+  ballot.equals(a.accepted, b.accepted) && a.extendedUntil === b.extendedUntil;
+/** The value, and with it the latest extension that is known of it. */
+const isOnMajority = (replicas: Listed[], needed: number): boolean => {
+  const latest = Math.max(...replicas.map(({ extendedUntil }) => extendedUntil));
+  return replicas.some(
+    (one) => one.extendedUntil === latest && replicas.filter((other) => isSame(other, one)).length >= needed,
   );
-  return collect(o.clock, asked, o.all ? majority(o.group.members.length) : undefined);
 };
+
+const paceOf = ({ pace, all }: SweepOptions): { ranges: number; keys: number } =>
+  paces[pace ?? (all ? 'change' : 'usual')];
+const neededOf = (options: SweepOptions): number => majority(options.group.members.length);
+/** Asks members; after a change of group those that come a little after a majority are enough. */
+const ask = <T extends { ok: boolean }>(
+  options: SweepOptions,
+  members: Member[],
+  message: string,
+  body: object,
+): Promise<MemberReply<Extract<T, { ok: true }>>[]> =>
+  requestMembers<T>(options, members, message, body, options.all ? neededOf(options) : undefined);
+
 /** The ranges that have to be listed, by the digests of those that answered. */
-const rangesToList = (o: Pass, digests: number[][], need: number): number[] =>
-  Array.from({ length: ranges }, (_, i) => i).filter((i) => {
-    const here = digests.map((d) => d[i]!);
-    // After a change of group it is enough that a majority of the new one, asked under its mark, holds the same.
-    if (o.all) return !here.some((d) => here.filter((x) => x === d).length >= need);
-    return here.some((d) => d !== here[0]);
+const rangesToList = ({ all }: SweepOptions, digests: number[][], needed: number): number[] =>
+  Array.from({ length: rangeCount }, (_, range) => range).filter((range) => {
+    const here = digests.map((of) => of[range]!);
+    // After a change of group it is enough that a majority of the new one, asked under its version, holds the same.
+    if (all) return !here.some((digest) => here.filter((other) => other === digest).length >= needed);
+    return here.some((digest) => digest !== here[0]);
   });
-/** The copies by key, and up to which key they go: keys beyond the shortest full page are left for the next. */
-const copiesByKey = (pages: Member<Page>[]): { copies: [string, Found[]][]; end: string | null } => {
-  const ends = pages.map((p) => p.reply.next).filter((n): n is string => n !== null);
+
+/** The replicas by key, and up to which key they go: keys beyond the shortest full page are left for the next. */
+const replicasByKey = (pages: MemberReply<Page>[]): { replicas: KeyListed[]; end: string | null } => {
+  const ends = pages.map(({ reply }) => reply.next).filter((next): next is string => next !== null);
   const end = ends.length ? ends.reduce((a, b) => (a < b ? a : b)) : null;
-  const byKey = new Map<string, Found[]>();
-  for (const { store, reply } of pages)
+  const byKey = new Map<string, Listed[]>();
+  for (const { member, reply } of pages)
     for (const { key, accepted, extended } of reply.keys) {
       if (end !== null && key > end) continue;
-      byKey.set(key, [...(byKey.get(key) ?? []), { k: store, accepted, extended: extended ?? 0 }]);
+      byKey.set(key, [...(byKey.get(key) ?? []), { member, accepted, extendedUntil: extended ?? 0 }]);
     }
-  return { copies: [...byKey].sort(([a], [b]) => (a < b ? -1 : 1)), end };
+  return { replicas: [...byKey].sort(([a], [b]) => (a < b ? -1 : 1)), end };
 };
-/** Settles what is not as it should be, many keys at once after a change of group; false if one could not be. */
-const settlePage = async (o: Pass, r: SweepResult, copies: [string, Found[]][], answered: number): Promise<boolean> => {
-  const need = majority(o.group.members.length);
-  const left = [...copies];
+
+/** Settles what is not as it should be, several keys at once; false if one could not be. */
+const settlePage = async (
+  options: SweepOptions,
+  result: SweepResult,
+  listed: KeyListed[],
+  answered: number,
+): Promise<boolean> => {
+  const { clock, registers, all, pause } = options;
+  const needed = neededOf(options);
+  const left = [...listed];
   let failed = false;
-  const isSound = (found: Found[]): boolean =>
-    o.all ? onMajority(found, need) : found.length === answered && found.every((c) => alike(c, found[0]!));
-  const one = async (key: string, found: Found[]): Promise<void> => {
-    r.seen += 1;
-    if (!isSound(found)) {
-      await o.registers.settleKey(key, settleWithin);
-      r.mended += 1;
+  const isConsistent = (replicas: Listed[]): boolean =>
+    all
+      ? isOnMajority(replicas, needed)
+      : replicas.length === answered && replicas.every((one) => isSame(one, replicas[0]!));
+  const settle = async (key: string, replicas: Listed[]): Promise<void> => {
+    result.seen += 1;
+    if (!isConsistent(replicas)) {
+      await registers.settleKey(key, settleTimeout);
+      result.repaired += 1;
     }
-    o.progress?.(r.seen);
-    if (o.pause > 0) await time.sleep(o.clock, o.pause);
+    options.onProgress?.(result.seen);
+    if (pause > 0) await time.sleep(clock, pause);
   };
   const work = async (): Promise<void> => {
     for (let next = left.shift(); next && !failed; next = left.shift()) {
-      if (!o.still()) failed = true;
-      else await one(...next).catch(() => (failed = true));
+      if (!options.shouldContinue()) failed = true;
+      else await settle(...next).catch(() => (failed = true));
+    }
+  };
+  await Promise.all(Array.from({ length: paceOf(options).keys }, work));
+  return !failed;
+};
+
+/** Lists and settles ranges, several at once; members that do not answer leave `asked`. False if any is unsettled. */
+const sweepRanges = async (
+  options: SweepOptions,
+  result: SweepResult,
+  ranges: number[],
+  asked: { members: Member[] },
+): Promise<boolean> => {
+  const needed = neededOf(options);
+  const left = [...ranges];
+  let failed = false;
+  const sweepRange = async (range: number): Promise<boolean> => {
+    for (let after: string | null = ''; after !== null;) {
+      if (!options.shouldContinue() || failed) return false;
+      const body = { after, limit: pageSize, range };
+      const pages: MemberReply<Page>[] = await ask<ListReply>(options, asked.members, messages.list, body);
+      if (pages.length < needed) return false;
+      asked.members = asked.members.filter((member) => pages.some((page) => page.member === member));
+      const { replicas, end } = replicasByKey(pages);
+      if (!(await settlePage(options, result, replicas, pages.length))) return false;
+      after = end;
     }
+    return true;
   };
-  await Promise.all(Array.from({ length: paceOf(o).keys }, work));
+  const work = async (): Promise<void> => {
+    for (let range = left.shift(); range !== undefined && !failed; range = left.shift())
+      if (!(await sweepRange(range))) failed = true;
+  };
+  await Promise.all(Array.from({ length: paceOf(options).ranges }, work));
   return !failed;
 };
 
+/** Anti-entropy of registers. */
 export const sweep = {
-  /**
-   * One pass. `all` settles every key (after a group change). Otherwise the stores' digests are compared by range,
-   * and only what differs or may be dropped is listed.
-   */
-  pass: async (o: Pass): Promise<SweepResult> => {
-    const { group } = o;
-    const r: SweepResult = { complete: false, mark: group.mark, seen: 0, mended: 0, purged: 0, ranges: 0 };
-    const need = majority(group.members.length);
-    const digested = await askMembers<DigestResult>(o, group.members, 'reg.digest', {});
-    if (digested.length < need) return r;
-    const todo = rangesToList(
-      o,
-      digested.map((d) => d.reply.digests),
-      need,
-    );
-    r.ranges = todo.length;
-    // Those that did not answer are not asked again in this pass.
-    let asked = digested.map((d) => d.store);
-    let failed = false;
-    const sweepRange = async (range: number): Promise<boolean> => {
-      for (let after: string | null = ''; after !== null;) {
-        if (!o.still() || failed) return false;
-        const page = { after, limit: pageOf, range };
-        const pages: Member<Page>[] = await askMembers<ListResult>(o, asked, 'reg.list', page);
-        if (pages.length < need) return false;
-        asked = asked.filter((k) => pages.some((p) => p.store === k));
-        const { copies, end } = copiesByKey(pages);
-        if (!(await settlePage(o, r, copies, pages.length))) return false;
-        after = end;
-      }
-      return true;
+  /** Makes one pass. Never fails: a result that isn't complete says that it has to be made again. */
+  pass: async (options: SweepOptions): Promise<SweepResult> => {
+    const { group, all } = options;
+    const result: SweepResult = {
+      complete: false,
+      groupVersion: group.version,
+      seen: 0,
+      repaired: 0,
+      purged: 0,
+      ranges: 0,
     };
-    const work = async (): Promise<void> => {
-      for (let range = todo.shift(); range !== undefined && !failed; range = todo.shift())
-        if (!(await sweepRange(range))) failed = true;
-    };
-    await Promise.all(Array.from({ length: paceOf(o).ranges }, work));
-    if (failed) return r;
-    r.complete = true;
-    if (o.all || asked.length < group.members.length) return r;
-    await Promise.all(group.members.map((k) => tellFilled(o, k)));
-    r.purged = await dropDue(o);
-    return r;
+    const needed = neededOf(options);
+    const digested = await ask<DigestReply>(options, group.members, messages.digest, {});
+    if (digested.length < needed) return result;
+    const digests = digested.map(({ reply }) => reply.digests);
+    const ranges = rangesToList(options, digests, needed);
+    result.ranges = ranges.length;
+    // Those that did not answer are not asked again in this pass.
+    const asked = { members: digested.map(({ member }) => member) };
+    if (!(await sweepRanges(options, result, ranges, asked))) return result;
+    result.complete = true;
+    if (all || asked.members.length < group.members.length) return result;
+    await Promise.all(group.members.map((member) => tellFilled(options, member)));
+    result.purged = await dropExpired(options);
+    return result;
   },
 };
--- a/packages/register-store/test/former-release.test.ts
+++ b/packages/register-store/test/former-release.test.ts
@@ -13,11 +13,11 @@
 const former = JSON.parse(fixture('history.json')) as { played: Omit<Played, 'frames'>; restarted: Restarted };
 const formerFrames = fixture('history-frames.txt').trimEnd().split('\n');
 
-const toGroup = ({ version, members }: HistoryGroup): Group => ({ mark: version, members });
+const toGroup = ({ version, members }: HistoryGroup): Group => ({ version, members });
 const toWrite = (next: Next): Write<void> => {
   if (next === 'keep') return { keep: true, result: undefined };
-  if (next === 'remove') return { held: null, result: undefined };
-  return { held: { value: next.value, until: next.expiresAt }, result: undefined };
+  if (next === 'remove') return { stored: null, result: undefined };
+  return { stored: { value: next.value, expiresAt: next.expiresAt }, result: undefined };
 };
 /** The code under test. */
 const present: Release = {
@@ -34,16 +34,18 @@
       reserve: (key) => opened.reserve(key),
       extend: (keys, until) => opened.extend(keys, until),
       readMany: (keys, o) => opened.readMany(keys, undefined, o),
-      sweep: (g, all) =>
-        sweep.pass({
+      sweep: async (g, all) => {
+        const { complete, groupVersion, seen, repaired, purged, ranges } = await sweep.pass({
           clock: runtime.clock,
           rpc: endpoint,
           registers: opened,
           group: toGroup(g),
           all,
           pause: 0,
-          still: () => true,
-        }),
+          shouldContinue: () => true,
+        });
+        return { complete, mark: groupVersion, seen, mended: repaired, purged, ranges };
+      },
     };
   },
   writeDocument: async (runtime, name, version, value) =>
--- a/programs/thornsail/src/roles.ts
+++ b/programs/thornsail/src/roles.ts
@@ -298,7 +298,7 @@
         ...s.counts(),
         ...counts,
         records: s.size(),
-        group_mark: s.group()?.mark ?? 0,
+        group_mark: s.group()?.version ?? 0,
         syncs: durable.counts().syncs,
         torn: durable.counts().torn,
       }),
--- a/programs/thornsail/src/sweep-duty.ts
+++ b/programs/thornsail/src/sweep-duty.ts
@@ -20,7 +20,7 @@
 /** The group of stores as the newest agreed state known here has it; undefined before one is formed. */
 export const groupOf = (membership: Membership): Group | undefined => {
   const keepers = membership.state()?.storeGroup;
-  return keepers && keepers.mark > 0 ? { mark: keepers.mark, members: keepers.members } : undefined;
+  return keepers && keepers.mark > 0 ? { version: keepers.mark, members: keepers.members } : undefined;
 };
 /** The member that sweeps after a change: the first that the roster has alive. */
 const firstMember = ({ storeGroup: keepers, nodes: roster }: AgreedState): string | undefined =>
@@ -46,7 +46,7 @@
   add('sweeps', 1);
   add('swept_keys', result.seen);
   add('swept_ranges', result.ranges);
-  add('swept_mended', result.mended);
+  add('swept_mended', result.repaired);
 };
 const passes =
   ({ runtime, rpc, membership, registers, counts }: SweepDutyOptions, isClosed: () => boolean): Pass =>
@@ -59,7 +59,7 @@
       all: pace === 'change',
       pause: pace === 'usual' ? pauseBetweenKeys : 0,
       pace,
-      still: () => !isClosed() && groupOf(membership)?.mark === group.mark,
+      shouldContinue: () => !isClosed() && groupOf(membership)?.version === group.version,
     });
     addCounts(counts, result);
     return result.complete;
@@ -83,8 +83,10 @@
   /** Settles everything under the new mark, says so, and then fills the newcomer. */
   const sweepChange = async (group: Group): Promise<void> => {
     if (!(await pass(group, 'change'))) return;
-    log(`every record is on a majority of group ${group.mark}.`);
-    await membership.core.request({ type: 'sweep-complete', version: group.mark }, tellWithin).catch(() => undefined);
+    log(`every record is on a majority of group ${group.version}.`);
+    await membership.core
+      .request({ type: 'sweep-complete', version: group.version }, tellWithin)
+      .catch(() => undefined);
     // Brings up what the newcomer lacks; the lease's holder goes on if this one is lost meanwhile.
     lastFull = clock.now() - fullEvery;
     if (await pass(group, 'fill')) lastFull = clock.now();
@@ -96,8 +98,8 @@
       const ordered = membership.state();
       const group = groupOf(membership);
       if (closed || !ordered || !group) return;
-      if (changed.mark !== group.mark) changed = { mark: group.mark, at: clock.now() };
-      if (ordered.storeGroup.swept !== group.mark) {
+      if (changed.mark !== group.version) changed = { mark: group.version, at: clock.now() };
+      if (ordered.storeGroup.swept !== group.version) {
         if (isMine(ordered)) await sweepChange(group);
         return;
       }
--- a/tools/simulation/src/measurement/capacity/keeping.ts
+++ b/tools/simulation/src/measurement/capacity/keeping.ts
@@ -24,7 +24,7 @@
     await isUp(c);
     const runtime = real.runtime(folder);
     const p = await rpc.open(runtime, benchAddress(19));
-    const group: Group = { mark: 1, members: [{ id: 'k11', at }] };
+    const group: Group = { version: 1, members: [{ id: 'k11', at }] };
     const regs = registers.open({ runtime, rpc: p, by: 'capacity', group: () => group });
     const used = async (): Promise<number> => {
       const u = await p.request<Usage>(at, 'bench.usage', {}, duration.s(5));
--- a/tools/simulation/src/measurement/capacity/memory.ts
+++ b/tools/simulation/src/measurement/capacity/memory.ts
@@ -29,7 +29,7 @@
   const programs = many.map((x) => x / 2);
   const w = newWorld();
   const runtime = w.runtime(w.host('10.2.0.1', 'z0'));
-  const group: Group = { mark: 1, members: [{ id: 'k0', at: '10.2.0.1:1' }] };
+  const group: Group = { version: 1, members: [{ id: 'k0', at: '10.2.0.1:1' }] };
   void rpc.open(runtime, '10.2.0.1:1').then(async (p) => {
     await store.open({
       runtime: { ...runtime, disk: nowhere },
--- a/tools/simulation/src/measurement/capacity/registers.ts
+++ b/tools/simulation/src/measurement/capacity/registers.ts
@@ -6,7 +6,10 @@
 import type { World } from '../../world/index.js';
 
 export const storeGroup = (w: World, n: number): Group => {
-  const group = { mark: 1, members: Array.from({ length: n }, (_, i) => ({ id: `k${i}`, at: `10.2.0.${i + 1}:1` })) };
+  const group = {
+    version: 1,
+    members: Array.from({ length: n }, (_, i) => ({ id: `k${i}`, at: `10.2.0.${i + 1}:1` })),
+  };
   for (const [i, m] of group.members.entries()) {
     const runtime = w.runtime(w.host(`10.2.0.${i + 1}`, `z${i}`));
     void rpc
@@ -29,7 +32,7 @@
 };
 
 export const written =
-  (value: unknown) => (): { held: { value: unknown; until: Microseconds }; result: undefined } => ({
-    held: { value, until: 9e15 },
+  (value: unknown) => (): { stored: { value: unknown; expiresAt: Microseconds }; result: undefined } => ({
+    stored: { value, expiresAt: 9e15 },
     result: undefined,
   });
--- a/tools/simulation/src/measurement/registers.ts
+++ b/tools/simulation/src/measurement/registers.ts
@@ -31,7 +31,7 @@
   ],
 });
 const keep = (value: unknown) => (_v: unknown, w: { max: Microseconds }) => ({
-  held: { value, until: w.max + duration.s(60) },
+  stored: { value, expiresAt: w.max + duration.s(60) },
   result: undefined,
 });
 type Work = { change: (key: string, value: unknown) => Promise<void> };
@@ -70,7 +70,7 @@
     diskTime: Math.round(o.syncTime / 0.6),
   });
   const at = (i: number): string => `127.0.2.${i}:7101`;
-  const group: Group = { mark: 1, members: ids.map((i) => ({ id: `k${i}`, at: at(i) })) };
+  const group: Group = { version: 1, members: ids.map((i) => ({ id: `k${i}`, at: at(i) })) };
   for (const i of ids) {
     const host = w.host(`127.0.2.${i}`, `z${i}`);
     const runtime = w.runtime(host);
@@ -184,7 +184,7 @@
     await Promise.all(children.map(isUp));
     const runtime: Runtime = real.runtime(folder);
     const p = await rpc.open(runtime, benchAddress(9));
-    const group: Group = { mark: 1, members: ids.map((i) => ({ id: `k${i}`, at: benchAddress(i) })) };
+    const group: Group = { version: 1, members: ids.map((i) => ({ id: `k${i}`, at: benchAddress(i) })) };
     const regs = registers.open({ runtime, rpc: p, by: 'bench', group: () => group });
     const took: number[] = [];
     let failed = 0;
--- a/tools/simulation/src/repair-load.ts
+++ b/tools/simulation/src/repair-load.ts
@@ -31,7 +31,7 @@
     try {
       await node.registers.change(
         key,
-        () => ({ held: { value: key, until: keptUntil }, result: true }),
+        () => ({ stored: { value: key, expiresAt: keptUntil }, result: true }),
         duration.s(2),
         {
           fresh: true,
--- a/tools/simulation/test/registers.test.ts
+++ b/tools/simulation/test/registers.test.ts
@@ -87,7 +87,7 @@
   };
   for (const k of places) void boot(k.host, k.at, k.id);
   const members = (ids: number[]): Group['members'] => ids.map((i) => ({ id: `k${i}`, at: `127.0.2.${i}:7101` }));
-  let group: Group = { mark: 1, members: members([1, 2, 3]) };
+  let group: Group = { version: 1, members: members([1, 2, 3]) };
   // An edge hears of a new group late, and meanwhile uses the old one.
   const old = group;
   const lag = [0, 1, 2].map((e) => (e === 0 || !o.regroup ? 0 : w.rand.int(duration.s(3))));
@@ -132,7 +132,7 @@
       void e!
         .change(
           'warm',
-          (_v, x) => ({ held: { value: 1, until: x.max + duration.s(9999) }, result: 0 }),
+          (_v, x) => ({ stored: { value: 1, expiresAt: x.max + duration.s(9999) }, result: 0 }),
           duration.ms(40),
         )
         .catch(() => undefined);
@@ -149,7 +149,7 @@
         key,
         (v, x) => {
           const list = (v as string[] | undefined) ?? [];
-          return { held: { value: [...list, op.id], until: x.max + duration.s(9999) }, result: list };
+          return { stored: { value: [...list, op.id], expiresAt: x.max + duration.s(9999) }, result: list };
         },
         duration.ms(700),
         { fresh: o.fresh === true },
@@ -219,7 +219,7 @@
       });
   const { clock } = w.runtime(w.host('127.0.8.9', 'z1'));
   const pass = (all: boolean): Promise<SweepResult> =>
-    sweep.pass({ clock, rpc: pipes[0]!, registers: edges[0]!, group, all, pause: 0, still: () => true });
+    sweep.pass({ clock, rpc: pipes[0]!, registers: edges[0]!, group, all, pause: 0, shouldContinue: () => true });
   if (o.fresh) {
     // The group is swept, filled and then changed again: 4 joins, 1 leaves, comes back with its old disk, 2 leaves.
     const groups = o.regroup
@@ -238,7 +238,7 @@
         const r = await pass(swept !== mark);
         if (r.complete) swept = mark;
         const next = groups[mark - 1];
-        if (r.complete && next && i % 3 === 2) group = { mark: ++mark, members: members(next) };
+        if (r.complete && next && i % 3 === 2) group = { version: ++mark, members: members(next) };
         await time.sleep(clock, duration.ms(60));
       }
     };
@@ -248,9 +248,9 @@
   } else if (o.regroup) {
     // Add k4, settle every key under the new mark, take k1 out, settle again.
     const step = async (): Promise<void> => {
-      group = { mark: 2, members: members([1, 2, 3, 4]) };
+      group = { version: 2, members: members([1, 2, 3, 4]) };
       for (const k of all) await edges[0]!.settleKey(k, duration.s(3));
-      group = { mark: 3, members: members([2, 3, 4]) };
+      group = { version: 3, members: members([2, 3, 4]) };
       for (const k of all) await edges[0]!.settleKey(k, duration.s(3));
       w.kill(places[0]!.host, 'disk');
     };
@@ -377,7 +377,7 @@
     const p = await rpc.open(runtime, at(i));
     return store.open({ runtime, rpc: p, durable: await durableStore.open(runtime.disk), freshId: `k${i}` });
   };
-  let group: Group = { mark: 0, members: [] };
+  let group: Group = { version: 0, members: [] };
   const runtime = w.runtime(w.host('127.0.1.1', 'z1'));
   let done = '';
   const story = async (): Promise<void> => {
@@ -389,10 +389,10 @@
       boot,
       hosts,
       group: (mark, ids) => {
-        group = { mark, members: ids.map((i) => ({ id: `k${i}`, at: at(i) })) };
+        group = { version: mark, members: ids.map((i) => ({ id: `k${i}`, at: at(i) })) };
       },
       pass: (all) =>
-        sweep.pass({ clock: runtime.clock, rpc: p, registers: regs, group, all, pause: 0, still: () => true }),
+        sweep.pass({ clock: runtime.clock, rpc: p, registers: regs, group, all, pause: 0, shouldContinue: () => true }),
       wait: (t) =>
         new Promise((fin) => {
           w.scheduleAt(w.now() + t, fin);
@@ -414,7 +414,7 @@
     for (const i of [1, 2, 4]) await boot(i);
     group(1, [1, 2, 3]);
     for (let i = 0; i < 300; i++)
-      await regs.change(`k${i}`, (_v, x) => ({ held: { value: i, until: x.max + duration.s(9999) }, result: 0 }));
+      await regs.change(`k${i}`, (_v, x) => ({ stored: { value: i, expiresAt: x.max + duration.s(9999) }, result: 0 }));
     await boot(3);
     group(2, [1, 2, 3, 4]);
     const a = await pass(true);
@@ -432,7 +432,7 @@
     for (const i of [1, 2, 3]) await boot(i);
     group(1, [1, 2, 3]);
     const write = (k: string): Promise<number> =>
-      regs.change(k, (_v, x) => ({ held: { value: k, until: x.max + duration.s(99_999) }, result: 0 }));
+      regs.change(k, (_v, x) => ({ stored: { value: k, expiresAt: x.max + duration.s(99_999) }, result: 0 }));
     for (let i = 0; i < 200; i++) await write(`k${i}`);
     await wait(duration.s(1));
     assert.equal(await pass(false).then((r) => [r.complete, r.ranges, r.seen]), [true, 0, 0]);
@@ -441,7 +441,7 @@
     w.start(hosts[2]!);
     await boot(3);
     const r = await pass(false);
-    assert.ok(r.complete && r.ranges >= 1 && r.ranges <= 3 && r.mended === 3, JSON.stringify(r));
+    assert.ok(r.complete && r.ranges >= 1 && r.ranges <= 3 && r.repaired === 3, JSON.stringify(r));
     await wait(duration.s(1));
     assert.is((await pass(false)).ranges, 0);
     w.kill(hosts[0]!, 'disk');
@@ -453,7 +453,7 @@
     for (const i of [1, 2, 3]) await boot(i);
     group(1, [1, 2, 3]);
     const write = (v: string, keep: number): Promise<number> =>
-      regs.change('k', (_v, x) => ({ held: { value: v, until: x.max + keep }, result: 0 }));
+      regs.change('k', (_v, x) => ({ stored: { value: v, expiresAt: x.max + keep }, result: 0 }));
     await write('old', duration.s(3000));
     await wait(duration.s(1));
     // store3 misses the last value, which expires first.
--- a/tools/simulation/test/sizes.test.ts
+++ b/tools/simulation/test/sizes.test.ts
@@ -40,7 +40,12 @@
 const fill = async (s: Stage): Promise<void> => {
   const put = async (runtime: Runtime): Promise<void> => {
     const durable = await durableStore.open(runtime.disk);
-    const copy = { promised: [1, 'e'], accepted: [1, 'e'], held: { value: 1, until: 9e15, ops: ['e.1'] }, touched: 1 };
+    const copy = {
+      promised: [1, 'e'],
+      accepted: [1, 'e'],
+      stored: { value: 1, expiresAt: 9e15, ops: ['e.1'] },
+      touched: 1,
+    };
     await durable.write('identity', 1, { id: 'k1' });
     await Promise.all(Array.from({ length: count }, (_, i) => durable.write(`reg:${keyOf(i)}`, 1, copy)));
   };
@@ -60,7 +65,7 @@
   assert.ok(s.w.now() - begun < duration.s(12), 'the start does not fit into the time to serve again');
   assert.is(s.stores.get(1)!.size(), count);
   const runtime = s.w.runtime(s.w.host('127.0.1.1', 'z1'));
-  let group: Group = { mark: 1, members: [1, 2, 3].map((i) => ({ id: `k${i}`, at: at(i) })) };
+  let group: Group = { version: 1, members: [1, 2, 3].map((i) => ({ id: `k${i}`, at: at(i) })) };
   const got: { p?: Rpc; regs?: Registers; pass?: SweepResult } = {};
   void rpc.open(runtime, '127.0.1.1:7101').then((p) => {
     got.p = p;
@@ -69,7 +74,15 @@
   await s.w.run(s.w.now() + duration.ms(50));
   const pass = async (all: boolean, limit: number): Promise<SweepResult> => {
     delete got.pass;
-    const o = { clock: runtime.clock, rpc: got.p!, registers: got.regs!, group, all, pause: 0, still: () => true };
+    const o = {
+      clock: runtime.clock,
+      rpc: got.p!,
+      registers: got.regs!,
+      group,
+      all,
+      pause: 0,
+      shouldContinue: () => true,
+    };
     void sweep.pass(o).then((r) => (got.pass = r));
     const end = s.w.now() + limit;
     while (!got.pass && s.w.now() < end) await s.w.run(s.w.now() + duration.ms(50));
@@ -82,9 +95,9 @@
   s.w.kill(s.hosts[2]!, 'disk');
   void s.boot(4);
   await s.w.run(s.w.now() + duration.s(1));
-  group = { mark: 2, members: [1, 2].map((i) => ({ id: `k${i}`, at: at(i) })) };
+  group = { version: 2, members: [1, 2].map((i) => ({ id: `k${i}`, at: at(i) })) };
   const out = await pass(true, duration.s(12));
-  group = { mark: 3, members: [1, 2, 4].map((i) => ({ id: `k${i}`, at: at(i) })) };
+  group = { version: 3, members: [1, 2, 4].map((i) => ({ id: `k${i}`, at: at(i) })) };
   const joined = await pass(true, duration.s(12));
   assert.ok(out.complete && joined.complete);
   assert.ok(
--- a/tools/simulation/test/sweep.test.ts
+++ b/tools/simulation/test/sweep.test.ts
@@ -10,7 +10,7 @@
 const count = 300;
 const at = (i: number): string => `127.0.2.${i}:7101`;
 const groupOf = (mark: number, members: number[]): Group => ({
-  mark,
+  version: mark,
   members: members.map((i) => ({ id: `k${i}`, at: at(i) })),
 });
 
@@ -34,7 +34,7 @@
   await w.run(duration.s(1));
   for (let i = 0; i < count; i++)
     void regs
-      .change(`key/${i}`, () => ({ held: { value: i, until: 9e15 }, result: true }), duration.s(3))
+      .change(`key/${i}`, () => ({ stored: { value: i, expiresAt: 9e15 }, result: true }), duration.s(3))
       .then(() => (written += 1));
   await w.run(w.now() + duration.s(5));
   assert.is(written, count);
@@ -45,7 +45,7 @@
   let done: SweepResult | undefined;
   let took = Infinity;
   void sweep
-    .pass({ clock: runtime.clock, rpc: p, registers: regs, group, all: true, pause: 0, still: () => true })
+    .pass({ clock: runtime.clock, rpc: p, registers: regs, group, all: true, pause: 0, shouldContinue: () => true })
     .then((r) => {
       done = r;
       took = w.now() - begun;
