--- a/packages/consensus/src/actions.ts
+++ b/packages/consensus/src/actions.ts
@@ -1,4 +1,4 @@
-// What several parts of the state machine do: send a request, ask for a write, learn of a commit (§3.3).
+/** What several parts of the state machine do: send a request, ask for a write, learn of a commit (§3.3). */
 import { invariant, type Address, type Microseconds } from '@thornsail/runtime';
 import { isNewer } from './quorum.js';
 import { changeRole } from './role.js';
--- a/packages/consensus/src/configuration.ts
+++ b/packages/consensus/src/configuration.ts
@@ -56,16 +56,16 @@
 const presentFor = (state: AgreedState, push: Push): number =>
   push.revision === undefined ? state.config.mark : (state.config.revision ?? 0);
 
-/** Of what was accepted without a receipt, by a release before this one, nothing but the kept ids is known. */
+/** Of what was accepted without a receipt, by a release before this one, nothing but the recorded ids is known. */
 const receiptsOf = (state: AgreedState): Receipts => {
   const { mark, revision = 0 } = state.config;
-  const kept = state.receipts;
-  if (kept?.mark === mark) return kept;
+  const recorded = state.receipts;
+  if (recorded?.mark === mark) return recorded;
   return {
     mark,
     forgotten: { base: revision - 1, mark },
-    accepted: kept?.accepted ?? [],
-    refused: kept?.refused ?? [],
+    accepted: recorded?.accepted ?? [],
+    refused: recorded?.refused ?? [],
   };
 };
 const withAccepted = (receipts: Receipts, receipt: Receipt): Receipts => {
@@ -83,8 +83,8 @@
 /** What is known of a push before it is judged: null where it is new, or may be accepted. */
 const known = (state: AgreedState, push: Push): PushResult | null => {
   const { mark } = state.config;
-  const kept = state.pushes.find((earlier) => earlier.id === push.id);
-  if (kept) return { ok: true, mark: kept.mark, repeated: true };
+  const earlierPush = state.pushes.find((earlier) => earlier.id === push.id);
+  if (earlierPush) return { ok: true, mark: earlierPush.mark, repeated: true };
   const receipts = receiptsOf(state);
   const digest = digestOf(push);
   const same = receipts.accepted.find((receipt) => receipt.endsWith(` ${digest}`));
--- a/packages/consensus/src/core.ts
+++ b/packages/consensus/src/core.ts
@@ -1,6 +1,6 @@
 /**
  * A coordinator's part of the core (§3.3): the consensus group over the agreed state, the operations that it serves,
- * and the duties of its leader.
+ * and the tasks of its leader.
  */
 import type { DurableStore } from '@thornsail/durable-files';
 import type { Rpc } from '@thornsail/rpc';
@@ -8,8 +8,8 @@
 import type { UsedVersion } from './confirmation.js';
 import { coreCodec, coreRequestName, type EncodedRequest } from './core-messages.js';
 import { consensus, type Consensus } from './driver.js';
-import { groupDuties } from './group-duties.js';
-import { leaderDuties } from './leader-duties.js';
+import { groupMaintenance } from './group-maintenance.js';
+import { leaderTasks } from './leader-tasks.js';
 import { serveRequest, type OperationOptions } from './operations.js';
 import { agreedState, type AgreedState } from './agreed-state.js';
 import { rulings } from './rulings.js';
@@ -81,9 +81,9 @@
     });
     const failures = rulings.open({ clock, suspectFor: settings.suspectFor });
     const { replaceAfter, leastStores } = settings;
-    const duties = groupDuties.open({ clock, consensus: group, sizes: settings, replaceAfter, log });
-    listen(rpc, founders, { clock, consensus: group, failures, duties, leastStores, usedVersion, news });
-    const leader = leaderDuties.open({ clock, consensus: group, failures, duties, onLead, log });
+    const maintenance = groupMaintenance.open({ clock, consensus: group, sizes: settings, replaceAfter, log });
+    listen(rpc, founders, { clock, consensus: group, failures, maintenance, leastStores, usedVersion, news });
+    const leader = leaderTasks.open({ clock, consensus: group, failures, maintenance, onLead, log });
     onAgreed = leader.onCommit;
     return {
       consensus: group,
--- a/packages/consensus/src/driver.ts
+++ b/packages/consensus/src/driver.ts
@@ -1,4 +1,6 @@
-// Runs the consensus state machine (§3.3): carries out its effects over RPC and disk, and feeds it what comes of them.
+/**
+ * Runs the consensus state machine (§3.3): carries out its effects over RPC and disk, and feeds it what comes of them.
+ */
 import { fault, time, duration, type Runtime, type Address, type Microseconds } from '@thornsail/runtime';
 import { recoverFolder, type DurableStore } from '@thornsail/durable-files';
 import type { Rpc } from '@thornsail/rpc';
@@ -177,7 +179,7 @@
 };
 
 const serve = <S>(io: Io<S>): void => {
-  const shapes = wire.requestShapes(io.codec);
+  const shapes = wire.requestValidators(io.codec);
   for (const kind of Object.keys(wire.requestNames) as RequestMessage<S>['kind'][])
     io.options.rpc.on<unknown>(wire.requestNames[kind], shapes[kind], async (body, from) => {
       const message = wire.decodeRequest<S>(kind, body, io.codec);
--- a/packages/consensus/src/election.ts
+++ b/packages/consensus/src/election.ts
@@ -1,4 +1,4 @@
-// Elections (§3.3): a pre-vote that changes nothing, a vote that does, and the new leader's first version.
+/** Elections (§3.3): a pre-vote that changes nothing, a vote that does, and the new leader's first version. */
 import { abandonElection, log, otherMembers, send, writeSnapshot, writeTerm } from './actions.js';
 import { replicate } from './leader.js';
 import { hasQuorum, isNewer } from './quorum.js';
--- a/packages/consensus/src/follower.ts
+++ b/packages/consensus/src/follower.ts
@@ -1,4 +1,4 @@
-// What every member does when another asks (§3.3): accept a version, hear a leader, vote, be formed.
+/** What every member does when another asks (§3.3): accept a version, hear a leader, vote, be formed. */
 import { abandonElection, commit, writeSnapshot, writeTerm } from './actions.js';
 import { stepDown } from './leader.js';
 import { isNewer } from './quorum.js';
--- a/packages/consensus/src/founding.ts
+++ b/packages/consensus/src/founding.ts
@@ -1,4 +1,6 @@
-// The first group (§3.3): formed by the founder with the lowest address, only when all are there and none is a member.
+/**
+ * The first group (§3.3): formed by the founder with the lowest address, only when all are there and none is a member.
+ */
 import { send } from './actions.js';
 import { formGroup } from './follower.js';
 import type { Address } from '@thornsail/runtime';
--- a/packages/consensus/src/group-duties.ts
+++ b/packages/consensus/src/group-maintenance.ts
@@ -1,5 +1,7 @@
-// The leader's duties to the two groups (§3.3, §6.5): it forms the store group, and takes one step of repair after
-// another, each as soon as the one before is agreed on.
+/**
+ * The leader's upkeep of the two groups (§3.3, §6.5): it forms the store group, and takes one step of repair after
+ * another, each as soon as the one before is agreed on.
+ */
 import type { Clock, Microseconds } from '@thornsail/runtime';
 import { storeGroup } from './store-group.js';
 import { agreedState, type NodeEntry, type AgreedState } from './agreed-state.js';
@@ -10,14 +12,14 @@
 
 /** How many members each group should have. */
 export type GroupSizes = { stores: number; coordinators: number };
-/** The duties as the leader runs them. */
-export type GroupDuties = {
+/** The upkeep as the leader runs it. */
+export type GroupMaintenance = {
   /** Takes the steps that are due, until there is none; a call while one runs makes it look once more. */
   act: () => Promise<void>;
   /** Whether the store group's last change is complete and no further one is due (§6.5). */
   storesRepaired: (state: AgreedState) => boolean;
 };
-type DutyOptions = {
+type MaintenanceOptions = {
   clock: Clock;
   consensus: Consensus<AgreedState>;
   sizes: GroupSizes;
@@ -25,7 +27,7 @@
   replaceAfter: Microseconds;
   log: (text: string) => void;
 };
-type Duty = (version: Snapshot<AgreedState>) => Promise<boolean>;
+type Task = (version: Snapshot<AgreedState>) => Promise<boolean>;
 
 const memberOf = (node: NodeEntry): Member => ({ id: node.id, at: node.place });
 
@@ -35,8 +37,8 @@
   coordinators: (state: AgreedState, members: Member[]) => ReplicaGroup;
 };
 /**
- * The leader hears the coordinators itself, and sooner than the roster says so: one that answers is not removed, and
- * one that does not is no part of the majority that a change relies on. One that is gone stays gone.
+ * The leader hears the coordinators itself, and sooner than the agreed state says so: one that answers is not removed,
+ * and one that does not is no part of the majority that a change relies on. One that is gone stays gone.
  */
 const conditionByContact = (condition: Condition, isInTouch: boolean): Condition => {
   if (isInTouch && (condition === 'silent' || condition === 'overdue')) return 'serving';
@@ -70,7 +72,7 @@
 };
 
 const storeFormation =
-  ({ consensus, sizes }: DutyOptions): Duty =>
+  ({ consensus, sizes }: MaintenanceOptions): Task =>
   async ({ state }) => {
     const live = agreedState.liveNodes(state, 'store').filter((node) => node.status === 'live');
     if (state.storeGroup.mark !== 0 || live.length < sizes.stores) return false;
@@ -79,7 +81,7 @@
     return true;
   };
 
-const logStep = ({ log }: DutyOptions, role: string, state: AgreedState, step: RepairStep): void => {
+const logStep = ({ log }: MaintenanceOptions, role: string, state: AgreedState, step: RepairStep): void => {
   const name = state.nodes[step.id]?.name ?? '';
   log(`${role} ${name} (${step.id}): ${step.change} in its group, ${step.why}.`);
 };
@@ -90,7 +92,7 @@
 };
 
 const storeRepair =
-  (options: DutyOptions, reader: GroupReader): Duty =>
+  (options: MaintenanceOptions, reader: GroupReader): Task =>
   async ({ state }) => {
     const step = repair.next(reader.stores(state));
     if (!step) return false;
@@ -105,7 +107,7 @@
   };
 
 const coordinatorRepair =
-  (options: DutyOptions, reader: GroupReader): Duty =>
+  (options: MaintenanceOptions, reader: GroupReader): Task =>
   async (version) => {
     const step = repair.next(reader.coordinators(version.state, version.members));
     if (!step) return false;
@@ -140,17 +142,17 @@
   };
 };
 
-/** Opens the duties to both groups. They act on the leader alone. */
-export const groupDuties = {
-  open: (options: DutyOptions): GroupDuties => {
+/** Opens the upkeep of both groups. It acts on the leader alone. */
+export const groupMaintenance = {
+  open: (options: MaintenanceOptions): GroupMaintenance => {
     const { consensus, sizes } = options;
     const reader = groupReader(presence.open(options), sizes, consensus.isInTouch);
-    const duties = [storeFormation(options), storeRepair(options, reader), coordinatorRepair(options, reader)];
+    const tasks = [storeFormation(options), storeRepair(options, reader), coordinatorRepair(options, reader)];
     /** One step for each group; false if nothing was due. */
     const once = async (): Promise<boolean> => {
       const version = consensus.committed();
       if (consensus.role() !== 'leader' || !version) return false;
-      const taken = await Promise.all(duties.map((duty) => duty(version)));
+      const taken = await Promise.all(tasks.map((task) => task(version)));
       return taken.includes(true);
     };
     return {
--- a/packages/consensus/src/leader-duties.ts
+++ b/packages/consensus/src/leader-tasks.ts
@@ -2,33 +2,33 @@
 import { duration, fault, time, type Clock } from '@thornsail/runtime';
 import type { Consensus } from './driver.js';
 import { consensusErrors } from './errors.js';
-import type { GroupDuties } from './group-duties.js';
+import type { GroupMaintenance } from './group-maintenance.js';
 import { agreedState, type AgreedState } from './agreed-state.js';
 import type { Rulings } from './rulings.js';
 
-/** What the duties work on. */
-export type LeaderDutyOptions = {
+/** What the tasks work on. */
+export type LeaderTaskOptions = {
   clock: Clock;
   consensus: Consensus<AgreedState>;
   failures: Rulings;
-  duties: GroupDuties;
+  maintenance: GroupMaintenance;
   /** Told now and then, with a growing number, while a majority confirms this leader. */
   onLead?: (version: number) => void;
   log: (text: string) => void;
 };
-/** The duties as they run; on a member that does not lead they do nothing. */
-export type LeaderDuties = {
+/** The tasks as they run; on a member that does not lead they do nothing. */
+export type LeaderTasks = {
   /** What is agreed on may make a step due: a loss, a return, a sweep that is complete. */
   onCommit: () => void;
   close: () => void;
 };
 
 const announceInterval = duration.ms(500);
-const dutyInterval = duration.ms(200);
+const taskInterval = duration.ms(200);
 /** Announcements of a later term have higher numbers. */
 const announcementsInTerm = 1e9;
 
-const ruleOnFailures = async ({ clock, consensus, failures, log }: LeaderDutyOptions): Promise<void> => {
+const ruleOnFailures = async ({ clock, consensus, failures, log }: LeaderTaskOptions): Promise<void> => {
   const version = consensus.committed();
   if (consensus.role() !== 'leader' || !version) return;
   for (const { entry, watchers } of failures.due(version.state)) {
@@ -39,17 +39,17 @@
 
 /** A loss of the lead in between is no failure: the next leader does what is due. */
 const loggingFailures =
-  (log: LeaderDutyOptions['log'], duty: () => Promise<void>): (() => Promise<void>) =>
+  (log: LeaderTaskOptions['log'], task: () => Promise<void>): (() => Promise<void>) =>
   async () => {
     try {
-      await duty();
+      await task();
     } catch (error) {
       if (!consensusErrors.is(error, 'not-leader', 'outcome-unknown')) log(`a duty failed: ${fault.text(error)}.`);
     }
   };
 
 /** A gateway that hears the leader's announcements gets every configuration in time (§7.2). */
-const announcer = ({ consensus, onLead }: LeaderDutyOptions): (() => void) => {
+const announcer = ({ consensus, onLead }: LeaderTaskOptions): (() => void) => {
   let announced = 0;
   return () => {
     if (!consensus.isLeaseValid() || !onLead) return;
@@ -58,19 +58,19 @@
   };
 };
 
-/** Starts the duties of the leader. */
-export const leaderDuties = {
-  open: (options: LeaderDutyOptions): LeaderDuties => {
+/** Starts the tasks of the leader. */
+export const leaderTasks = {
+  open: (options: LeaderTaskOptions): LeaderTasks => {
     const { clock, log } = options;
-    const repair = loggingFailures(log, options.duties.act);
+    const repair = loggingFailures(log, options.maintenance.act);
     const stops = [
       time.every(clock, announceInterval, announcer(options)),
       time.every(
         clock,
-        dutyInterval,
+        taskInterval,
         loggingFailures(log, () => ruleOnFailures(options)),
       ),
-      time.every(clock, dutyInterval, repair),
+      time.every(clock, taskInterval, repair),
     ];
     return {
       onCommit: () => void repair(),
--- a/packages/consensus/src/leader.ts
+++ b/packages/consensus/src/leader.ts
@@ -1,4 +1,6 @@
-// The leader (§3.3): replicates one version at a time, confirms itself by heartbeats, answers reads, and steps down.
+/**
+ * The leader (§3.3): replicates one version at a time, confirms itself by heartbeats, answers reads, and steps down.
+ */
 import { invariant } from '@thornsail/runtime';
 import { commit, log, otherMembers, send, writeSnapshot } from './actions.js';
 import type { RefusalCode } from './errors.js';
--- a/packages/consensus/src/operations.ts
+++ b/packages/consensus/src/operations.ts
@@ -6,7 +6,7 @@
 import type { Consensus } from './driver.js';
 import { consensusErrors } from './errors.js';
 import { storeGroup } from './store-group.js';
-import type { GroupDuties } from './group-duties.js';
+import type { GroupMaintenance } from './group-maintenance.js';
 import { agreedState, type AgreedState } from './agreed-state.js';
 import type { Rulings } from './rulings.js';
 
@@ -15,7 +15,7 @@
   clock: Clock;
   consensus: Consensus<AgreedState>;
   failures: Rulings;
-  duties: Pick<GroupDuties, 'storesRepaired'>;
+  maintenance: Pick<GroupMaintenance, 'storesRepaired'>;
   /** A drain never leaves fewer stores than this. */
   leastStores: number;
   /** Where there is none, a push is acknowledged once it is committed. */
@@ -40,9 +40,9 @@
   return { index, result: { ok: false, why: 'unconfirmed', mark: result.mark, gateways: confirmation.gateways } };
 };
 
-const read = async ({ consensus, duties, news }: OperationOptions): Promise<Outcome> => {
+const read = async ({ consensus, maintenance, news }: OperationOptions): Promise<Outcome> => {
   const { term, index, members, state } = await consensus.readAgreed();
-  const repaired = duties.storesRepaired(state);
+  const repaired = maintenance.storesRepaired(state);
   return { index, result: { state, term, members, news: news?.() ?? null, repaired } };
 };
 
--- a/packages/consensus/src/own-write-limit.ts
+++ b/packages/consensus/src/own-write-limit.ts
@@ -1,5 +1,7 @@
-// How long a leader waits for its own disk (§3.3): one that stalls must not hold up the whole group, and one that is
-// merely slow, as all of them may be, must not make the group change its leader with every write.
+/**
+ * How long a leader waits for its own disk (§3.3): one that stalls must not hold up the whole group, and one that is
+ * merely slow, as all of them may be, must not make the group change its leader with every write.
+ */
 import { duration, type Microseconds } from '@thornsail/runtime';
 
 /** Two syncs of 12 ms, thirty times slower. */
--- a/packages/consensus/src/presence.ts
+++ b/packages/consensus/src/presence.ts
@@ -1,5 +1,7 @@
-// In which condition the members of a group are (§3.3, §6.5): read from the roster, and from how long this leader has
-// missed them by its own clock.
+/**
+ * In which condition the members of a group are (§3.3, §6.5): read from the agreed list of nodes, and from how long this
+ * leader has missed them by its own clock.
+ */
 import { duration, type Clock, type Microseconds } from '@thornsail/runtime';
 import type { Condition } from './repair.js';
 import { agreedState, type NodeEntry, type NodeRole, type AgreedState } from './agreed-state.js';
--- a/packages/consensus/src/quorum.ts
+++ b/packages/consensus/src/quorum.ts
@@ -1,4 +1,4 @@
-// Quorums and the order of versions (§3.3).
+/** Quorums and the order of versions (§3.3). */
 import type { Member, Snapshot } from './types.js';
 
 /** The smallest number that is more than half of `size`. */
--- a/packages/consensus/src/repair.ts
+++ b/packages/consensus/src/repair.ts
@@ -1,5 +1,7 @@
-// What a group of replicas needs next (§3.3, §6.5): a pure decision, the same for coordinators and for stores. It
-// sees the members with their conditions and the spares, and gives one change of one member, or none.
+/**
+ * What a group of replicas needs next (§3.3, §6.5): a pure decision, the same for coordinators and for stores. It
+ * sees the members with their conditions and the spares, and gives one change of one member, or none.
+ */
 
 /**
  * `serving` may be asked; `leaving` serves, and is to be replaced; `silent` does not answer, and may come back with its
--- a/packages/consensus/src/replica.ts
+++ b/packages/consensus/src/replica.ts
@@ -1,5 +1,7 @@
-// The consensus state machine of one member (§3.3). It does no I/O: events go in, effects come out, and the state it is
-// given is all that it changes. `driver.ts` carries the effects out; the model test does so in every order.
+/**
+ * The consensus state machine of one member (§3.3). It does no I/O: events go in, effects come out, and the state it is
+ * given is all that it changes. `driver.ts` carries the effects out; the model test does so in every order.
+ */
 import { duration, type Address, type Microseconds } from '@thornsail/runtime';
 import { applyWritten } from './actions.js';
 import { electionDelay, onElectionWriteFailed, onPreVoteReply, onVoteReply } from './election.js';
--- a/packages/consensus/src/role.ts
+++ b/packages/consensus/src/role.ts
@@ -1,4 +1,4 @@
-// The roles of a replica and the transitions between them (§3.3).
+/** The roles of a replica and the transitions between them (§3.3). */
 import { createMachine, interpret, state, transition } from 'robot3';
 import type { Role, Step } from './types.js';
 
--- a/packages/consensus/src/types.ts
+++ b/packages/consensus/src/types.ts
@@ -1,4 +1,4 @@
-// Types of the consensus state machine (§3.3): its durable state, the events it takes and the effects it asks for.
+/** Types of the consensus state machine (§3.3): its durable state, the events it takes and the effects it asks for. */
 import type { Address, Microseconds } from '@thornsail/runtime';
 import type { RefusalCode } from './errors.js';
 
--- a/packages/consensus/src/wire.ts
+++ b/packages/consensus/src/wire.ts
@@ -1,5 +1,7 @@
-// The form that consensus messages and documents have between nodes and on disk (§3.3, §3.4). It is that of the release
-// before: `view` is the term, `seq` the index.
+/**
+ * The form that consensus messages and documents have between nodes and on disk (§3.3, §3.4). It is that of the release
+ * before: `view` is the term, `seq` the index.
+ */
 import { address } from '@thornsail/runtime';
 import { validate, type Validator } from '@thornsail/rpc';
 import type { Member, ReplyMessage, RequestMessage, Snapshot } from './types.js';
@@ -66,7 +68,7 @@
 type HeartbeatBody = { to: string; view: number; doneSeq: number };
 
 /** The validators of the bodies of requests, by kind. */
-export const requestShapes = <S>(codec: StateCodec<S>): Record<RequestKind, Validator> => ({
+export const requestValidators = <S>(codec: StateCodec<S>): Record<RequestKind, Validator> => ({
   append: validate.object({
     to: validate.string,
     v: (body: unknown) => isEncodedSnapshot(body) && codec.isValid((body as EncodedSnapshot).state),
