--- a/tools/simulation/src/measurement/capacity/keeping.ts
+++ b/tools/simulation/src/measurement/capacity/keeping.ts
@@ -3,9 +3,9 @@
 import { spawn } from 'node:child_process';
 import { mkdtempSync, rmSync } from 'node:fs';
 import { tmpdir } from 'node:os';
-import { type Group, registers } from '@thornsail/register-store';
+import { type Group, type Registers, registers } from '@thornsail/register-store';
 import { rpc } from '@thornsail/rpc';
-import { real, duration } from '@thornsail/runtime';
+import { type Microseconds, duration, real } from '@thornsail/runtime';
 import type { Point } from '../fit.js';
 import { benchAddress, isUp } from '../registers.js';
 import { cpu } from './cost.js';
@@ -15,42 +15,62 @@
 
 type Usage = { cpu: { user: number; system: number } };
 
+const callTimeout: Microseconds = duration.s(5);
+/** Changes that are under way at a time. */
+const concurrentChanges = 16;
+/** Registers that the changes of one size go to. */
+const registerCount = 100;
+const valueText = 'say it "so" ';
+const bytesPerRepeat = 14;
+const sizesInKb = [1, 4, 16, 40];
+/** Time for the store to read that it is to end, in milliseconds. */
+const endWithin = 100;
+
+/** Changes registers `count` times to a value of so many KB. */
+const changeAll = async (store: Registers, kb: number, count: number): Promise<void> => {
+  const value = { text: valueText.repeat(Math.round((kb * 1000) / bytesPerRepeat)) };
+  let next = 0;
+  const work = async (): Promise<void> => {
+    for (let n = next++; n < count; n = next++)
+      await store.change(`k${kb}-${n % registerCount}`, written(value), callTimeout);
+  };
+  await Promise.all(Array.from({ length: concurrentChanges }, work));
+};
+
+type Costs = { atStore: Point[]; atGateway: Point[] };
+/** Processor time of one change by size, at the store's process and at this one. */
+const costsBySize = async (store: Registers, used: () => Promise<number>, changes: number): Promise<Costs> => {
+  const costs: Costs = { atStore: [], atGateway: [] };
+  await changeAll(store, 1, changes);
+  for (const kb of sizesInKb) {
+    const [usedBefore, ownBefore] = [await used(), cpu()];
+    await changeAll(store, kb, changes);
+    costs.atGateway.push([kb, (cpu() - ownBefore) / changes]);
+    costs.atStore.push([kb, ((await used()) - usedBefore) / changes]);
+  }
+  return costs;
+};
+
+/** Register changes at a store in a process of its own. */
 export const keeping: Part = async (sizes) => {
   const folder = mkdtempSync(path.join(tmpdir(), 'thornsail-capacity-'));
   const at = benchAddress(11);
   const args = [path.join(here, '../registers-cli.js'), '--store', '11', path.join(folder, 'k'), at];
-  const c = spawn(process.execPath, args, { stdio: ['ignore', 'pipe', 'ignore'] });
+  const child = spawn(process.execPath, args, { stdio: ['ignore', 'pipe', 'ignore'] });
   try {
-    await isUp(c);
+    await isUp(child);
     const runtime = real.runtime(folder);
-    const p = await rpc.open(runtime, benchAddress(19));
+    const endpoint = await rpc.open(runtime, benchAddress(19));
     const group: Group = { version: 1, members: [{ id: 'k11', at }] };
-    const regs = registers.open({ runtime, rpc: p, by: 'capacity', group: () => group });
+    const store = registers.open({ runtime, rpc: endpoint, by: 'capacity', group: () => group });
     const used = async (): Promise<number> => {
-      const u = await p.request<Usage>(at, 'bench.usage', {}, duration.s(5));
-      return u.cpu.user + u.cpu.system;
-    };
-    const atStore: Point[] = [];
-    const atGateway: Point[] = [];
-    const changes = sizes === 'small' ? 100 : 1000;
-    const load = async (kb: number, n: number): Promise<void> => {
-      const value = { text: 'say it "so" '.repeat(Math.round((kb * 1000) / 14)) };
-      let i = 0;
-      const one = async (): Promise<void> => {
-        for (let k = i++; k < n; k = i++) await regs.change(`k${kb}-${k % 100}`, written(value), duration.s(5));
-      };
-      await Promise.all(Array.from({ length: 16 }, one));
+      const usage = await endpoint.request<Usage>(at, 'bench.usage', {}, callTimeout);
+      return usage.cpu.user + usage.cpu.system;
     };
-    await load(1, changes);
-    for (const kb of [1, 4, 16, 40]) {
-      const [a, own] = [await used(), cpu()];
-      await load(kb, changes);
-      atGateway.push([kb, (cpu() - own) / changes]);
-      atStore.push([kb, ((await used()) - a) / changes]);
-    }
-    p.notify(at, 'bench.end', {});
-    await new Promise((fin) => setTimeout(fin, 100));
-    await p.close();
+    const { atStore, atGateway } = await costsBySize(store, used, sizes === 'small' ? 100 : 1000);
+    endpoint.notify(at, 'bench.end', {});
+    await new Promise((resolve) => setTimeout(resolve, endWithin));
+    await endpoint.close();
     return {
       failed: [],
       slopes: [
@@ -59,7 +79,7 @@
       ],
     };
   } finally {
-    c.kill();
+    child.kill();
     rmSync(folder, { recursive: true, force: true });
   }
 };
--- a/tools/test-harness/src/fleet.ts
+++ b/tools/test-harness/src/fleet.ts
@@ -6,7 +6,7 @@
 import os from 'node:os';
 import path from 'node:path';
 import { fault, real, seeded, time, duration, readText, type Runtime, type Address } from '@thornsail/runtime';
-import { audit, callers, type Callers } from './callers.js';
+import { audit, callers, type Callers } from './callers/index.js';
 import { classNames, layout, ports, shapes, type Layout, type Shape, type ShapeName } from './shapes.js';
 import { requestLog, standIns, type RequestLog, type Platform, type StandIn } from './standins.js';
 
--- a/tools/test-harness/src/index.ts
+++ b/tools/test-harness/src/index.ts
@@ -12,6 +12,6 @@
   type StandIn,
 } from './standins.js';
 export { realFleet, type RealFleet, type RealProc } from './fleet.js';
-export { callers, audit, keptProblems, silent, type Callers, type Summary } from './callers.js';
+export { callers, audit, keptProblems, silent, type Callers, type Summary } from './callers/index.js';
 export { wire, noise, type Wire, type WireHandler, type WireLimits, type WireSay } from './wire.js';
 export { fileOfWorkspace, workspaceFolders, workspacesOf } from './workspaces.js';
