--- a/packages/admin-api/src/index.ts
+++ b/packages/admin-api/src/index.ts
@@ -65,7 +65,7 @@
   const label = `{role="${n.role}",name="${n.name}"}`;
   for (const [k, v] of Object.entries({
     ...n.counts(),
-    order_mark: n.membership.mark(),
+    order_mark: n.membership.index(),
     ready: n.ready().ok ? 1 : 0,
   }).sort()) {
     const m = `thornsail_${k.replace(/[^a-zA-Z0-9]/g, '_')}`;
@@ -364,8 +364,8 @@
             name: n.name,
             role: roleCodec.encode(n.role),
             place: n.rpc.at,
-            mark: n.membership.mark(),
-            inRoster: n.membership.inRoster(),
+            mark: n.membership.index(),
+            inRoster: n.membership.isMember(),
             stale: n.membership.stale(),
             counts: n.counts(),
           });
--- a/packages/dissemination/src/dissemination.ts
+++ b/packages/dissemination/src/dissemination.ts
@@ -4,9 +4,9 @@
  */
 import { time, duration, type Address } from '@thornsail/runtime';
 import { choosePeer, openAntiEntropy, type Compare } from './anti-entropy.js';
-import { openForwarding } from './forwarding.js';
+import { openForwarding, type Forward, type ForwardingOptions } from './forwarding.js';
 import { openItemStore, type ItemStore } from './item-store.js';
-import { openLeaves } from './leaves.js';
+import { openLeaves, type Leaves } from './leaves.js';
 import { openNeighbourAddresses } from './relay-tree.js';
 import type { Dissemination, DisseminationOptions, DisseminationTiming, Update } from './types.js';
 import { decodeUpdates, encodeUpdates, isUpdates, messageNames } from './wire.js';
@@ -42,6 +42,21 @@
     isVolatile: isVolatile ?? (() => false),
   });
 
+const openForwardingOf = (
+  options: DisseminationOptions,
+  { arity, batchDelay }: DisseminationTiming,
+  leaves: Leaves,
+  send: ForwardingOptions['send'],
+): Forward =>
+  openForwarding({
+    clock: options.runtime.clock,
+    neighbours: openNeighbours(options, arity, leaves.addresses),
+    relayCount: () => options.relays().length,
+    isBatched: options.isBatched ?? (() => false),
+    batchDelay,
+    send,
+  });
+
 /** A leaf compares with its relay, or with a random peer where that fails; a relay with a random peer. */
 const compareRegularly = (
   options: DisseminationOptions,
@@ -62,7 +77,7 @@
 export const dissemination = {
   /** Takes part from now on. */
   open: (options: DisseminationOptions): Dissemination => {
-    const { rpc, isLeaf, relays } = options;
+    const { rpc, isLeaf } = options;
     const { clock } = options.runtime;
     const timing = { ...defaultTiming, ...options.timing };
     const store = openStore(options);
@@ -72,17 +87,11 @@
     let lastContact = clock.now();
     const onContact = (): void => void (lastContact = clock.now());
 
-    const forward = openForwarding({
-      clock,
-      neighbours: openNeighbours(options, timing.arity, leaves.addresses),
-      relayCount: () => relays().length,
-      isBatched: options.isBatched ?? (() => false),
-      batchDelay: timing.batchDelay,
-      send: (peers, updates) => {
-        counts.relayed += peers.length;
-        rpc.notifyAll(peers, messageNames.updates, encodeUpdates(updates));
-      },
-    });
+    const send = (peers: Address[], updates: Update[]): void => {
+      counts.relayed += peers.length;
+      rpc.notifyAll(peers, messageNames.updates, encodeUpdates(updates));
+    };
+    const forward = openForwardingOf(options, timing, leaves, send);
     const take = (updates: Update[], from: Address | undefined): void => {
       const fresh = updates.filter(store.accept);
       if (fresh.length === 0) return;
--- a/programs/thornsail/src/roles.ts
+++ b/programs/thornsail/src/roles.ts
@@ -209,8 +209,8 @@
       http: o.http,
       zone: o.zone,
       seeds: o.seeds,
-      beat: duration.ms(o.beatMs),
-      towers: o.founders,
+      heartbeatInterval: duration.ms(o.beatMs),
+      coordinators: o.founders,
     });
     here.membership = m;
     if (last) give(last);
@@ -240,7 +240,7 @@
         torn: durable.counts().torn,
       }),
       drain: async () => undefined,
-      replaced: () => untilReplaced(runtime, m, 'coordinator', () => m.marked()?.members ?? []),
+      replaced: () => untilReplaced(runtime, m, 'coordinator', () => m.snapshot()?.members ?? []),
       stop: () => c.close(),
       onFailed: disk.onFailed,
     });
@@ -260,7 +260,7 @@
       http: o.http,
       zone: o.zone,
       seeds: o.seeds,
-      beat: duration.ms(o.beatMs),
+      heartbeatInterval: duration.ms(o.beatMs),
     });
     const regs = registers.open({ runtime, rpc: p, by: `${s.id}.${runtime.rand.id()}`, group: () => groupOf(m) });
     const counts: Record<string, number> = {};
@@ -274,7 +274,7 @@
       membership: m,
       registers: regs,
       id: s.id,
-      voters: () => m.marked()?.members.map((x) => x.at) ?? [],
+      voters: () => m.snapshot()?.members.map((x) => x.at) ?? [],
       counts,
     });
     return serve({
@@ -325,7 +325,7 @@
       http: o.http,
       zone: o.zone,
       seeds: o.seeds,
-      beat: duration.ms(o.beatMs),
+      heartbeatInterval: duration.ms(o.beatMs),
     });
     const regs = registers.open({ runtime, rpc: p, by: id, group: () => groupOf(m) });
     let mark = 0;
@@ -386,8 +386,8 @@
       http: o.http,
       zone: o.zone,
       seeds: o.seeds,
-      beat: duration.ms(o.beatMs),
-      beside: o.agent,
+      heartbeatInterval: duration.ms(o.beatMs),
+      localAgent: o.agent,
     });
     const f = dataPlane.open({
       runtime,
--- a/tools/simulation/src/guards/membership.ts
+++ b/tools/simulation/src/guards/membership.ts
@@ -6,7 +6,7 @@
   guard({
     name: 'news of load is gathered among many relays',
     rule: 'urgent',
-    file: 'membership/src/index.js',
+    file: 'membership/src/membership.js',
     find: "isBatched: (name) => name.startsWith('load/')",
     replacement: 'isBatched: () => false',
     noticedBy: { test: 'simulation/test/load.test.js' },
--- a/tools/simulation/src/measurement/capacity/losses.ts
+++ b/tools/simulation/src/measurement/capacity/losses.ts
@@ -14,7 +14,7 @@
     if (!h) throw new Error('the hollow nodes did not come up');
     const gone = [...h.of('agent').slice(1, 1 + lost), ...h.of('gateway').slice(1, 1 + lost)];
     const ids = gone.map((n) => n.node!.id);
-    const seq = (): number => Math.max(...h.of('coordinator').map((n) => n.node?.membership.mark() ?? 0));
+    const seq = (): number => Math.max(...h.of('coordinator').map((n) => n.node?.membership.index() ?? 0));
     const before = seq();
     const begun = h.w.now();
     for (const n of gone) h.kill(n);
--- a/tools/simulation/src/measurement/hollow.ts
+++ b/tools/simulation/src/measurement/hollow.ts
@@ -116,7 +116,7 @@
   for (const n of nodes) for (const m of [n.tally.sent, n.tally.got]) m.clear();
 };
 const inRoster = (nodes: HollowNode[]): boolean =>
-  nodes.every((n) => n.host?.alive === false || (n.node !== null && n.node.membership.inRoster()));
+  nodes.every((n) => n.host?.alive === false || (n.node !== null && n.node.membership.isMember()));
 const push = (n: HollowNode, base: number): Promise<unknown> => {
   const body = { ...hollowConfig(), limits: { onceKeepSeconds: 1000 + base } };
   return n.node!.membership.core.request(
--- a/tools/simulation/src/repair-losses.ts
+++ b/tools/simulation/src/repair-losses.ts
@@ -5,7 +5,7 @@
   const all = stage.live(loss.role);
   const members = new Set(
     (loss.role === 'coordinator'
-      ? stage.leader()?.node?.membership.marked()?.members
+      ? stage.leader()?.node?.membership.snapshot()?.members
       : stage.leader()?.node?.membership.state()?.storeGroup.members
     )?.map((member) => member.at) ?? all.map((process) => process.at),
   );
--- a/tools/simulation/src/repair-stage.ts
+++ b/tools/simulation/src/repair-stage.ts
@@ -142,7 +142,7 @@
     store: 2 * plan.tolerates + 1,
   };
   const full: RepairStage['full'] = (role) => {
-    const version = leader()?.node?.membership.marked();
+    const version = leader()?.node?.membership.snapshot();
     if (!version) return false;
     const group = version.state.storeGroup;
     const members = role === 'coordinator' ? version.members : group.members;
--- a/tools/simulation/src/scenarios/durable.ts
+++ b/tools/simulation/src/scenarios/durable.ts
@@ -37,7 +37,7 @@
         'three coordinators in the view again',
         () => {
           const p = f.processes.find((x) => x.role === 'coordinator' && x.node?.counts()['leads'] === 1);
-          const v = p?.node?.membership.marked();
+          const v = p?.node?.membership.snapshot();
           return (
             v !== undefined &&
             v.members.length === 3 &&
--- a/tools/simulation/src/scenarios/rolling.ts
+++ b/tools/simulation/src/scenarios/rolling.ts
@@ -36,7 +36,7 @@
     await f.until(
       'the new coordinator in the view',
       () => {
-        const v = f.process('agent-edge2').node?.membership.marked();
+        const v = f.process('agent-edge2').node?.membership.snapshot();
         return v !== undefined && v.members.length === 3 && v.members.some((m) => m.at.startsWith('127.77.3.8'));
       },
       duration.s(30),
