--- /dev/null
+++ b/packages/data-plane/src/data-plane.ts
@@ -0,0 +1,234 @@
+/** The data plane that a gateway embeds (§5): its parts put together, its timers, its readiness and its counters. */
+import type { Config } from '@thornsail/config-schema';
+import type { Membership } from '@thornsail/membership';
+import { registers as registerStore, type Registers } from '@thornsail/register-store';
+import { validate, type Rpc } from '@thornsail/rpc';
+import { duration, time, type Cancel, type HttpHandler, type Runtime } from '@thornsail/runtime';
+import { admission as admissions, type Admission } from './admission.js';
+import { clusterView, type ClusterView } from './cluster-view.js';
+import { connections as connectionPools, type Connections } from './forward/connections.js';
+import type { Dialect } from './forward/dialect.js';
+import { forwardEntry } from './forward/entry.js';
+import type { Forwarding } from './forward/forward.js';
+import { storedTurns } from './forward/stored-turns.js';
+import type { Gateway } from './gateway.js';
+import { lifecycle as lifecycles, type Drain, type Lifecycle } from './lifecycle.js';
+import { productEntry } from './product-entry.js';
+import { budgetAccounts } from './records/budget-accounts.js';
+import { conversations } from './records/conversations.js';
+import { idempotencyKeys } from './records/idempotency-keys.js';
+import { report, type Report } from './report.js';
+import { responses } from './responses.js';
+
+/** What a data plane is opened with. */
+export type DataPlaneOptions = {
+  runtime: Runtime;
+  rpc: Rpc;
+  membership: Membership;
+  /** Leaves the scheduler out, to measure against. */
+  plain?: boolean;
+  zone?: string;
+};
+/** A data plane that serves. */
+export type DataPlane = {
+  /** Serves requests of the product's interface (§5.1). */
+  handle: HttpHandler;
+  /** Forwards, unread, what comes in a dialect's words (§5.7). */
+  forward: (dialect: Dialect) => HttpHandler;
+  /** Whether it should get requests, and if not, why. */
+  ready: () => { ok: boolean; why: string[] };
+  /** Takes requests for `acceptFor` more, while callers are led elsewhere; resolves when all are answered. */
+  drain: (options?: Drain) => Promise<void>;
+  /** What callers may send, by the configuration in use; undefined before the first. */
+  limits: () => Config['limits'] | undefined;
+  counts: () => Record<string, number>;
+  admission: Admission;
+  registers: Registers;
+  close: () => void;
+};
+
+/** Retries within the system: so many at once, and one more each second (§5.4). */
+const retryBudget = 10;
+const stateInterval = duration.ms(250);
+const retriesPerStateInterval = 0.25;
+const storesInterval = duration.ms(500);
+const turnOpenTimeout = duration.ms(300);
+
+type Counters = { values: Record<string, number>; count: (counter: string) => void };
+const openCounters = (): Counters => {
+  const values: Record<string, number> = {
+    requests: 0,
+    turns: 0,
+    jobs: 0,
+    results: 0,
+    rejected: 0,
+    lost: 0,
+    cut: 0,
+    replayed: 0,
+    budget_rejected: 0,
+    retried: 0,
+    orphaned: 0,
+    refreshed: 0,
+    slow_cut: 0,
+    bad_requests: 0,
+  };
+  const count = (counter: string): void => {
+    values[counter] = (values[counter] ?? 0) + 1;
+  };
+  return { values, count };
+};
+type Retries = { take: () => boolean; refill: () => void };
+const openRetries = (): Retries => {
+  let left = retryBudget;
+  return {
+    take: () => {
+      if (left < 1) return false;
+      left -= 1;
+      return true;
+    },
+    refill: () => {
+      left = Math.min(retryBudget, left + retriesPerStateInterval);
+    },
+  };
+};
+const prefixed = (prefix: string, counts: Record<string, number>): Record<string, number> =>
+  Object.fromEntries(Object.entries(counts).map(([name, value]) => [`${prefix}_${name}`, value]));
+
+const openRegisters = ({ runtime, rpc, membership }: DataPlaneOptions): Registers =>
+  registerStore.open({
+    runtime,
+    rpc,
+    by: membership.id,
+    group: () => {
+      const stores = membership.state()?.storeGroup;
+      return stores && stores.mark > 0 ? { version: stores.mark, members: stores.members } : undefined;
+    },
+  });
+
+type Parts = {
+  options: DataPlaneOptions;
+  view: ClusterView;
+  admission: Admission;
+  registers: Registers;
+  reports: Report;
+  retries: Retries;
+  inFlight: Set<string>;
+  count: (counter: string) => void;
+};
+const openGateway = ({ options, view, admission, registers, reports, retries, inFlight, count }: Parts): Gateway => {
+  const { runtime, rpc, membership } = options;
+  const { id } = membership;
+  const limits = (): Config['limits'] => view.config()!.limits;
+  const deadFor: Membership['deadFor'] = (node) => membership.deadFor(node);
+  return {
+    runtime,
+    id,
+    membership,
+    admission,
+    keys: idempotencyKeys.open({ runtime, registers, id, limits }),
+    budgets: budgetAccounts.open({ registers, id, limits, inFlight, deadFor }),
+    conversations: conversations.open({ registers }),
+    responses: responses.open({ rand: runtime.rand, count }),
+    config: () => view.config()!,
+    count,
+    log: runtime.log('data-plane'),
+    inFlight,
+    takeRetry: retries.take,
+    refreshIfStale: view.refreshIfStale,
+    programTakenOver: reports.tookOver,
+    isTurnOpenAt: (address, turn) => rpc.request<boolean>(address, 'turn.open', { turn }, turnOpenTimeout),
+  };
+};
+
+/** Takes over what the cluster's updates bring, as they come and by timer. */
+const follow = (
+  { runtime, membership }: DataPlaneOptions,
+  view: ClusterView,
+  reports: Report,
+  retries: Retries,
+): Cancel[] => {
+  membership.onState(view.takeConfig);
+  membership.dissemination.onUpdate(({ name, version }) => {
+    if (name.startsWith('workers/')) view.takeWorkers();
+    if (name.startsWith('load/')) reports.told(name.slice('load/'.length), version);
+  });
+  return [
+    time.every(runtime.clock, stateInterval, () => {
+      view.takeConfig();
+      reports.tick();
+      retries.refill();
+    }),
+    time.every(runtime.clock, storesInterval, async () => {
+      await view.checkStores();
+      view.takeWorkers();
+    }),
+  ];
+};
+
+const readiness = (view: ClusterView, lifecycle: Lifecycle): { ok: boolean; why: string[] } => {
+  const why: string[] = [];
+  if (lifecycle.phase() !== 'serving') why.push('leaving');
+  if (!view.config()) why.push('no configuration');
+  if (!view.hasWorkers()) why.push('no workers');
+  if (!view.storesReachable()) why.push('no store majority');
+  if (!view.inContact()) why.push('cut off from most others');
+  return { ok: why.length === 0, why };
+};
+
+const open = (options: DataPlaneOptions): DataPlane => {
+  const { runtime, rpc, membership, plain, zone } = options;
+  const { clock } = runtime;
+  const { id } = membership;
+  const { values, count } = openCounters();
+  const inFlight = new Set<string>();
+  const retries = openRetries();
+  const uses = (): number => view.configVersion();
+  const reports = report.open({ clock, rpc, membership, me: id, adm: () => admission, uses });
+  const admission: Admission = admissions.open({
+    runtime,
+    self: id,
+    onChange: reports.changed,
+    withoutScheduler: plain ?? false,
+    zone: zone ?? '',
+  });
+  const registers = openRegisters(options);
+  const connections: Connections = connectionPools.open({ clock, net: runtime.net });
+  const view = clusterView.open({ runtime, membership, registers, admission, connections, reports, count });
+  rpc.on<{ turn: string }>('turn.open', validate.object({ turn: validate.string }), ({ turn }) => inFlight.has(turn));
+  const stops = follow(options, view, reports, retries);
+  const gateway = openGateway({ options, view, admission, registers, reports, retries, inFlight, count });
+  const lifecycle = lifecycles.open(runtime, inFlight);
+  const turns = storedTurns.open({ clock, registers });
+  const serveForwarded = forwardEntry.open(gateway, view, lifecycle, registers.known);
+  const { gatewayCount } = view;
+  return {
+    forward: (dialect) => {
+      const forwarding: Forwarding = { gateway, dialect, connections, turns, gatewayCount };
+      return lifecycle.tracked((request, response) => serveForwarded(forwarding, request, response));
+    },
+    handle: lifecycle.tracked(productEntry.open(gateway, view, lifecycle)),
+    ready: () => readiness(view, lifecycle),
+    drain: lifecycle.drain,
+    limits: () => view.config()?.limits,
+    counts: () => ({
+      ...values,
+      ...prefixed('connections', connections.counts()),
+      ...admission.counts(),
+      in_flight: inFlight.size,
+      holding: admission.heldTurns(),
+      config_mark: view.configVersion(),
+      ...prefixed('register', registers.counts()),
+    }),
+    admission,
+    registers,
+    close: () => {
+      lifecycle.close();
+      for (const stop of stops) stop();
+      admission.close();
+      connections.close();
+    },
+  };
+};
+
+/** Opens data planes. */
+export const dataPlane = { open };
--- a/packages/data-plane/src/errors.ts
+++ b/packages/data-plane/src/errors.ts
@@ -1,6 +1,10 @@
-// Every error that the data plane answers by itself, with its status at each of its two interfaces (§5.1, §5.7).
+/**
+ * The one table of errors that the data plane answers by itself, with their status at each of its two interfaces (§5.1,
+ * §5.7), and the errors that stay inside it. `docs/API.md` says when each of the table is answered.
+ */
+import { errorCatalogue } from '@thornsail/runtime';
 
-/** `chat` is our own interface; `unread` is that of requests which are passed on unread, in a dialect's words. */
+/** `chat` is our own interface; `unread` is that of requests which are forwarded unread, worded by a dialect. */
 export type Interface = 'chat' | 'unread';
 type Entry = {
   chat: number;
@@ -51,8 +55,17 @@
 export const errors = {
   /** HTTP status of an error at an interface. */
   status: (at: Interface, code: ErrorCode): number => entries[code][at],
-  /** The word for it in the body. */
+  /** Its name in the body. */
   name: (code: ErrorCode): string => (entries[code] as Entry).name ?? code,
   /** All codes, in the order of the table. */
   codes: Object.keys(entries) as ErrorCode[],
 };
+
+/** Errors inside the data plane. None of them reaches a client by its code: what a client is told stands above. */
+export const internalErrors = errorCatalogue('data-plane', {
+  'worker-fault': { message: 'the worker reported an error within its stream', retryable: false },
+  'stream-incomplete': { message: 'the stream ended without its end marker', retryable: false },
+  'result-too-large': { message: 'a result over 4 MiB', retryable: false },
+  'append-refused': { message: 'another turn was kept meanwhile, or this one was fenced', retryable: false },
+  'chain-incomplete': { message: 'an earlier turn was not found', retryable: true },
+});
--- a/packages/data-plane/src/forward/connections.ts
+++ b/packages/data-plane/src/forward/connections.ts
@@ -17,7 +17,7 @@
   spoilt: () => void;
 };
 export type Connections = {
-  /** Undefined where this edge's part of what the worker accepts is used up. */
+  /** Undefined where this gateway's part of what the worker accepts is used up. */
   take: (w: WorkerEntry, most: number) => Lease | undefined;
   /** Forgets the workers that are gone. */
   retain: (ids: ReadonlySet<string>) => void;
--- a/packages/data-plane/src/forward/dialect.ts
+++ b/packages/data-plane/src/forward/dialect.ts
@@ -3,7 +3,7 @@
 import type { Config, Route } from '@thornsail/config-schema';
 import { duration, type HttpRequest, type Microseconds } from '@thornsail/runtime';
 import { errors } from '../errors.js';
-import { refused, type Forward, type ForwardPlan, type Refused, type Turn } from './plan.js';
+import { refusal, type ForwardRequest, type ForwardPlan, type Refused, type Turn } from './plan.js';
 
 /** Header names in lower case. */
 export type HeaderNames = {
@@ -55,8 +55,8 @@
 /** Reads and words requests and answers. */
 export type Dialect = {
   plan: (ask: HttpRequest, config: Config) => ForwardPlan;
-  outgoing: (plan: Forward, send: Send) => string[];
-  incoming: (plan: Forward, status: number, headers: Record<string, string>) => Incoming;
+  outgoing: (plan: ForwardRequest, send: Send) => string[];
+  incoming: (plan: ForwardRequest, status: number, headers: Record<string, string>) => Incoming;
   /** The headers of an answer that are the caller's to see. */
   passed: (rawHeaders: readonly string[]) => string[];
   /** The version of weights that headers of a worker's answer tell (name, value, ...), or null. */
@@ -121,7 +121,7 @@
   (name: string, ok: RegExp, what: string): string | null | Refused => {
     const value = ask.headers[name];
     if (value === undefined) return null;
-    return ok.test(value) ? value : refused('bad_field', name, what);
+    return ok.test(value) ? value : refusal('bad_field', name, what);
   };
 const turnOf = (ask: HttpRequest, names: HeaderNames): Turn | null | Refused => {
   const read = reader(ask);
@@ -138,7 +138,7 @@
     budget: budget === null ? null : Number(budget),
   };
 };
-const usageOf = (ask: HttpRequest, names: HeaderNames): Forward['usage'] | Refused => {
+const usageOf = (ask: HttpRequest, names: HeaderNames): ForwardRequest['usage'] | Refused => {
   const usage = reader(ask)(names.usage, /^\d{1,12},\d{1,12}$/, 'two whole numbers with a comma between');
   if (isRefused(usage)) return usage;
   const [prompt = 0, most = 0] = usage === null ? [] : usage.split(',').map(Number);
@@ -147,14 +147,14 @@
 
 const planOf = (ask: HttpRequest, config: Config, names: HeaderNames, set: ReadonlySet<string>): ForwardPlan => {
   const host = ask.headers['host'];
-  if (host === undefined) return refused('missing_field', 'host', 'a host is needed');
+  if (host === undefined) return refusal('missing_field', 'host', 'a host is needed');
   // As it came: what a worker gets unchanged is what chooses its route.
   const route = routeOf(config, host, ask.target.split('?', 1)[0]!);
-  if (!route) return refused('no_such_route', null, 'no route leads there');
-  if (ask.tooBig) return refused('too_large', 'body', `the body is over ${config.limits.maxBodyBytes} bytes`);
+  if (!route) return refusal('no_such_route', null, 'no route leads there');
+  if (ask.tooBig) return refusal('too_large', 'body', `the body is over ${config.limits.maxBodyBytes} bytes`);
   const read = reader(ask);
   const attempt = read(names.attempt, printable, '1 to 200 printable characters');
-  if (attempt === null) return refused('missing_field', names.attempt, 'every attempt carries an id of its own');
+  if (attempt === null) return refusal('missing_field', names.attempt, 'every attempt carries an id of its own');
   const deadline = read(names.deadlineMs, number, 'a number of milliseconds');
   const key = read(names.key, printable, '1 to 200 printable characters');
   const previous = read(names.previous, printable, '1 to 200 printable characters');
@@ -162,7 +162,7 @@
   const usage = usageOf(ask, names);
   for (const field of [attempt, deadline, key, previous, turn, usage]) if (isRefused(field)) return field;
   if (route.semantics === 'keyed' && key === null)
-    return refused('missing_field', names.key, 'requests of this route carry a key');
+    return refusal('missing_field', names.key, 'requests of this route carry a key');
   const stream = route.semantics === 'stream';
   return {
     kind: 'forward',
@@ -178,7 +178,7 @@
       deadline === null ? duration.ms(route.deadlineMs) : duration.ms(Number(deadline)),
     ),
     key: route.semantics === 'keyed' ? (key as string) : null,
-    usage: usage as Forward['usage'],
+    usage: usage as ForwardRequest['usage'],
     turn: stream ? (turn as Turn | null) : null,
     previous: stream && route.keepSeconds > 0 ? (previous as string | null) : null,
     lastEvent: stream ? (ask.headers[names.lastEvent] ?? null) : null,
@@ -203,7 +203,7 @@
 };
 
 /** The headers that a worker gets: the client's own, and what is said anew for this attempt. */
-const outgoingOf = (names: HeaderNames, plan: Forward, send: Send): string[] => [
+const outgoingOf = (names: HeaderNames, plan: ForwardRequest, send: Send): string[] => [
   ...plan.headers,
   names.deadlineMs,
   String(Math.max(1, duration.toMs(send.left))),
@@ -217,7 +217,7 @@
 const incomingOf = (
   names: HeaderNames,
   wrongInstance: number,
-  plan: Forward,
+  plan: ForwardRequest,
   status: number,
   headers: Record<string, string>,
 ): Incoming => {
--- a/packages/data-plane/src/forward/exchange.ts
+++ b/packages/data-plane/src/forward/exchange.ts
@@ -11,7 +11,7 @@
 import type { Lease } from './connections.js';
 import type { Dialect, Incoming } from './dialect.js';
 import { events, type StreamEvent } from './events.js';
-import type { Forward } from './plan.js';
+import type { ForwardRequest } from './plan.js';
 
 /**
  * `unsent`: nothing of it ran or will; `lost`: it may have run, and nothing was relayed; `cut`: broken off within;
@@ -42,7 +42,7 @@
     lease: Lease;
     worker: WorkerEntry;
     dialect: Dialect;
-    plan: Forward;
+    plan: ForwardRequest;
     body: Uint8Array;
     left: Microseconds;
     lastEvent: string | null;
--- a/packages/data-plane/src/forward/finish.ts
+++ b/packages/data-plane/src/forward/finish.ts
@@ -1,9 +1,11 @@
 // What follows an exchange with a worker (§5.4, §5.9): the end of its answer, another worker, or the request's end.
 import type { WorkerEntry } from '@thornsail/load-balancer';
 import { fault, time, duration } from '@thornsail/runtime';
+import { closeTimeout } from '../requests/deadline.js';
+import type { StepResult } from '../requests/steps.js';
 import { events } from './events.js';
 import type { Outcome } from './exchange.js';
-import { requests, type Next, type Request } from './request.js';
+import { requests, type Request } from './request.js';
 
 /** Line feed, carriage return. */
 const blanks: ReadonlySet<number> = new Set([10, 13]);
@@ -14,41 +16,41 @@
 const recordOverrun = duration.ms(100);
 
 /** Ends a request whose client has part of an answer, or none: what reached it is settled, the rest is cut off. */
-const cutOff = (request: Request): 'done' => {
+const cutOff = (request: Request): 'answered' => {
   void requests.settle(request, requests.tokensRelayed(request), null);
   requests.leaveScheduler(request, null, null);
   request.response.cut();
-  return 'done';
+  return 'answered';
 };
 
 /** The end of a stream: kept and settled first, beside one another; a turn that cannot be kept is cut (§5.9). */
-const endStream = async (request: Request, worker: WorkerEntry, rest: Uint8Array): Promise<'done'> => {
-  const { plan, forwarding, edge, context, relayed, response } = request;
+const endStream = async (request: Request, worker: WorkerEntry, rest: Uint8Array): Promise<'answered'> => {
+  const { plan, forwarding, gateway, context, relayed, response } = request;
   const used = requests.tokensRelayed(request);
   const settled = requests.settle(request, used, worker.id);
   try {
     if (plan.route.keepSeconds > 0) {
       const input = Buffer.from(plan.body).toString('latin1');
       const turn = { chain: context.chain, input, output: relayed.output };
-      await forwarding.kept.keep(plan.attempt, turn, plan.route.keepSeconds, requests.closeWithin);
+      await forwarding.turns.store(plan.attempt, turn, plan.route.keepSeconds, closeTimeout);
     }
     await settled;
   } catch (error) {
     requests.log(request, `a turn was not kept, so its stream is cut: ${fault.text(error)}.`);
     requests.leaveScheduler(request, context.prompt + used, worker.id);
-    request.stages.go('lose');
-    edge.bump('cut');
+    request.phases.transition('lose');
+    gateway.count('cut');
     response.cut();
-    return 'done';
+    return 'answered';
   }
   requests.leaveScheduler(request, context.prompt + used, worker.id);
-  request.stages.go('end');
-  edge.bump('results');
+  request.phases.transition('end');
+  gateway.count('results');
   if (!response.gone()) {
     if (rest.length) response.write(rest);
     response.end();
   }
-  return 'done';
+  return 'answered';
 };
 
 /** The end of an answer that is no stream; that of a key is recorded first. */
@@ -56,32 +58,32 @@
   request: Request,
   worker: WorkerEntry,
   answer: Outcome & { how: 'answer' },
-): Promise<'done'> => {
-  const { edge, reservations, response } = request;
+): Promise<'answered'> => {
+  const { gateway, reservations, response } = request;
   const { status, headers, body } = answer;
-  request.stages.go('relay');
+  request.phases.transition('relay');
   void requests.settle(request, 0, worker.id);
   requests.leaveScheduler(request, null, worker.id);
   if (reservations.key) {
-    const recorded = edge.turnRecords.record(reservations.key, request.id, {
+    const recorded = gateway.keys.recordResult(reservations.key, request.id, {
       status,
       headers,
       body: body.toString('latin1'),
     });
     const longest = Math.max(0, requests.left(request) + recordOverrun);
-    await Promise.race([recorded, time.sleep(edge.runtime.clock, longest)]);
+    await Promise.race([recorded, time.sleep(gateway.runtime.clock, longest)]);
   }
-  request.stages.go('end');
-  edge.bump('results');
-  if (response.gone()) return 'done';
+  request.phases.transition('end');
+  gateway.count('results');
+  if (response.gone()) return 'answered';
   response.head(status, [...headers, 'content-length', String(body.length)]);
   response.end(body);
-  return 'done';
+  return 'answered';
 };
 
 /** What may be sent again is, to another worker; else its outcome is told as far as it is known (§5.4). */
-const lost = (request: Request, worker: WorkerEntry, outcome: Outcome & { how: 'lost' | 'cut' }): Next => {
-  const { edge, plan, placement, relayed, response } = request;
+const lost = (request: Request, worker: WorkerEntry, outcome: Outcome & { how: 'lost' | 'cut' }): StepResult => {
+  const { gateway, plan, placement, relayed, response } = request;
   requests.log(request, `${plan.attempt} was lost at ${worker.id}: ${outcome.why}.`);
   placement.excluded.add(worker.id);
   placement.preferred = null;
@@ -89,47 +91,47 @@
   const repeats = outcome.how === 'lost' && plan.route.semantics === 'idempotent';
   const resumes = plan.route.semantics === 'stream' && plan.route.resumable;
   const mayGoOn = placement.sends < plan.route.maxAttempts && requests.left(request) > 0 && !response.gone();
-  request.stages.go('lose');
+  request.phases.transition('lose');
   if ((repeats || resumes) && mayGoOn) {
-    edge.bump('retried');
-    request.stages.go('again');
-    return 'again';
+    gateway.count('retried');
+    request.phases.transition('again');
+    return 'continue';
   }
-  edge.bump('lost');
+  gateway.count('lost');
   if (relayed.headSent) return cutOff(request);
   void requests.settle(request, requests.tokensRelayed(request), null);
   requests.leaveScheduler(request, null, null);
   if (requests.left(request) <= 0) requests.answerError(request, 'timed_out', 'the worker is still at work', null);
   else requests.answerError(request, 'worker_lost', 'the worker was lost', null);
-  return 'done';
+  return 'answered';
 };
 
 /** Nothing of it ran: another worker may have it. */
-const unsent = (request: Request, worker: WorkerEntry, outcome: Outcome & { how: 'unsent' }): Next => {
-  const { edge, plan, placement, relayed } = request;
-  request.stages.go('unsent');
+const unsent = (request: Request, worker: WorkerEntry, outcome: Outcome & { how: 'unsent' }): StepResult => {
+  const { gateway, plan, placement, relayed } = request;
+  request.phases.transition('unsent');
   placement.excluded.add(worker.id);
   placement.preferred = null;
   // One that was asked for a version of weights may be well, and have another one.
-  if (outcome.worker && relayed.version === null) edge.adm.markUnhealthy(worker.id);
+  if (outcome.worker && relayed.version === null) gateway.admission.markUnhealthy(worker.id);
   const most = plan.route.maxAttempts + (outcome.worker ? extraSends : 0);
-  if (placement.sends < most && requests.left(request) > leastTimeToResend) return 'again';
+  if (placement.sends < most && requests.left(request) > leastTimeToResend) return 'continue';
   // A stream that was already begun and cannot go on anywhere is cut.
   if (relayed.headSent) return cutOff(request);
-  return requests.reject(request, 'no_worker', `no worker took it: ${outcome.why}`, requests.soon(request));
+  return requests.reject(request, 'no_worker', `no worker took it: ${outcome.why}`, requests.retrySoon(request));
 };
 
-const clientLeft = (request: Request, worker: WorkerEntry): 'done' => {
-  request.edge.bump('orphaned');
-  request.stages.go('lose');
+const clientLeft = (request: Request, worker: WorkerEntry): 'answered' => {
+  request.gateway.count('orphaned');
+  request.phases.transition('lose');
   void requests.settle(request, requests.tokensRelayed(request), worker.id);
   requests.leaveScheduler(request, request.context.prompt, worker.id);
-  return 'done';
+  return 'answered';
 };
 
 const isBlank = (bytes: Uint8Array): boolean => bytes.every((byte) => blanks.has(byte));
 /** What becomes of the request after one exchange. */
-export const finish = async (request: Request, worker: WorkerEntry, outcome: Outcome): Promise<Next> => {
+export const finish = async (request: Request, worker: WorkerEntry, outcome: Outcome): Promise<StepResult> => {
   switch (outcome.how) {
     case 'streamed':
       // A connection that is closed within an event was broken off, whatever its framing says.
@@ -144,7 +146,7 @@
     case 'unsent':
       return unsent(request, worker, outcome);
     case 'lost':
-      request.edge.adm.markUnhealthy(worker.id);
+      request.gateway.admission.markUnhealthy(worker.id);
       return lost(request, worker, outcome);
     case 'cut':
       return lost(request, worker, outcome);
--- a/packages/data-plane/src/forward/forward.ts
+++ b/packages/data-plane/src/forward/forward.ts
@@ -4,7 +4,7 @@
 import { charge, readChain } from './charge.js';
 import { claim } from './claim.js';
 import { admit, takeSlot } from './place.js';
-import type { Forward } from './plan.js';
+import type { ForwardRequest } from './plan.js';
 import { requests, type Forwarding, type Request } from './request.js';
 import { timedResponse } from './response.js';
 import { tryWorker } from './send.js';
@@ -18,22 +18,27 @@
 
 /** The final answer of a request whose time is over. */
 const expire = (request: Request): void => {
-  request.edge.bump('timed_out');
+  request.gateway.count('timed_out');
   // Nothing was sent, and nothing will be: its client counts as gone from here on.
-  if (request.stages.ran() === 'no')
-    requests.answerError(request, 'late', 'the time left ran out before anything was sent', requests.soon(request));
+  if (request.phases.execution() === 'no')
+    requests.answerError(
+      request,
+      'late',
+      'the time left ran out before anything was sent',
+      requests.retrySoon(request),
+    );
   else requests.answerError(request, 'timed_out', 'the outcome was not known in time', null);
 };
 
 const carryOut = async (request: Request): Promise<void> => {
   for (const stage of [claim, readChain, charge, admit]) {
-    if ((await stage(request)) === 'done') return;
-    if (request.response.gone()) return void requests.clientGone(request);
+    if ((await stage(request)) === 'answered') return;
+    if (request.response.gone()) return void requests.clientDisconnected(request);
   }
   for (let round = 0; ; round++) {
     invariant.hold(round < mostRounds, 'a request was tried a hundred times');
     const worker = await takeSlot(request);
-    if (worker === 'done' || (await tryWorker(request, worker)) === 'done') return;
+    if (worker === 'answered' || (await tryWorker(request, worker)) === 'answered') return;
   }
 };
 
@@ -43,22 +48,22 @@
  */
 export const forward = async (
   forwarding: Forwarding,
-  plan: Forward,
+  plan: ForwardRequest,
   response: HttpResponseWriter,
   arrivedAt: Microseconds,
 ): Promise<void> => {
-  const { edge } = forwarding;
-  edge.bump(plan.turn ? 'turns' : 'jobs');
+  const { gateway } = forwarding;
+  gateway.count(plan.turn ? 'turns' : 'jobs');
   const request = requests.open(forwarding, plan, response, arrivedAt);
   const within = requests.left(request) + overrun;
-  const timed = timedResponse.open(edge.runtime.clock, response, within, () => expire(request));
+  const timed = timedResponse.open(gateway.runtime.clock, response, within, () => expire(request));
   request.response = timed.response;
-  edge.inFlight.add(request.id);
+  gateway.inFlight.add(request.id);
   try {
     await carryOut(request);
   } finally {
     timed.stop();
-    if (!request.reservations.closing) edge.inFlight.delete(request.id);
+    if (!request.reservations.closing) gateway.inFlight.delete(request.id);
     requests.leaveScheduler(request, null, null);
   }
 };
--- a/packages/data-plane/src/forward/plan.ts
+++ b/packages/data-plane/src/forward/plan.ts
@@ -13,7 +13,7 @@
   /** Tokens that all turns of the program may put out; null: no budget. */
   budget: number | null;
 };
-export type Forward = {
+export type ForwardRequest = {
   kind: 'forward';
   route: Route;
   cls: string;
@@ -38,10 +38,10 @@
   expectVersion: string | null;
 };
 export type Refused = { kind: 'refuse'; status: number; error: ErrorCode; field: string | null; text: string };
-export type ForwardPlan = Forward | Refused;
+export type ForwardPlan = ForwardRequest | Refused;
 
 /** A refusal with the status of its error. `field` names what is wrong in the request, if anything is. */
-export const refused = (error: ErrorCode, field: string | null, text: string): Refused => ({
+export const refusal = (error: ErrorCode, field: string | null, text: string): Refused => ({
   kind: 'refuse',
   status: errors.status('unread', error),
   error,
@@ -53,9 +53,9 @@
  * Whether its run is of no use once its client has gone: it is ended then. What may run only once, and is no stream, is
  * let run to its end (§5.7).
  */
-export const endsWithClient = (plan: Forward): boolean =>
+export const endsWithClient = (plan: ForwardRequest): boolean =>
   plan.route.semantics === 'idempotent' || plan.route.semantics === 'stream';
 
 /** Whether a request may run more than once (§5.4). */
-export const repeatable = (p: Forward): boolean =>
+export const isRepeatable = (p: ForwardRequest): boolean =>
   p.route.semantics === 'idempotent' || (p.route.semantics === 'stream' && p.route.resumable);
--- a/packages/data-plane/src/forward/request.ts
+++ b/packages/data-plane/src/forward/request.ts
@@ -1,29 +1,33 @@
 // One request that is passed on unread, while it is served (§5.7): its state, the time it has left, and how it is given
 // up. The stages that carry it out stand in modules of their own.
-import { fault, duration, type HttpResponseWriter, type Microseconds } from '@thornsail/runtime';
-import type { Account, Key } from '../turn-records.js';
-import type { Edge } from '../edge.js';
+import { duration, type HttpResponseWriter, type Microseconds } from '@thornsail/runtime';
+import type { BudgetAccount } from '../records/budget-accounts.js';
+import type { IdempotencyKey } from '../records/idempotency-keys.js';
+import { settleCharge } from '../requests/charge.js';
+import { elapsed, minimumRecordTimeout } from '../requests/deadline.js';
+import type { ActiveRequest } from '../requests/steps.js';
+import type { Gateway } from '../gateway.js';
 import type { ErrorCode } from '../errors.js';
-import { stages, type Stages } from '../stage.js';
+import { phases } from '../phases.js';
 import type { Connections } from './connections.js';
 import type { Dialect } from './dialect.js';
-import type { KeptTurns } from './kept.js';
-import { refused, type Forward } from './plan.js';
+import type { StoredTurns } from './stored-turns.js';
+import { refusal, type ForwardRequest } from './plan.js';
 
 /** What all requests in one dialect share at this node. */
 export type Forwarding = {
-  edge: Edge;
+  gateway: Gateway;
   dialect: Dialect;
   connections: Connections;
-  kept: KeptTurns;
-  /** How many edges share what a worker accepts. */
-  edges: () => number;
+  turns: StoredTurns;
+  /** How many gateways share what a worker accepts. */
+  gatewayCount: () => number;
 };
 
 /** What the request holds in the registers, to be closed at its end. */
 type Reservations = {
-  key: Key | null;
-  account: Account | null;
+  key: IdempotencyKey | null;
+  account: BudgetAccount | null;
   /** The answer is out, and the records are being closed behind it. */
   closing: boolean;
 };
@@ -48,7 +52,7 @@
 type Context = {
   /** Earlier turns, oldest first. */
   chain: string[];
-  /** The turn before it was answered by another edge. */
+  /** The turn before it was answered by another gateway. */
   elsewhere: boolean;
   body: Uint8Array;
   /** Tokens of the prompt, as the scheduler counts them. */
@@ -68,25 +72,17 @@
   output: string;
 };
 /** State of one request, from its arrival to its final answer. */
-export type Request = {
+export type Request = ActiveRequest & {
   forwarding: Forwarding;
-  edge: Edge;
-  plan: Forward;
-  response: HttpResponseWriter;
-  stages: Stages;
-  arrivedAt: Microseconds;
-  /** Names this request's claim, charge and place in the scheduler's table. */
-  id: string;
+  plan: ForwardRequest;
   reservations: Reservations;
   placement: Placement;
   context: Context;
   relayed: Relayed;
 };
-/** `again`: the next stage, or another worker; `done`: the request has its final answer. */
-export type Next = 'done' | 'again';
 
 /** The service that this request goes to: by weight, where a route is split. `draw` is from 0 up to 1. */
-const serviceOf = (plan: Forward, draw: number): string => {
+const serviceOf = (plan: ForwardRequest, draw: number): string => {
   const { targets } = plan.route;
   const sum = targets.reduce((total, target) => total + target.weight, 0);
   let rest = draw * sum;
@@ -99,29 +95,29 @@
 };
 
 /** A service that tells nothing counts an event as a token. */
-const tokensPerEventOf = (edge: Edge, service: string): number =>
-  edge.config().services.find((known) => known.name === service)?.tokensPerEvent ?? 1;
+const tokensPerEventOf = (gateway: Gateway, service: string): number =>
+  gateway.config().services.find((known) => known.name === service)?.tokensPerEvent ?? 1;
 
 const open = (
   forwarding: Forwarding,
-  plan: Forward,
+  plan: ForwardRequest,
   response: HttpResponseWriter,
   arrivedAt: Microseconds,
 ): Request => {
-  const { edge } = forwarding;
-  const service = serviceOf(plan, edge.runtime.rand.next());
+  const { gateway } = forwarding;
+  const service = serviceOf(plan, gateway.runtime.rand.next());
   return {
     forwarding,
-    edge,
+    gateway,
     plan,
     response,
-    stages: stages.open(),
+    phases: phases.open(),
     arrivedAt,
-    id: `${edge.me}.${edge.runtime.rand.id()}`,
+    id: `${gateway.id}.${gateway.runtime.rand.id()}`,
     reservations: { key: null, account: null, closing: false },
     placement: {
       service,
-      tokensPerEvent: tokensPerEventOf(edge, service),
+      tokensPerEvent: tokensPerEventOf(gateway, service),
       preferred: null,
       warm: false,
       forced: false,
@@ -138,50 +134,45 @@
 const leastPatience = duration.s(2);
 /** An answer needs so long to reach a caller who is about to give up. */
 const patienceMargin = duration.ms(150);
-const patienceOf = ({ route }: Forward): Microseconds =>
+const patienceOf = ({ route }: ForwardRequest): Microseconds =>
   Math.max(leastPatience, duration.ms(4 * route.aimMs), duration.ms(8 * route.gapMs)) - patienceMargin;
 
-const spent = (request: Request): Microseconds => request.edge.runtime.clock.now() - request.arrivedAt;
 /** Until the caller's deadline. */
-const left = (request: Request): Microseconds => request.plan.deadline - spent(request);
+const left = (request: Request): Microseconds => request.plan.deadline - elapsed(request);
 /** Until the caller gives up waiting for a first event. */
 const untilGivenUp = (request: Request): Microseconds => {
   const untilDeadline = left(request);
   if (request.plan.route.semantics !== 'stream') return untilDeadline;
-  return Math.min(untilDeadline, patienceOf(request.plan) - spent(request));
+  return Math.min(untilDeadline, patienceOf(request.plan) - elapsed(request));
 };
 
-/** What a step of the records takes at least, where it is to succeed at all. */
-const minimumRecordTimeout = duration.ms(50);
 /** Of the time that is left, so much may go by waiting for the records: another node may serve it in the rest. */
 const recordTimeoutShare = 0.5;
 /** How long a claim, a charge or a chain may take. */
 const recordTimeout = (request: Request): Microseconds =>
   Math.max(minimumRecordTimeout, untilGivenUp(request) * recordTimeoutShare);
 
-const log = (request: Request, text: string): void => request.edge.runtime.log('data-plane')(text);
+const log = (request: Request, text: string): void => request.gateway.log(text);
 
 /** The final answer of a request that is given up, at once (§4.3). `retryAfter` in seconds, or null. */
 const answerError = (request: Request, code: ErrorCode, text: string, retryAfter: number | null): void => {
-  const { response, relayed, edge, forwarding } = request;
+  const { response, relayed, gateway, forwarding } = request;
   if (response.gone()) return;
   if (relayed.headSent) return response.cut();
-  edge.bump('rejected');
-  const words = forwarding.dialect.refuse(refused(code, null, text), retryAfter);
+  gateway.count('rejected');
+  const words = forwarding.dialect.refuse(refusal(code, null, text), retryAfter);
   response.head(words.status, [...words.headers, 'content-length', String(Buffer.byteLength(words.body))]);
   response.end(words.body);
 };
 /** Soon, and spread out: those refused together do not come back together. In seconds. */
-const soon = (request: Request): number => 0.1 + 0.2 * request.edge.runtime.rand.next();
+const retrySoon = (request: Request): number => 0.1 + 0.2 * request.gateway.runtime.rand.next();
 
 const leaveScheduler = (request: Request, tokens: number | null, worker: string | null, final = false): void => {
-  const { placement, edge, id } = request;
-  if (placement.scheduled) edge.adm.endTurn(id, { tokens, final, worker });
+  const { placement, gateway, id } = request;
+  if (placement.scheduled) gateway.admission.endTurn(id, { tokens, final, worker });
   placement.scheduled = false;
 };
 
-/** How long the records may take to close before a stream's end. */
-const closeWithin = duration.ms(900);
 /** Tokens that reached the client: what it has is known, what a worker went on to make is not its. */
 const tokensRelayed = (request: Request): number => {
   const { plan, relayed, placement } = request;
@@ -191,38 +182,37 @@
 const settle = (request: Request, used: number, worker: string | null): Promise<void> => {
   const { account } = request.reservations;
   if (!account) return Promise.resolve();
-  const entry = { actual: used, tokens: request.context.prompt + used, worker };
-  return request.edge.turnRecords
-    .settle(account, request.id, entry, closeWithin)
-    .catch((error) => log(request, `a turn was not settled and stays charged: ${fault.text(error)}.`));
+  const usage = { actual: used, tokens: request.context.prompt + used, worker };
+  return settleCharge(request.gateway, account, request.id, usage);
 };
 
 /** Closes the records of a request that was given up. */
 const releaseReservations = async (request: Request): Promise<void> => {
-  const { edge, reservations, id } = request;
-  const ran = request.stages.ran() !== 'no';
+  const { gateway, reservations, id } = request;
+  const ran = request.phases.execution() !== 'no';
   if (reservations.account) {
     if (ran) await settle(request, tokensRelayed(request), null);
-    else await edge.turnRecords.giveBack(reservations.account, id);
+    else await gateway.budgets.refund(reservations.account, id);
   }
   // Each attempt has an id of its own here: no copy of this one can be on its way, so the key is free at once.
-  if (reservations.key && !ran) await edge.turnRecords.unclaim(reservations.key, id, 0);
+  if (reservations.key && !ran) await gateway.keys.release(reservations.key, id, 0);
 };
 /** Gives the request up before anything was sent: the answer goes out first, the records follow. */
-const reject = (request: Request, code: ErrorCode, text: string, retryAfter: number | null): 'done' => {
-  request.stages.go('reject');
+const reject = (request: Request, code: ErrorCode, text: string, retryAfter: number | null): 'answered' => {
+  request.phases.transition('reject');
   const programEnds = code === 'budget_spent' || code === 'no_such_turn';
   leaveScheduler(request, null, null, programEnds);
   request.reservations.closing = true;
-  void releaseReservations(request).finally(() => request.edge.inFlight.delete(request.id));
+  void releaseReservations(request).finally(() => request.gateway.inFlight.delete(request.id));
   answerError(request, code, text, retryAfter);
-  return 'done';
+  return 'answered';
 };
-const clientGone = (request: Request): 'done' => {
-  request.edge.bump('orphaned');
+const clientDisconnected = (request: Request): 'answered' => {
+  request.gateway.count('orphaned');
   return reject(request, 'gone', 'the client went away', null);
 };
-const noStores = (request: Request, text: string): 'done' => reject(request, 'no_keepers', text, soon(request));
+const storesUnavailable = (request: Request, text: string): 'answered' =>
+  reject(request, 'no_keepers', text, retrySoon(request));
 
 /** Operations on a request that its stages share. Times are microseconds. */
 export const requests = {
@@ -232,12 +222,11 @@
   recordTimeout,
   log,
   answerError,
-  soon,
+  retrySoon,
   leaveScheduler,
   tokensRelayed,
   settle,
   reject,
-  clientGone,
-  noStores,
-  closeWithin,
+  clientDisconnected,
+  storesUnavailable,
 };
--- a/packages/data-plane/src/forward/send.ts
+++ b/packages/data-plane/src/forward/send.ts
@@ -1,52 +1,36 @@
 // Sending a request to one worker (§5.7): a last look at the news, a connection, the exchange, and what it relays.
 import type { WorkerEntry } from '@thornsail/load-balancer';
-import { time, duration, type HttpResponseWriter, type Microseconds } from '@thornsail/runtime';
+import { duration, type HttpResponseWriter, type Microseconds } from '@thornsail/runtime';
+import { lastCheck, untilRead } from '../requests/attempt.js';
+import type { StepResult } from '../requests/steps.js';
 import type { Lease } from './connections.js';
 import { events, type StreamEvent } from './events.js';
 import { exchange, type Outcome, type StreamSink } from './exchange.js';
 import { finish } from './finish.js';
 import { endsWithClient } from './plan.js';
-import { requests, type Next, type Request } from './request.js';
+import { requests, type Request } from './request.js';
 
-/** A reader that takes nothing for so long is cut off. */
-const slowReader = duration.s(5);
 const largestAnswer = 8 << 20;
 const leastTimeToSend = duration.ms(1);
-/** What of a worker's connections all edges together may use, and where a service tells no limit. */
+/** What of a worker's connections all gateways together may use, and where a service tells no limit. */
 const connectionShare = 0.9;
 const untoldConnections = 64;
 const leastConnections = 2;
 
-/** The last look before sending: news as fresh as it must be, a worker that stays, a client that still waits. */
-const lastLook = async (request: Request, worker: WorkerEntry): Promise<WorkerEntry | Next> => {
-  const { edge, response } = request;
-  if (!(await edge.freshen())) {
-    const text = 'this node has just woken and could not refresh its news';
-    return requests.reject(request, 'stale', text, requests.soon(request));
-  }
-  const now = edge.adm.worker(worker.id);
-  if (!now || now.leaving) return 'again';
-  if (response.gone()) return requests.clientGone(request);
-  if (requests.left(request) <= leastTimeToSend)
-    return requests.reject(request, 'late', 'the time left ran out before anything was sent', requests.soon(request));
-  return now;
-};
+const checkBeforeSend = lastCheck<Request>({
+  remaining: requests.left,
+  minimumTime: leastTimeToSend,
+  reject: requests.reject,
+  retryAfter: requests.retrySoon,
+  clientDisconnected: requests.clientDisconnected,
+});
 
-const leaseOf = ({ edge, forwarding, placement }: Request, worker: WorkerEntry): Lease | undefined => {
-  const service = edge.config().services.find((known) => known.name === placement.service);
-  const part = ((service?.connections ?? untoldConnections) * connectionShare) / forwarding.edges();
+const leaseOf = ({ gateway, forwarding, placement }: Request, worker: WorkerEntry): Lease | undefined => {
+  const service = gateway.config().services.find((known) => known.name === placement.service);
+  const part = ((service?.connections ?? untoldConnections) * connectionShare) / forwarding.gatewayCount();
   return forwarding.connections.take(worker, Math.max(leastConnections, Math.floor(part)));
 };
 
-const untilDrained = async ({ edge, response }: Request): Promise<void> => {
-  const stuck = await Promise.race([
-    response.drained().then(() => false),
-    time.sleep(edge.runtime.clock, slowReader).then(() => true),
-  ]);
-  if (!stuck || response.gone()) return;
-  edge.bump('slow_cut');
-  response.cut();
-};
 /** Ends one exchange from this side, because of what its worker sent or because its client has gone. */
 type Stop = {
   /** As the exchange watches it: told when the exchange is to end. */
@@ -83,7 +67,7 @@
 };
 /** Events go to the caller as they come; what was said of the first worker stays the answer's head. */
 const sinkOf = (request: Request, sentAt: Microseconds, stop: Stop): StreamSink => {
-  const { edge, plan, placement, relayed, response } = request;
+  const { gateway, plan, placement, relayed, response } = request;
   const { dialect } = request.forwarding;
   const resumed = relayed.lastId !== null;
   let first = true;
@@ -95,8 +79,8 @@
   };
   return {
     head: (status, headers) => {
-      edge.adm.observeFirstToken(plan.cls, edge.runtime.clock.now() - sentAt, placement.forced);
-      if (request.stages.now() === 'sent') request.stages.go('relay');
+      gateway.admission.observeFirstToken(plan.cls, gateway.runtime.clock.now() - sentAt, placement.forced);
+      if (request.phases.current() === 'sent') request.phases.transition('relay');
       const version = dialect.headVersion(headers);
       // An answer never mixes two versions of weights.
       if (relayed.version !== null && version !== null && version !== relayed.version)
@@ -118,7 +102,7 @@
       }
       return response.gone() || response.write(event.bytes);
     },
-    drained: () => untilDrained(request),
+    drained: () => untilRead(gateway, response),
   };
 };
 
@@ -131,7 +115,7 @@
   const { plan, relayed } = request;
   const stop = stopOf(request);
   const outcome = await exchange.run({
-    runtime: request.edge.runtime,
+    runtime: request.gateway.runtime,
     lease,
     worker,
     dialect: request.forwarding.dialect,
@@ -147,29 +131,29 @@
   return why === null ? outcome : { how: 'cut', why };
 };
 
-/** One worker: looked at again, sent to. `again` if another one is to be chosen. */
-export const tryWorker = async (request: Request, worker: WorkerEntry): Promise<Next> => {
-  const { edge, plan, placement } = request;
+/** One worker: looked at again, sent to. `continue` if another one is to be chosen. */
+export const tryWorker = async (request: Request, worker: WorkerEntry): Promise<StepResult> => {
+  const { gateway, plan, placement } = request;
   let took: Microseconds | null = null;
-  const another = (): Next => {
+  const another = (): StepResult => {
     placement.excluded.add(worker.id);
-    return 'again';
+    return 'continue';
   };
   try {
-    if (request.stages.now() === 'admitted') request.stages.go('charge');
-    const now = await lastLook(request, worker);
-    if (now === 'done') return 'done';
-    if (now === 'again') return another();
+    if (request.phases.current() === 'admitted') request.phases.transition('charge');
+    const now = checkBeforeSend(request, worker, await gateway.refreshIfStale());
+    if (now === 'answered') return 'answered';
+    if (now === 'continue') return another();
     const lease = leaseOf(request, now);
     if (!lease) return another();
-    request.stages.go('send');
+    request.phases.transition('send');
     placement.sends += 1;
-    const sentAt = edge.runtime.clock.now();
+    const sentAt = gateway.runtime.clock.now();
     const outcome = await exchangeWith(request, now, lease, sentAt);
     if (outcome.how === 'unsent' && outcome.worker) placement.sends -= 1;
-    if (outcome.how === 'streamed' || outcome.how === 'answer') took = edge.runtime.clock.now() - sentAt;
+    if (outcome.how === 'streamed' || outcome.how === 'answer') took = gateway.runtime.clock.now() - sentAt;
     return await finish(request, worker, outcome);
   } finally {
-    edge.adm.releaseSlot(worker.id, plan.cls, took);
+    gateway.admission.releaseSlot(worker.id, plan.cls, took);
   }
 };
--- a/packages/data-plane/src/job.ts
+++ b/packages/data-plane/src/job.ts
@@ -1,171 +1,189 @@
-// Carrying out a job (§5.1), a function for each stage: claim, slot, send, result.
+/** Serves a job (§5.1), a function for each step: claim, slot, send, result. */
 import { formats, type WorkerEntry } from '@thornsail/load-balancer';
 import {
-  fault,
   duration,
+  fault,
   type HttpClientResponse,
   type HttpResponseWriter,
   type Microseconds,
 } from '@thornsail/runtime';
-import { keyOf, type Job } from './turn-records.js';
-import type { ErrorCode } from './errors.js';
-import { claimKey, silenceLimit, slotLimit, worker, type Edge } from './edge.js';
-import type { Ran } from './say.js';
-import { stages, type Stages } from './stage.js';
+import { internalErrors, type ErrorCode } from './errors.js';
+import type { Gateway } from './gateway.js';
+import { phases, type Execution } from './phases.js';
+import type { JobPlan } from './plan.js';
+import { claimKey, lastUnsentRound, remaining, slotTimeout, type ProductRequest } from './product-request.js';
+import { idempotencyKeyOf } from './records/idempotency-keys.js';
+import { lastCheck, lateText } from './requests/attempt.js';
+import { elapsed } from './requests/deadline.js';
+import type { StepResult } from './requests/steps.js';
+import { worker } from './worker-request.js';
 
-type Run = {
-  x: Edge;
-  p: Job;
-  say: HttpResponseWriter;
-  st: Stages;
-  begun: Microseconds;
-  turn: string;
-  claimed: boolean;
-  /** The key is given back behind the answer: a refusal does not wait for the stores. */
-  closing: boolean;
-  not: Set<string>;
-};
-type Next = 'done' | 'again';
-const largestResult = 4 << 20;
+type JobRequest = ProductRequest<JobPlan>;
+/** Characters of a result at most. */
+const maxResultLength = 4 << 20;
+/** A worker gets at least so long for its result. */
+const minimumJobTime = duration.ms(100);
 
-const spent = (r: Run): Microseconds => r.x.runtime.clock.now() - r.begun;
-const left = (r: Run): Microseconds => Math.min(silenceLimit, r.p.timeLeft) - spent(r);
-const close = (r: Run): void => {
-  if (!r.claimed) return;
-  r.closing = true;
-  void r.x.turnRecords.unclaim(keyOf(r.p), r.turn).finally(() => r.x.inFlight.delete(r.turn));
+const releaseKey = (job: JobRequest): void => {
+  if (!job.claimed) return;
+  job.closing = true;
+  const { gateway, plan, id } = job;
+  void gateway.keys.release(idempotencyKeyOf(plan), id).finally(() => gateway.inFlight.delete(id));
 };
-const no = (r: Run, error: ErrorCode, text: string, retryAfter: number | null, ran?: Ran): 'done' => {
-  r.st.go('reject');
-  close(r);
-  r.x.say.reject(r.say, error, text, ran ?? r.st.ran(), retryAfter);
-  return 'done';
+/** Gives a job up before anything was sent: the answer does not wait for the stores. */
+const reject = (
+  job: JobRequest,
+  code: ErrorCode,
+  text: string,
+  retryAfter: number | null,
+  ran?: Execution,
+): 'answered' => {
+  job.phases.transition('reject');
+  releaseKey(job);
+  job.gateway.responses.reject(job.response, code, text, ran ?? job.phases.execution(), retryAfter);
+  return 'answered';
 };
 
-const claim = (r: Run): Promise<Next> =>
-  claimKey(r, r.turn, left(r), (text, error) =>
-    no(r, error, text, error === 'stale' ? 1 : r.x.say.backoff(), 'unknown'),
-  );
+const claim = claimKey(reject);
 
-const slot = async (r: Run): Promise<WorkerEntry | 'done'> => {
-  const { x, p } = r;
-  const limit = Math.min(slotLimit - spent(r), left(r) - x.adm.expectedService(p.cls));
-  const want = x.adm.acquireSlot(p.cls, { preferred: null, excluded: r.not, force: false, limit });
-  r.say.onGone(want.abandon);
-  const s = await want.slot;
-  if (s.type === 'acquired') return s.worker;
-  if (s.type === 'abandoned') {
-    r.st.go('reject');
-    close(r);
-    return 'done';
+/** A worker with a free slot, waited for if need be. */
+const takeSlot = async (job: JobRequest): Promise<WorkerEntry | 'answered'> => {
+  const { gateway, plan, response } = job;
+  const limit = Math.min(slotTimeout - elapsed(job), remaining(job) - gateway.admission.expectedService(plan.cls));
+  const asked = gateway.admission.acquireSlot(plan.cls, {
+    preferred: null,
+    excluded: job.excluded,
+    force: false,
+    limit,
+  });
+  response.onGone(asked.abandon);
+  const slot = await asked.slot;
+  if (slot.type === 'acquired') return slot.worker;
+  if (slot.type === 'abandoned') {
+    job.phases.transition('reject');
+    releaseKey(job);
+    return 'answered';
   }
-  const again = x.say.backoff();
-  if (s.type === 'no-worker') return no(r, 'no_worker', 'no worker of this kind is there', again);
-  return no(r, 'busy', 'all workers of this class are taken', again);
+  const retryAfter = gateway.responses.backoff();
+  if (slot.type === 'no-worker') return reject(job, 'no_worker', 'no worker of this kind is there', retryAfter);
+  return reject(job, 'busy', 'all workers of this class are taken', retryAfter);
 };
 
-/** A byte may have reached the worker: only what is safe to repeat, and only within the retry budget. */
-const lost = (r: Run, text: string, mayRepeat: boolean): Next => {
-  const { x, p } = r;
-  const again = mayRepeat && !p.once && p.key === null && left(r) > 0 && x.mayRetry();
-  r.st.go('lose');
-  if (again) {
-    x.bump('retried');
-    r.st.go('again');
-    return 'again';
+const checkBeforeSend = lastCheck<JobRequest>({
+  remaining,
+  minimumTime: 0,
+  reject,
+  retryAfter: () => 1,
+  clientDisconnected: (job) => reject(job, 'late', lateText, 1),
+});
+
+/** A byte may have reached the worker: only what is safe to repeat, and only within the retry budget (§5.4). */
+const lost = (job: JobRequest, text: string, mayRepeat: boolean): StepResult => {
+  const { gateway, plan } = job;
+  const repeats = mayRepeat && !plan.once && plan.key === null && remaining(job) > 0 && gateway.takeRetry();
+  job.phases.transition('lose');
+  if (repeats) {
+    gateway.count('retried');
+    job.phases.transition('again');
+    return 'continue';
   }
-  x.bump('lost');
-  x.say.reject(r.say, 'worker_lost', text, 'unknown', p.once ? null : 1);
-  return 'done';
+  gateway.count('lost');
+  gateway.responses.reject(job.response, 'worker_lost', text, 'unknown', plan.once ? null : 1);
+  return 'answered';
 };
-const wholeResult = async (res: HttpClientResponse): Promise<string> => {
+const readResult = async (response: HttpClientResponse): Promise<string> => {
   let body = '';
-  for await (const piece of res.body) {
+  for await (const piece of response.body) {
     body += piece;
-    if (body.length > largestResult) {
-      res.cut();
-      throw fault.make({ step: 'job.body' }, 'a result over 4 MiB');
+    if (body.length > maxResultLength) {
+      response.cut();
+      throw internalErrors.create('result-too-large', { step: 'job.body' });
     }
   }
   return body;
 };
-const tell = async (r: Run, res: HttpClientResponse, body: string): Promise<void> => {
-  const type = res.headers['content-type'] ?? 'application/json';
-  const done = { status: res.status, type, body, finish: null, prompt: 0, completion: 0 };
-  r.st.go('relay');
-  if (r.claimed) await r.x.turnRecords.record(keyOf(r.p), r.turn, done);
-  r.st.go('end');
-  r.x.bump('results');
-  if (r.say.gone()) return;
-  r.say.head(res.status, { 'content-type': type, 'x-thornsail-ran': 'yes' });
-  r.say.end(body);
+/** Answers with a result; that of a key is recorded first. */
+const answer = async (job: JobRequest, result: HttpClientResponse, body: string): Promise<void> => {
+  const { gateway, plan, response } = job;
+  const type = result.headers['content-type'] ?? 'application/json';
+  const recorded = { status: result.status, type, body, finish: null, prompt: 0, completion: 0 };
+  job.phases.transition('relay');
+  if (job.claimed) await gateway.keys.recordResult(idempotencyKeyOf(plan), job.id, recorded);
+  job.phases.transition('end');
+  gateway.count('results');
+  if (response.gone()) return;
+  response.head(result.status, { 'content-type': type, 'x-thornsail-ran': 'yes' });
+  response.end(body);
 };
 
-/** One worker: looked at again, sent to. 'again' if another is to be picked. */
-const tryAt = async (r: Run, to: WorkerEntry, round: number): Promise<Next> => {
-  const { x, p } = r;
+/** The worker sent no response. */
+const failed = (job: JobRequest, workerId: string, unsent: boolean, round: number): StepResult => {
+  job.gateway.admission.markUnhealthy(workerId);
+  job.excluded.add(workerId);
+  if (!unsent) return lost(job, 'the worker was lost before its result', round === 0);
+  job.phases.transition('unsent');
+  const mayGoOn = round < lastUnsentRound && remaining(job) > 0;
+  return mayGoOn ? 'continue' : reject(job, 'no_worker', 'no worker could be reached', 1);
+};
+/** One worker: checked again, sent to. `continue` if another one is to be chosen. */
+const tryWorker = async (job: JobRequest, to: WorkerEntry, round: number): Promise<StepResult> => {
+  const { gateway, plan } = job;
   let took: Microseconds | null = null;
   try {
-    if (round === 0) r.st.go('admit');
-    if (!(await x.freshen())) return no(r, 'stale', 'this node has just woken and could not refresh its news', 1);
-    const now = x.adm.worker(to.id);
-    if (!now || now.leaving) {
-      r.not.add(to.id);
-      return 'again';
+    if (round === 0) job.phases.transition('admit');
+    const checked = checkBeforeSend(job, to, await gateway.refreshIfStale());
+    if (checked === 'answered') return 'answered';
+    if (checked === 'continue') {
+      job.excluded.add(to.id);
+      return 'continue';
     }
-    if (r.say.gone() || left(r) <= 0) return no(r, 'late', 'the time left ran out before anything was sent', 1);
-    if (r.st.now() === 'admitted') r.st.go('charge');
-    r.st.go('send');
-    const sentAt = x.runtime.clock.now();
-    const got = await worker.send(x.runtime, now, {
+    if (job.phases.current() === 'admitted') job.phases.transition('charge');
+    job.phases.transition('send');
+    const sentAt = gateway.runtime.clock.now();
+    const reply = await worker.send(gateway.runtime, checked, {
       path: formats.job.path,
-      body: p.body,
-      headers: p.key === null ? {} : { 'idempotency-key': p.key },
-      left: Math.max(duration.ms(100), p.timeLeft - spent(r)),
+      body: plan.body,
+      headers: plan.key === null ? {} : { 'idempotency-key': plan.key },
+      timeLeft: Math.max(minimumJobTime, plan.timeLeft - elapsed(job)),
     });
-    if (!got.ok) {
-      x.adm.markUnhealthy(now.id);
-      r.not.add(now.id);
-      if (!got.unsent) return lost(r, 'the worker was lost before its result', round === 0);
-      r.st.go('unsent');
-      return round < 3 && left(r) > 0 ? 'again' : no(r, 'no_worker', 'no worker could be reached', 1);
-    }
+    if (reply.type === 'failed') return failed(job, checked.id, reply.unsent, round);
     let body: string;
     try {
-      body = await wholeResult(got.res);
-    } catch (e) {
-      x.runtime.log('data-plane')(`a job's result broke off: ${fault.text(e)}.`);
-      return lost(r, 'the result broke off', false);
+      body = await readResult(reply.response);
+    } catch (error) {
+      gateway.log(`a job's result broke off: ${fault.text(error)}.`);
+      return lost(job, 'the result broke off', false);
     }
-    took = x.runtime.clock.now() - sentAt;
-    await tell(r, got.res, body);
-    return 'done';
+    took = gateway.runtime.clock.now() - sentAt;
+    await answer(job, reply.response, body);
+    return 'answered';
   } finally {
-    x.adm.releaseSlot(to.id, p.cls, took);
+    gateway.admission.releaseSlot(to.id, plan.cls, took);
   }
 };
 
-export const job = async (x: Edge, p: Job, say: HttpResponseWriter): Promise<void> => {
-  x.bump('jobs');
-  const r: Run = {
-    x,
-    p,
-    say,
-    st: stages.open(),
-    begun: x.runtime.clock.now(),
-    turn: `${x.me}.${x.runtime.rand.id()}`,
+/** Serves a job to its final answer. */
+export const job = async (gateway: Gateway, plan: JobPlan, response: HttpResponseWriter): Promise<void> => {
+  gateway.count('jobs');
+  const request: JobRequest = {
+    gateway,
+    plan,
+    response,
+    phases: phases.open(),
+    arrivedAt: gateway.runtime.clock.now(),
+    id: `${gateway.id}.${gateway.runtime.rand.id()}`,
     claimed: false,
     closing: false,
-    not: new Set(),
+    excluded: new Set(),
   };
-  x.inFlight.add(r.turn);
+  gateway.inFlight.add(request.id);
   try {
-    if ((await claim(r)) === 'done') return;
+    if ((await claim(request)) === 'answered') return;
     for (let round = 0; ; round++) {
-      const to = await slot(r);
-      if (to === 'done' || (await tryAt(r, to, round)) === 'done') return;
+      const to = await takeSlot(request);
+      if (to === 'answered' || (await tryWorker(request, to, round)) === 'answered') return;
     }
   } finally {
-    if (!r.closing) x.inFlight.delete(r.turn);
+    if (!request.closing) gateway.inFlight.delete(request.id);
   }
 };
--- a/packages/data-plane/src/plan.ts
+++ b/packages/data-plane/src/plan.ts
@@ -4,33 +4,40 @@
 import { duration, type HttpRequest, type Microseconds } from '@thornsail/runtime';
 import { errors, type ErrorCode } from './errors.js';
 
+/** A turn of a program, as its request plans it. Identifies nothing outside: it is data. */
+export type ChatPlan = {
+  kind: 'chat';
+  cls: string;
+  of: ClassOf;
+  program: string;
+  key: string | null;
+  /** Digest of the request, by which another one under the same key is recognised (§5.4). */
+  sum: string;
+  /** It must not run twice: it is not repeated by itself, nor may its caller repeat it without its key. */
+  once: boolean;
+  conversation: string | null;
+  stream: boolean;
+  timeLeft: Microseconds;
+  messages: unknown[];
+  /** Fields of the body that only the worker reads. */
+  rest: Record<string, unknown>;
+  maxTokens: number;
+};
+/** A job: its body goes to a worker as it came. */
+export type JobPlan = {
+  kind: 'job';
+  cls: string;
+  of: ClassOf;
+  key: string | null;
+  sum: string;
+  once: boolean;
+  timeLeft: Microseconds;
+  body: string;
+};
+/** What is to be done with a request of the product's interface. */
 export type Plan =
-  | {
-      kind: 'chat';
-      cls: string;
-      of: ClassOf;
-      program: string;
-      key: string | null;
-      /** Digest of the request, by which another one under the same key is told (§5.4). */
-      sum: string;
-      once: boolean;
-      conversation: string | null;
-      stream: boolean;
-      timeLeft: Microseconds;
-      messages: unknown[];
-      rest: Record<string, unknown>;
-      maxTokens: number;
-    }
-  | {
-      kind: 'job';
-      cls: string;
-      of: ClassOf;
-      key: string | null;
-      sum: string;
-      once: boolean;
-      timeLeft: Microseconds;
-      body: string;
-    }
+  | ChatPlan
+  | JobPlan
   | { kind: 'recall'; conversation: string }
   | { kind: 'reject'; status: number; error: ErrorCode; field: string | null; text: string };
 
--- a/packages/data-plane/src/relay.ts
+++ b/packages/data-plane/src/relay.ts
@@ -1,162 +1,182 @@
-// Relaying a worker's stream to its caller (§5.6): counted, numbered, ended or visibly cut.
-import { formats } from '@thornsail/load-balancer';
-import {
-  fault,
-  time,
-  duration,
-  type HttpClientResponse,
-  type HttpResponseWriter,
-  type Microseconds,
-} from '@thornsail/runtime';
-import { accountOf, keyOf, type Chat } from './turn-records.js';
-import type { Edge } from './edge.js';
-import { completion as completionOf } from './say.js';
-import type { Stages } from './stage.js';
+/** Relays a worker's stream to its caller (§5.6): counted, numbered, ended or visibly cut. */
+import { formats, type StreamEvent } from '@thornsail/load-balancer';
+import { fault, type HttpClientResponse, type Microseconds } from '@thornsail/runtime';
+import type { ChatTurn } from './chat-turn.js';
+import { internalErrors } from './errors.js';
+import { budgetAccountOf } from './records/budget-accounts.js';
+import { idempotencyKeyOf } from './records/idempotency-keys.js';
+import { untilRead } from './requests/attempt.js';
+import { settleCharge } from './requests/charge.js';
+import { closeTimeout } from './requests/deadline.js';
+import { completion } from './responses.js';
 
-/** How long each of the records may take to close before the stream's end marker. */
-const closeLimit = duration.ms(900);
-/** A reader that has read nothing for so long is let go of. */
-const slowReader = duration.s(5);
+/** `complete`: settled, stored and ended; `empty`: nothing was relayed; `cut`: broken off within. */
+export type RelayOutcome = 'complete' | 'empty' | 'cut';
 
-const mergeTools = (
-  into: Map<number, { id?: string; type: string; function: { name: string; arguments: string } }>,
-  data: string,
-): void => {
-  const j = JSON.parse(data) as {
-    choices?: {
-      delta?: { tool_calls?: { index?: number; id?: string; function?: { name?: string; arguments?: string } }[] };
-    }[];
-  };
-  for (const t of j.choices?.[0]?.delta?.tool_calls ?? []) {
-    const cur = into.get(t.index ?? 0) ?? { type: 'function', function: { name: '', arguments: '' } };
-    if (t.id !== undefined) cur.id = t.id;
-    cur.function.name += t.function?.name ?? '';
-    cur.function.arguments += t.function?.arguments ?? '';
-    into.set(t.index ?? 0, cur);
+type ToolCall = { id?: string; type: string; function: { name: string; arguments: string } };
+type ToolCallDelta = { index?: number; id?: string; function?: { name?: string; arguments?: string } };
+/** What has come of a stream so far. Tokens are counted by the worker's word, and by events until it tells. */
+type Progress = {
+  /** Events that were written to the client. */
+  written: number;
+  headSent: boolean;
+  /** Events that carry output. */
+  outputEvents: number;
+  promptTokens: number;
+  /** Null: the worker has not told yet. */
+  outputTokens: number | null;
+  content: string;
+  finishReason: string | null;
+  toolCalls: Map<number, ToolCall>;
+};
+
+const outputTokens = (progress: Progress): number => progress.outputTokens ?? progress.outputEvents;
+
+/** Tool calls come in parts: their names and arguments are put together by index. */
+const mergeToolCalls = (into: Map<number, ToolCall>, data: string): void => {
+  const event = JSON.parse(data) as { choices?: { delta?: { tool_calls?: ToolCallDelta[] } }[] };
+  for (const delta of event.choices?.[0]?.delta?.tool_calls ?? []) {
+    const index = delta.index ?? 0;
+    const call = into.get(index) ?? { type: 'function', function: { name: '', arguments: '' } };
+    if (delta.id !== undefined) call.id = delta.id;
+    call.function.name += delta.function?.name ?? '';
+    call.function.arguments += delta.function?.arguments ?? '';
+    into.set(index, call);
+  }
+};
+
+/** Writes one event. A slow reader holds the worker's stream back; nothing piles up here. */
+const writeEvent = async (turn: ChatTurn, progress: Progress, workerId: string, data: string): Promise<void> => {
+  const { gateway, plan, response } = turn;
+  if (!plan.stream || response.gone()) return;
+  if (!progress.headSent) {
+    progress.headSent = true;
+    response.head(200, {
+      'content-type': 'text/event-stream',
+      'cache-control': 'no-cache',
+      'x-thornsail-worker': workerId,
+    });
+  }
+  progress.written += 1;
+  if (response.write(`id: ${progress.written}\ndata: ${data.replaceAll('\n', '\ndata: ')}\n\n`)) return;
+  // One that has stopped reading is disconnected; the turn at the worker runs on and is settled (§5.6).
+  await untilRead(gateway, response);
+};
+
+/** Settles, stores and records a turn before its end is told. Rejects where the conversation was not appended to. */
+const closeRecords = async (turn: ChatTurn, progress: Progress, workerId: string): Promise<void> => {
+  const { gateway, plan, context } = turn;
+  const { content, finishReason, promptTokens: prompt, toolCalls } = progress;
+  const output = outputTokens(progress);
+  const promptCharged = progress.outputTokens === null ? Math.max(context.reserve - plan.maxTokens, prompt) : prompt;
+  const usage = { actual: promptCharged + output, tokens: prompt + output, worker: workerId };
+  // Beside one another: the client hears nothing meanwhile.
+  const settled = settleCharge(gateway, budgetAccountOf(plan), turn.chargeId, usage);
+  const reply = { role: 'assistant', content, ...(toolCalls.size ? { tool_calls: [...toolCalls.values()] } : {}) };
+  if (plan.conversation !== null)
+    await gateway.conversations.append(plan, turn.id, context.base, [...plan.messages, reply], closeTimeout);
+  if (turn.claimed)
+    await gateway.keys.recordResult(idempotencyKeyOf(plan), turn.id, {
+      status: 200,
+      type: 'chat',
+      body: content,
+      finish: finishReason,
+      prompt,
+      completion: output,
+    });
+  await settled;
+  const final = finishReason !== null && finishReason !== 'tool_calls';
+  gateway.admission.endTurn(turn.chargeId, { tokens: prompt + output, final, worker: workerId });
+};
+
+const endResponse = (turn: ChatTurn, progress: Progress, workerId: string): void => {
+  const { gateway, plan, response } = turn;
+  if (plan.stream) {
+    progress.written += 1;
+    response.end(`id: ${progress.written}\ndata: [DONE]\n\n`);
+    return;
+  }
+  const { content, finishReason, promptTokens, toolCalls } = progress;
+  const calls = [...toolCalls.values()];
+  const body = completion.complete(content, finishReason, calls, promptTokens, outputTokens(progress));
+  gateway.responses.json(response, 200, body, { 'x-thornsail-worker': workerId });
+};
+
+/** The worker has sent its end marker. */
+const complete = async (
+  turn: ChatTurn,
+  progress: Progress,
+  workerId: string,
+  stream: HttpClientResponse,
+): Promise<RelayOutcome> => {
+  const { gateway, plan, phases, response } = turn;
+  if (phases.current() === 'sent') phases.transition('relay');
+  try {
+    await closeRecords(turn, progress, workerId);
+  } catch (error) {
+    gateway.log(`a conversation was not kept, so its stream is cut: ${fault.text(error)}.`);
+    return 'cut';
   }
+  phases.transition('end');
+  gateway.count('results');
+  stream.cut();
+  if (response.gone()) return 'complete';
+  if (plan.stream && !progress.headSent) await writeEvent(turn, progress, workerId, '{}');
+  endResponse(turn, progress, workerId);
+  return 'complete';
 };
 
-/** Relays a worker's stream. 'done': settled, kept, ended; 'empty': nothing was relayed; 'cut': broken off within. */
+/** Takes one piece of the stream into account. */
+const take = (turn: ChatTurn, progress: Progress, piece: StreamEvent & { type: 'delta' | 'usage' }): void => {
+  progress.content += piece.text;
+  if (piece.finish !== null) progress.finishReason = piece.finish;
+  if (piece.type === 'usage') {
+    progress.promptTokens = piece.prompt;
+    progress.outputTokens = piece.completion;
+  } else if (piece.text !== '' || piece.toolCall) progress.outputEvents += 1;
+  if (piece.toolCall) mergeToolCalls(progress.toolCalls, piece.data);
+  turn.gateway.admission.contextGrew(turn.plan.program, progress.promptTokens + outputTokens(progress));
+};
+
+/** Relays a stream that began at `sentAt` (clock time) up to its end or its loss. Never rejects. */
 export const relay = async (
-  e: Edge,
-  p: Chat,
-  say: HttpResponseWriter,
-  st: Stages,
-  res: HttpClientResponse,
-  turn: string,
-  x: {
-    sentAt: Microseconds;
-    /** How long the kept conversation was that the worker was given. */
-    base: number;
-    guess: number;
-    reserve: number;
-    worker: string;
-    claimed: boolean;
-    first: string;
-    forced: boolean;
-  },
-): Promise<'done' | 'empty' | 'cut'> => {
-  const { adm, turnRecords } = e;
-  const { clock } = e.runtime;
-  const log = e.runtime.log('data-plane');
+  turn: ChatTurn,
+  workerId: string,
+  stream: HttpClientResponse,
+  sentAt: Microseconds,
+): Promise<RelayOutcome> => {
+  const { gateway, plan, phases } = turn;
   const split = formats.chat.reader();
-  let n = 0;
-  let count = 0;
-  let prompt = x.guess;
-  let completion: number | null = null;
-  let content = '';
-  let finish: string | null = null;
-  const tools = new Map<number, { id?: string; type: string; function: { name: string; arguments: string } }>();
-  let headSaid = false;
-  const tell = async (data: string): Promise<void> => {
-    if (!p.stream || say.gone()) return;
-    if (!headSaid) {
-      headSaid = true;
-      say.head(200, {
-        'content-type': 'text/event-stream',
-        'cache-control': 'no-cache',
-        'x-thornsail-worker': x.worker,
-      });
-    }
-    n += 1;
-    // A slow reader holds the worker's stream back; nothing piles up here.
-    if (say.write(`id: ${n}\ndata: ${data.replaceAll('\n', '\ndata: ')}\n\n`)) return;
-    // One that has stopped reading is let go of; the turn at the worker runs on and is settled (§5.6).
-    const stuck = await Promise.race([say.drained().then(() => false), time.sleep(clock, slowReader).then(() => true)]);
-    if (stuck && !say.gone()) {
-      e.bump('slow_cut');
-      say.cut();
-    }
-  };
-  const finishOff = async (): Promise<void> => {
-    const actual = completion === null ? Math.max(x.reserve - p.maxTokens, prompt) + count : prompt + completion;
-    const tokens = prompt + (completion ?? count);
-    // Beside one another: the client hears nothing meanwhile.
-    const settled = turnRecords
-      .settle(accountOf(p), turn, { actual, tokens, worker: x.worker }, closeLimit)
-      .catch((err) => log(`a turn was not settled and stays charged: ${fault.text(err)}.`));
-    const reply = { role: 'assistant', content, ...(tools.size ? { tool_calls: [...tools.values()] } : {}) };
-    if (p.conversation !== null) await turnRecords.append(p, x.first, x.base, [...p.messages, reply], closeLimit);
-    if (x.claimed)
-      await turnRecords.record(keyOf(p), x.first, {
-        status: 200,
-        type: 'chat',
-        body: content,
-        finish,
-        prompt,
-        completion: completion ?? count,
-      });
-    await settled;
-    adm.endTurn(turn, { tokens, final: finish !== null && finish !== 'tool_calls', worker: x.worker });
+  const progress: Progress = {
+    written: 0,
+    headSent: false,
+    outputEvents: 0,
+    promptTokens: turn.context.guess,
+    outputTokens: null,
+    content: '',
+    finishReason: null,
+    toolCalls: new Map(),
   };
   try {
-    for await (const text of res.body) {
+    for await (const text of stream.body) {
       for (const piece of split(text)) {
-        if (piece.type === 'error') throw fault.make({ step: 'relay', sibling: x.worker }, piece.text);
-        if (piece.type === 'done') {
-          if (st.now() === 'sent') st.go('relay');
-          try {
-            await finishOff();
-          } catch (e) {
-            log(`a conversation was not kept, so its stream is cut: ${fault.text(e)}.`);
-            return 'cut';
-          }
-          st.go('end');
-          e.bump('results');
-          res.cut();
-          if (say.gone()) return 'done';
-          if (p.stream) {
-            if (!headSaid) await tell('{}');
-            n += 1;
-            say.end(`id: ${n}\ndata: [DONE]\n\n`);
-          } else
-            e.say.json(
-              say,
-              200,
-              completionOf.whole(content, finish, [...tools.values()], prompt, completion ?? count),
-              { 'x-thornsail-worker': x.worker },
-            );
-          return 'done';
-        }
-        if (st.now() === 'sent') {
-          st.go('relay');
-          adm.observeFirstToken(p.cls, clock.now() - x.sentAt, x.forced);
+        if (piece.type === 'error')
+          throw internalErrors.create('worker-fault', { step: 'relay', peer: workerId, message: piece.text });
+        if (piece.type === 'done') return await complete(turn, progress, workerId, stream);
+        if (phases.current() === 'sent') {
+          phases.transition('relay');
+          gateway.admission.observeFirstToken(plan.cls, gateway.runtime.clock.now() - sentAt, turn.forced);
         }
-        content += piece.text;
-        if (piece.finish !== null) finish = piece.finish;
-        if (piece.type === 'usage') {
-          prompt = piece.prompt;
-          completion = piece.completion;
-        } else if (piece.text !== '' || piece.toolCall) count += 1;
-        if (piece.toolCall) mergeTools(tools, piece.data);
-        adm.contextGrew(p.program, prompt + (completion ?? count));
-        await tell(piece.data);
+        take(turn, progress, piece);
+        await writeEvent(turn, progress, workerId, piece.data);
       }
     }
-    throw fault.make({ step: 'relay', sibling: x.worker }, 'the stream ended without its end marker');
-  } catch (err) {
-    log(`a turn was lost: ${fault.text(err)}.`);
-    res.cut();
-    return st.now() === 'sent' || (!headSaid && p.stream === false && n === 0 && count === 0) ? 'empty' : 'cut';
+    throw internalErrors.create('stream-incomplete', { step: 'relay', peer: workerId });
+  } catch (error) {
+    gateway.log(`a turn was lost: ${fault.text(error)}.`);
+    stream.cut();
+    const { headSent, written, outputEvents } = progress;
+    const nothingRelayed = !headSent && !plan.stream && written === 0 && outputEvents === 0;
+    return phases.current() === 'sent' || nothingRelayed ? 'empty' : 'cut';
   }
 };
--- /dev/null
+++ b/packages/data-plane/src/responses.ts
@@ -0,0 +1,63 @@
+/** Responses of the product's interface that are not a worker's stream (§4.3, §5.4). */
+import type { HttpResponseWriter, Random } from '@thornsail/runtime';
+import { errors, type ErrorCode } from './errors.js';
+import type { Execution } from './phases.js';
+
+/** Writes whole responses. Nothing is written to a client that has disconnected. */
+export type Responses = {
+  json: (response: HttpResponseWriter, status: number, body: unknown, headers?: Record<string, string>) => void;
+  /** The final answer of a request that is given up, at once. `retryAfter` in seconds; null: none is told (§4.3). */
+  reject: (
+    response: HttpResponseWriter,
+    error: ErrorCode,
+    text: string,
+    ran: Execution,
+    retryAfter: number | null,
+  ) => void;
+  /** Whole seconds from 1 to 3, spread out so that those rejected together do not come back together. */
+  backoff: () => number;
+};
+
+/** Chat completions in the form that clients of model servers know. `prompt` and `count` are tokens. */
+export const completion = {
+  complete: (content: string, finish: string | null, toolCalls: unknown[], prompt: number, count: number): unknown => ({
+    object: 'chat.completion',
+    choices: [
+      {
+        index: 0,
+        message: { role: 'assistant', content, ...(toolCalls.length ? { tool_calls: toolCalls } : {}) },
+        finish_reason: finish,
+      },
+    ],
+    usage: { prompt_tokens: prompt, completion_tokens: count, total_tokens: prompt + count },
+  }),
+  chunk: (content: string, finish: string | null, prompt: number, count: number): unknown => ({
+    object: 'chat.completion.chunk',
+    choices: [{ index: 0, delta: { role: 'assistant', content }, finish_reason: finish }],
+    usage: { prompt_tokens: prompt, completion_tokens: count, total_tokens: prompt + count },
+  }),
+};
+
+/** Opens the responses of one gateway. */
+export const responses = {
+  open: ({ rand, count }: { rand: Random; count: (counter: string) => void }): Responses => {
+    const json: Responses['json'] = (response, status, body, headers = {}) => {
+      if (response.gone()) return;
+      response.head(status, { 'content-type': 'application/json', ...headers });
+      response.end(JSON.stringify(body));
+    };
+    return {
+      json,
+      reject: (response, error, text, ran, retryAfter) => {
+        count('rejected');
+        json(
+          response,
+          errors.status('chat', error),
+          { error: errors.name(error), message: text, ran },
+          { 'x-thornsail-ran': ran, ...(retryAfter === null ? {} : { 'retry-after': String(retryAfter) }) },
+        );
+      },
+      backoff: () => 1 + rand.int(3),
+    };
+  },
+};
--- a/packages/data-plane/test/response.test.ts
+++ b/packages/data-plane/test/response.test.ts
@@ -32,11 +32,11 @@
 type Alarm = { clock: Clock; ring: () => void; stopped: () => boolean };
 const alarm = (): Alarm => {
   let due: (() => void) | null = null;
-  const tick = (_after: number, run: () => void): (() => void) => {
+  const schedule = (_after: number, run: () => void): (() => void) => {
     due = run;
     return () => (due = null);
   };
-  return { clock: { tick } as unknown as Clock, ring: () => due?.(), stopped: () => due === null };
+  return { clock: { schedule } as unknown as Clock, ring: () => due?.(), stopped: () => due === null };
 };
 
 test('at the deadline the final answer goes out once; nothing follows it, and whoever waits is told', () => {
--- a/packages/data-plane/test/sends.test.ts
+++ b/packages/data-plane/test/sends.test.ts
@@ -4,7 +4,7 @@
 import * as assert from 'uvu/assert';
 import type { WorkerEntry } from '@thornsail/load-balancer';
 import { real, duration, readText } from '@thornsail/runtime';
-import { worker } from '../src/edge.js';
+import { worker } from '../src/worker-request.js';
 
 const runtime = real.runtime('/nonexistent');
 const answer = (body: string): string => `HTTP/1.1 200 X\r\ncontent-length: ${body.length}\r\n\r\n${body}`;
@@ -29,10 +29,10 @@
       path: '/run',
       body,
       headers: {},
-      left: duration.s(1),
+      timeLeft: duration.s(1),
     });
-    assert.ok(sent.ok);
-    assert.is(await readText(sent.res.body), body);
+    assert.is(sent.type, 'response');
+    if (sent.type === 'response') assert.is(await readText(sent.response.body), body);
   }
   for (const socket of sockets) socket.destroy();
   server.close();
--- a/tools/simulation/src/guards/load-balancer.ts
+++ b/tools/simulation/src/guards/load-balancer.ts
@@ -19,8 +19,11 @@
     replacement: '!excluded?.has(worker.id)',
     noticedBy: { scenario: 'leaving' },
     also: [
-      { file: 'data-plane/src/chat.js', find: 'if (!now || now.leaving)', replacement: 'if (!now)' },
-      { file: 'data-plane/src/job.js', find: 'if (!now || now.leaving)', replacement: 'if (!now)' },
+      {
+        file: 'data-plane/src/requests/attempt.js',
+        find: 'if (!current || current.leaving)',
+        replacement: 'if (!current)',
+      },
     ],
   }),
   guard({
