--- a/packages/register-store/src/group-client.ts
+++ b/packages/register-store/src/group-client.ts
@@ -60,8 +60,8 @@
     body: object,
     timeLeft: Microseconds,
   ): Promise<WireReply<T>> => {
-    const whole = { to: member.id, group: encodeGroup(group), ...body };
-    const reply = await rpc.request<WireReply<T>>(member.at, message, whole, timeLeft);
+    const bodyWithGroup = { to: member.id, group: encodeGroup(group), ...body };
+    const reply = await rpc.request<WireReply<T>>(member.at, message, bodyWithGroup, timeLeft);
     if (reply.ok && reply.lean) knownVersion.set(member.id, group.version);
     return reply;
   };
--- a/packages/register-store/src/member-health.ts
+++ b/packages/register-store/src/member-health.ts
@@ -43,20 +43,20 @@
   const wallOf = new Map<string, { wall: Microseconds; at: Microseconds }>();
   /** How long a majority usually takes to accept. */
   let usualAccept: Microseconds = 0;
-  const mark = (times: Map<string, Microseconds>, { id }: Member, span: Microseconds): void =>
+  const setFor = (times: Map<string, Microseconds>, { id }: Member, span: Microseconds): void =>
     void times.set(id, clock.now() + span);
   const allResponsive = (group: Group): boolean =>
     group.members.every(({ id }) => (unresponsiveUntil.get(id) ?? 0) <= clock.now());
   return {
     wasLate: (member, waited) => {
-      mark(slowUntil, member, slowFor);
-      if (waited > graceForOneMore) mark(unresponsiveUntil, member, unresponsiveFor);
+      setFor(slowUntil, member, slowFor);
+      if (waited > graceForOneMore) setFor(unresponsiveUntil, member, unresponsiveFor);
     },
     hasFailed: (member) => {
-      mark(slowUntil, member, slowFor);
-      mark(unresponsiveUntil, member, unresponsiveFor);
+      setFor(slowUntil, member, slowFor);
+      setFor(unresponsiveUntil, member, unresponsiveFor);
     },
-    isFilling: (member) => mark(unresponsiveUntil, member, fillingFor),
+    isFilling: (member) => setFor(unresponsiveUntil, member, fillingFor),
     isSlow: ({ id }) => (slowUntil.get(id) ?? 0) > clock.now(),
     allResponsive,
     lastMemberTimeout: (group) => {
--- a/packages/register-store/src/read-requests.ts
+++ b/packages/register-store/src/read-requests.ts
@@ -89,8 +89,8 @@
     for (const replica of all) {
       if (ballot.compare(replica.accepted, accepted) >= 0) continue;
       counts.mended += 1;
-      const whole = { to: replica.from.id, group: encodeGroup(group), ...body };
-      rpc.request(replica.from.at, messages.repair, whole).catch(() => undefined);
+      const bodyWithGroup = { to: replica.from.id, group: encodeGroup(group), ...body };
+      rpc.request(replica.from.at, messages.repair, bodyWithGroup).catch(() => undefined);
     }
   });
 };
--- a/tools/simulation/src/guards/register-store.ts
+++ b/tools/simulation/src/guards/register-store.ts
@@ -65,7 +65,7 @@
     file: 'register-store/src/replica-storage.js',
     find: 'entry?.value.promised[0] ?? 0',
     replacement: '0',
-    noticedBy: { test: 'register-store/test/expiry.test.js' },
+    noticedBy: { test: 'register-store/test/former-messages.test.js' },
   }),
   guard({
     name: 'an old group mark is refused',
