--- a/packages/consensus/src/presence.ts
+++ b/packages/consensus/src/presence.ts
@@ -1,6 +1,6 @@
 /**
- * In which condition the members of a group are (§3.3, §6.5): read from the agreed list of nodes, and from how long this
- * leader has missed them by its own clock.
+ * In which condition the members of a group are (§3.3, §6.5): read from the agreed list of nodes, and from how long
+ * this leader has missed them by its own clock.
  */
 import { duration, type Clock, type Microseconds } from '@thornsail/runtime';
 import type { Condition } from './repair.js';
