--- a/packages/data-plane/src/cluster-view.ts
+++ b/packages/data-plane/src/cluster-view.ts
@@ -8,7 +8,7 @@
 import { duration, invariant, type Microseconds, type Runtime } from '@thornsail/runtime';
 import type { Admission } from './admission.js';
 import type { Connections } from './forward/connections.js';
-import type { Report } from './report.js';
+import type { LoadReport } from './load-report.js';
 import { workersOf } from './workers.js';
 
 /** Operations on what is known. Those that take something over pass it on to admission and to the connections. */
@@ -43,17 +43,17 @@
   registers: Registers;
   admission: Admission;
   connections: Connections;
-  reports: Report;
+  reports: LoadReport;
   count: (counter: string) => void;
 };
 type MembershipState = NonNullable<ReturnType<Membership['state']>>;
 const liveGateways = ({ nodes }: MembershipState): { id: string }[] =>
   Object.values(nodes).filter((node) => node.role === 'gateway' && node.status === 'live');
-const isInContact = (now: Microseconds, membership: Membership, reports: Report): boolean => {
+const isInContact = (now: Microseconds, membership: Membership, reports: LoadReport): boolean => {
   const state = membership.state();
   if (!state || now - (membership.dissemination.get('core')?.at ?? -contactTimeout) < contactTimeout) return true;
   const gateways = liveGateways(state);
-  const isHeard = (id: string): boolean => id === membership.id || now - reports.heardOf(id) < contactTimeout;
+  const isHeard = (id: string): boolean => id === membership.id || now - reports.lastHeardOf(id) < contactTimeout;
   return gateways.filter((node) => isHeard(node.id)).length * 2 > gateways.length;
 };
 
@@ -100,7 +100,7 @@
       if (refreshed) {
         takeConfig();
         takeWorkers();
-        reports.heard();
+        reports.takeIn();
       }
       return refreshed;
     },
--- a/packages/data-plane/src/data-plane.ts
+++ b/packages/data-plane/src/data-plane.ts
@@ -17,7 +17,7 @@
 import { budgetAccounts } from './records/budget-accounts.js';
 import { conversations } from './records/conversations.js';
 import { idempotencyKeys } from './records/idempotency-keys.js';
-import { report, type Report } from './report.js';
+import { loadReport, type LoadReport } from './load-report.js';
 import { responses } from './responses.js';
 
 /** What a data plane is opened with. */
@@ -110,7 +110,7 @@
   view: ClusterView;
   admission: Admission;
   registers: Registers;
-  reports: Report;
+  reports: LoadReport;
   retries: Retries;
   inFlight: Set<string>;
   count: (counter: string) => void;
@@ -144,13 +144,13 @@
 const follow = (
   { runtime, membership }: DataPlaneOptions,
   view: ClusterView,
-  reports: Report,
+  reports: LoadReport,
   retries: Retries,
 ): Cancel[] => {
   membership.onState(view.takeConfig);
   membership.dissemination.onUpdate(({ name, version }) => {
     if (name.startsWith('workers/')) view.takeWorkers();
-    if (name.startsWith('load/')) reports.told(name.slice('load/'.length), version);
+    if (name.startsWith('load/')) reports.newsArrived(name.slice('load/'.length), version);
   });
   return [
     time.every(runtime.clock, stateInterval, () => {
@@ -183,7 +183,7 @@
   const inFlight = new Set<string>();
   const retries = openRetries();
   const uses = (): number => view.configVersion();
-  const reports = report.open({ clock, rpc, membership, me: id, adm: () => admission, uses });
+  const reports = loadReport.open({ clock, rpc, membership, self: id, admission: () => admission, configInUse: uses });
   const admission: Admission = admissions.open({
     runtime,
     self: id,
--- a/packages/data-plane/src/load-exchange.ts
+++ b/packages/data-plane/src/load-exchange.ts
@@ -1,26 +1,29 @@
-// Sends this edge's load to the other edges and hears of theirs (§3.5), over the paths that `load-paths.ts` names.
+/**
+ * Sends this gateway's load to the other gateways and receives theirs (§3.5), over the paths that `load-paths.ts`
+ * names.
+ */
 import { isLoad } from '@thornsail/membership';
 import { validate, type Rpc } from '@thornsail/rpc';
 import type { Clock, Microseconds } from '@thornsail/runtime';
 import type { EdgeLoad } from './admission.js';
 import type { LoadPaths } from './load-paths.js';
 
-/** One edge's load; of two with the same sender the one with the higher mark is the newer. */
+/** One gateway's load, in the form of the message; of two of the same sender the one with the higher mark is newer. */
 export type LoadMessage = { from: string; mark: number; load: EdgeLoad };
-/** The newest load of another edge; `at` is when it came by the local clock, microseconds. */
+/** The newest load of another gateway; `at` is when it came by the local clock, microseconds. */
 export type ReceivedLoad = { mark: number; at: Microseconds; load: EdgeLoad };
-/** One edge's side of the exchange of loads. */
+/** One gateway's side of the exchange of loads. */
 export type LoadExchange = {
-  /** This edge's own load, to its row at once and to the other rows with the row's next bundle. */
+  /** Sends this gateway's own load, to its row at once and to the other rows with the row's next bundle. */
   send: (message: LoadMessage) => void;
   /** The newest load by sender. */
   received: Map<string, ReceivedLoad>;
 };
 const isLoadMessage = validate.object({ from: validate.string, mark: validate.integer, load: isLoad });
 
-/** Opens the exchange of loads between edges. */
+/** Opens the exchange of loads between gateways. */
 export const loadExchange = {
-  /** `pause` is the least time between two bundles, `received` is called when another edge's load has come. */
+  /** `pause` is the least time between two bundles, `onReceived` is called when another gateway's load has come. */
   open: (options: {
     clock: Clock;
     rpc: Rpc;
@@ -31,7 +34,7 @@
   }): LoadExchange => {
     const { clock, rpc, me } = options;
     const received = new Map<string, ReceivedLoad>();
-    /** What this edge has not passed on to the other rows yet. */
+    /** What this gateway has not passed on to the other rows yet, by sender. */
     const bundle = new Map<string, LoadMessage>();
     let lastBundle = -Infinity;
     let bundleDue = false;
@@ -48,7 +51,7 @@
       bundleDue = true;
       clock.schedule(Math.max(0, lastBundle + options.pause() - clock.now()), sendBundle);
     };
-    /** False if it is no news: this edge's own, or older than what is known. */
+    /** False if it tells nothing new: this gateway's own, or older than what is known. */
     const take = ({ from, mark, load }: LoadMessage): boolean => {
       if (from === me || (received.get(from)?.mark ?? -1) >= mark) return false;
       received.set(from, { mark, at: clock.now(), load });
--- a/packages/data-plane/src/load-paths.ts
+++ b/packages/data-plane/src/load-paths.ts
@@ -1,18 +1,20 @@
-// Which edges an edge tells of load (§3.5). Few edges tell each other directly. Many edges form the rows of a grid: an
-// edge tells its own row, and one edge of each row passes the row's load on to each edge of the other rows. An edge
-// then sends and receives about 2√n messages for each change of all n edges, instead of n.
+/**
+ * Which gateways a gateway sends its load to (§3.5). Few gateways send to each other directly. Many form the rows of a
+ * grid: a gateway sends to its own row, and one gateway of each row passes the row's load on to each gateway of the
+ * other rows. A gateway then sends and receives about 2√n messages for each change of all n, instead of n.
+ */
 import type { Address } from '@thornsail/runtime';
 
-/** A live edge, as the roster has it. */
+/** A live gateway, as the membership has it. */
 export type EdgePeer = { id: string; place: Address; zone: string };
-/** Addresses of the edges that one edge sends to, itself excluded. */
+/** Addresses that one gateway sends to, its own excluded. */
 export type LoadPaths = {
-  /** Edges that hear of this edge's own load from itself. */
+  /** Gateways that get this one's own load from itself. */
   row: Address[];
-  /** Edges of other rows, that hear of this edge's whole row from it; empty where all tell each other directly. */
+  /** Gateways of other rows that get the load of this one's whole row from it; empty where all send to each other. */
   otherRows: Address[];
 };
-/** Up to so many edges tell each other directly: one hop, and few enough messages. */
+/** Up to so many gateways send to each other directly: one hop, and few enough messages. */
 export const directUpTo = 16;
 
 const compare = (a: string, b: string): number => (a < b ? -1 : a > b ? 1 : 0);
@@ -24,9 +26,9 @@
   return Array.from({ length: count }, (_, row) => sorted.slice(start(row), start(row + 1)));
 };
 
-/** Computes whom an edge sends to. */
+/** Computes whom a gateway sends to. */
 export const loadPaths = {
-  /** All edges compute the same grid from the same roster. An edge that the roster does not have tells all directly. */
+  /** All compute the same grid from the same membership. A gateway that is not in it sends to all directly. */
   of: (peers: readonly EdgePeer[], me: string): LoadPaths => {
     const others = (row: readonly EdgePeer[]): Address[] =>
       row.filter((peer) => peer.id !== me).map((peer) => peer.place);
