--- a/packages/dissemination/src/dissemination.ts
+++ b/packages/dissemination/src/dissemination.ts
@@ -18,7 +18,7 @@
   exchangeTimeout: duration.ms(250),
   batchDelay: duration.ms(200),
 };
-/** A leaf that missed this many comparisons is gone. */
+/** A leaf that missed this many comparisons is no longer attached. */
 const leafExpiryIntervals = 4;
 
 /** Where a node passes updates on to: a relay to its neighbours in the tree and its leaves, a leaf to its relay. */
--- a/packages/dissemination/src/item-store.ts
+++ b/packages/dissemination/src/item-store.ts
@@ -26,7 +26,7 @@
 /** No items yet. */
 export const openItemStore = (clock: Clock, { admits, isValid, isVolatile }: ItemRules): ItemStore => {
   const items = new Map<string, Item>();
-  /** Kept until an item changes. */
+  /** Computed anew only after an item has changed. */
   let knownChecksum: number | undefined;
   const compared = (): [name: string, item: Item][] => [...items].filter(([name]) => !isVolatile(name));
   const computeChecksum = (): number => {
--- a/packages/dissemination/src/leaves.ts
+++ b/packages/dissemination/src/leaves.ts
@@ -1,4 +1,4 @@
-/** The leaves that are attached to this relay (§3.5). A leaf that has not compared for some time is gone. */
+/** The leaves that are attached to this relay (§3.5). A leaf that has not compared for some time is no longer attached. */
 import type { Address, Clock, Microseconds } from '@thornsail/runtime';
 
 /** The leaves of one relay. */
@@ -9,7 +9,7 @@
   addresses: () => Address[];
 };
 
-/** No leaves yet; `expiry` is the time after which a silent leaf is gone. */
+/** No leaves yet; `expiry` is the time after which a silent leaf is no longer attached. */
 export const openLeaves = (clock: Clock, expiry: Microseconds): Leaves => {
   const attachedAt = new Map<Address, Microseconds>();
   return {
--- a/packages/membership/src/joining.ts
+++ b/packages/membership/src/joining.ts
@@ -24,7 +24,7 @@
   onJoined: (index: number) => Promise<void>;
   log: Log;
 };
-/** The standing of this node among the members. */
+/** The status of this node among the members. */
 export type Joining = {
   /** Rises when the coordinators know a later one, or that this node is dead. */
   incarnation: () => number;
