--- a/tools/simulation/test/upgrade-disks.test.ts
+++ b/tools/simulation/test/upgrade-disks.test.ts
@@ -73,7 +73,7 @@
   return { simulated, client };
 };
 
-test('disks of the release before, started by this one, give the same configuration, budgets and registers', async () => {
+test('disks of the release before, started by this one, give the same configuration, budgets, registers', async () => {
   const { simulated, client } = await upgraded();
   const config = await answerOf(simulated, client, 'config');
   assert.is(config['mark'], 2);
