--- a/packages/dissemination/src/leaves.ts
+++ b/packages/dissemination/src/leaves.ts
@@ -1,4 +1,4 @@
-/** The leaves that are attached to this relay (§3.5). A leaf that has not compared for some time is no longer attached. */
+/** The leaves attached to this relay (§3.5). One that has not compared for some time is no longer attached. */
 import type { Address, Clock, Microseconds } from '@thornsail/runtime';
 
 /** The leaves of one relay. */
