--- a/packages/admin-api/src/index.ts
+++ b/packages/admin-api/src/index.ts
@@ -45,7 +45,7 @@
 export const root = '/thornsail/v1';
 
 const json = (say: HttpResponseWriter, status: number, body: unknown, headers: Record<string, string> = {}): void => {
-  say.head(status, { 'content-type': 'application/json', ...headers });
+  say.writeHead(status, { 'content-type': 'application/json', ...headers });
   say.end(JSON.stringify(body));
 };
 const decoded = (path: string): string[] | undefined => {
@@ -95,7 +95,7 @@
       return json(say, 200, { mark: s.config.mark, plan: p.steps });
     };
     const push = async (ask: HttpRequest, say: HttpResponseWriter): Promise<void> => {
-      if (ask.tooBig) return json(say, 413, { error: 'too_large', field: 'body' });
+      if (ask.bodyTooLarge) return json(say, 413, { error: 'too_large', field: 'body' });
       let body: unknown;
       try {
         body = JSON.parse(ask.body);
@@ -346,7 +346,7 @@
           return json(say, r.ok ? 200 : 503, { ready: r.ok, why: r.why }, r.ok ? {} : { 'retry-after': '1' });
         }
         if (ask.path === '/metrics' && ask.method === 'GET') {
-          say.head(200, { 'content-type': 'text/plain; version=0.0.4' });
+          say.writeHead(200, { 'content-type': 'text/plain; version=0.0.4' });
           say.end(metrics(n));
           return;
         }
@@ -372,7 +372,7 @@
         if (ask.method !== 'GET') return json(say, 405, { error: 'bad_method' });
         return await agreed(say, what, ask);
       } catch (e) {
-        if (say.gone()) return;
+        if (say.isClosed()) return;
         json(
           say,
           503,
--- a/packages/admin-api/test/former-json.test.ts
+++ b/packages/admin-api/test/former-json.test.ts
@@ -45,7 +45,7 @@
 /** A gateway whose coordinators answer at once, and whose time passes with each look at the clock. */
 const gateway = (): SignalNode => {
   let now = 0;
-  const clock = { now: () => (now += duration.s(3)), wall: () => startedAt, schedule: () => () => undefined };
+  const clock = { now: () => (now += duration.s(3)), wallTime: () => startedAt, schedule: () => () => undefined };
   const core = { request: (request: CoreRequest) => Promise.resolve({ index: 47, value: valueOf(request) }) };
   const node = {
     runtime: { clock, rand: { id: () => 'r1' } },
@@ -63,11 +63,11 @@
 const call = async (method: string, path: string, headers: Record<string, string> = {}): Promise<string> => {
   let text = '';
   const response = {
-    head: (status: number) => (text = `${status} `),
+    writeHead: (status: number) => (text = `${status} `),
     end: (body: string) => (text += body),
-    gone: () => false,
+    isClosed: () => false,
   } as unknown as HttpResponseWriter;
-  const request = { method, path: `/thornsail/v1/${path}`, query: {}, body: '{}', headers, tooBig: false };
+  const request = { method, path: `/thornsail/v1/${path}`, query: {}, body: '{}', headers, bodyTooLarge: false };
   await signal.handler(gateway())(request as unknown as HttpRequest, response);
   return text;
 };
--- a/packages/consensus/src/confirmation.ts
+++ b/packages/consensus/src/confirmation.ts
@@ -48,7 +48,7 @@
   for (;;) {
     const state = committed();
     const confirmation = state
-      ? confirmed(state, clock.wall(), version, usedVersion)
+      ? confirmed(state, clock.wallTime(), version, usedVersion)
       : { ok: false as const, gateways: [] };
     if (confirmation.ok || clock.now() >= end) return confirmation;
     await time.sleep(clock, pollInterval);
--- a/packages/consensus/src/leader-tasks.ts
+++ b/packages/consensus/src/leader-tasks.ts
@@ -33,7 +33,7 @@
   if (consensus.role() !== 'leader' || !version) return;
   for (const { entry, watchers } of failures.due(version.state)) {
     log(`${entry.name} is dead: ${watchers} watchers agree.`);
-    await consensus.propose((state) => agreedState.markDead(state, entry.id, entry.incarnation, clock.wall()));
+    await consensus.propose((state) => agreedState.markDead(state, entry.id, entry.incarnation, clock.wallTime()));
   }
 };
 
--- a/packages/consensus/src/operations.ts
+++ b/packages/consensus/src/operations.ts
@@ -31,7 +31,7 @@
  */
 const push = async (options: OperationOptions, request: Push): Promise<PushOutcome> => {
   const { clock, consensus, usedVersion } = options;
-  const outcome = await consensus.propose((state) => configuration.push(state, request, clock.wall()));
+  const outcome = await consensus.propose((state) => configuration.push(state, request, clock.wallTime()));
   const { index, result } = outcome;
   const committed = (): AgreedState | undefined => consensus.committed()?.state;
   if (!result.ok || !usedVersion || committed()?.config.value?.acknowledge === 'agreed') return outcome;
@@ -54,7 +54,7 @@
     case 'read':
       return read(options);
     case 'join':
-      return consensus.propose((state) => agreedState.join(state, request.node, clock.wall()));
+      return consensus.propose((state) => agreedState.join(state, request.node, clock.wallTime()));
     case 'sweep-complete':
       return consensus.propose((state) => storeGroup.swept(state, request.version));
     case 'drain':
--- a/packages/data-plane/src/admission/worker-capacity.ts
+++ b/packages/data-plane/src/admission/worker-capacity.ts
@@ -22,12 +22,12 @@
     const capacities = new Map<string, number>();
     const measureOne = async (worker: WorkerEntry): Promise<void> => {
       try {
-        const response = await runtime.net.call({
+        const response = await runtime.net.request({
           at: worker.at,
           method: 'GET',
           path: formats.report.path,
-          timeLeft: reportLimit,
-          silence: reportLimit,
+          headersTimeout: reportLimit,
+          bodyTimeout: reportLimit,
         });
         const capacity = formats.report.capacity(await readText(response.body));
         if (capacity !== undefined) capacities.set(worker.id, capacity);
--- a/packages/data-plane/src/answer-copy.ts
+++ b/packages/data-plane/src/answer-copy.ts
@@ -37,10 +37,10 @@
   gateway.count('replayed');
   const { body, finish, prompt, completion: tokens } = result;
   if (plan.kind === 'job') {
-    response.head(result.status, { 'content-type': result.type, ...replayed });
+    response.writeHead(result.status, { 'content-type': result.type, ...replayed });
     response.end(body);
   } else if (plan.stream) {
-    response.head(200, { 'content-type': 'text/event-stream', 'cache-control': 'no-cache', ...replayed });
+    response.writeHead(200, { 'content-type': 'text/event-stream', 'cache-control': 'no-cache', ...replayed });
     response.write(`id: 1\ndata: ${JSON.stringify(completion.chunk(body, finish, prompt, tokens))}\n\n`);
     response.end('id: 2\ndata: [DONE]\n\n');
   } else gateway.responses.json(response, 200, completion.complete(body, finish, [], prompt, tokens), replayed);
--- a/packages/data-plane/src/chat.ts
+++ b/packages/data-plane/src/chat.ts
@@ -76,8 +76,8 @@
     },
     onHold,
   );
-  response.onGone(asked.abandon);
-  if (response.gone()) asked.abandon();
+  response.onClose(asked.abandon);
+  if (response.isClosed()) asked.abandon();
   return asked.released;
 };
 const notAdmitted = (turn: ChatTurn, answer: Exclude<Released, { type: 'released' }>): 'answered' => {
@@ -104,7 +104,7 @@
   );
   const { preferred, excluded, forced: force } = turn;
   const asked = gateway.admission.acquireSlot(plan.cls, { preferred, excluded, force, limit });
-  response.onGone(asked.abandon);
+  response.onClose(asked.abandon);
   const slot = await asked.slot;
   if (slot.type === 'acquired') return slot.worker;
   const retryAfter = gateway.responses.backoff();
@@ -159,7 +159,7 @@
   });
   if (reply.type === 'failed') return { outcome: reply.unsent ? 'unsent' : 'empty', took: null };
   if (reply.response.status !== 200) {
-    reply.response.cut();
+    reply.response.abort();
     return { outcome: 'empty', took: null };
   }
   const outcome = await relay(turn, to.id, reply.response, sentAt);
@@ -189,7 +189,7 @@
 const lost = async (turn: ChatTurn, outcome: 'empty' | 'cut', round: number): Promise<StepResult> => {
   const { gateway, plan, response } = turn;
   const isSafe = outcome === 'empty' && !plan.once && plan.key === null && round === 0;
-  const repeats = isSafe && remaining(turn) > 0 && !response.gone() && gateway.takeRetry();
+  const repeats = isSafe && remaining(turn) > 0 && !response.isClosed() && gateway.takeRetry();
   turn.phases.transition('lose');
   gateway.count('lost');
   if (repeats && (await beginAgain(turn))) return 'continue';
@@ -200,7 +200,7 @@
     return 'answered';
   }
   gateway.count('cut');
-  response.cut();
+  response.abort();
   return 'answered';
 };
 
--- a/packages/data-plane/src/forward/claim.ts
+++ b/packages/data-plane/src/forward/claim.ts
@@ -13,9 +13,9 @@
 
 const replay = ({ gateway, response }: Request, answer: RecordedAnswer): void => {
   gateway.count('replayed');
-  if (response.gone()) return;
+  if (response.isClosed()) return;
   const body = Buffer.from(answer.body, 'latin1');
-  response.head(answer.status, [...answer.headers, 'content-length', String(body.length)]);
+  response.writeHead(answer.status, [...answer.headers, 'content-length', String(body.length)]);
   response.end(body);
 };
 /** The answer to a request whose key is claimed by another one. */
--- a/packages/data-plane/src/forward/connections.ts
+++ b/packages/data-plane/src/forward/connections.ts
@@ -2,13 +2,13 @@
 // longest is used first, so that a surplus answer shows before the next request is sent; one that its worker is
 // about to close is not used any more.
 import type { WorkerEntry } from '@thornsail/load-balancer';
-import { duration, type Clock, type Connection, type Net, type Microseconds } from '@thornsail/runtime';
+import { duration, type Clock, type HttpConnection, type Net, type Microseconds } from '@thornsail/runtime';
 
-type Kept = { connection: Connection; idleSince: Microseconds; idleFor: Microseconds };
+type Kept = { connection: HttpConnection; idleSince: Microseconds; idleFor: Microseconds };
 /** `kept`: its worker is on the list, so that a connection may be kept for its next request. */
 type Pool = { idle: Kept[]; used: number; kept: boolean };
 export type Lease = {
-  connection: Connection;
+  connection: HttpConnection;
   /** It has served an exchange before. */
   reused: boolean;
   /** Gives it back after a whole answer; `keepAlive` in seconds, as the worker told it. */
@@ -46,15 +46,15 @@
       for (const { connection } of pool.idle.splice(0)) connection.close();
       if (pool.used === 0) pools.delete(id);
     };
-    const fit = (k: Kept): boolean => k.connection.open() && o.clock.now() - k.idleSince < k.idleFor;
-    const rested = (pool: Pool): Connection | undefined => {
+    const fit = (k: Kept): boolean => k.connection.isOpen() && o.clock.now() - k.idleSince < k.idleFor;
+    const rested = (pool: Pool): HttpConnection | undefined => {
       for (let k = pool.idle.shift(); k; k = pool.idle.shift()) {
         if (fit(k)) return k.connection;
         k.connection.close();
       }
       return undefined;
     };
-    const leased = (id: string, pool: Pool, connection: Connection, reused: boolean): Lease => {
+    const leased = (id: string, pool: Pool, connection: HttpConnection, reused: boolean): Lease => {
       let over = false;
       const end = (): boolean => {
         if (over) return false;
@@ -69,7 +69,7 @@
         done: (keepAlive) => {
           if (!end()) return;
           const idleFor = keepAlive === null ? untold : Math.max(0, duration.s(keepAlive) - margin);
-          if (pool.kept && connection.open() && idleFor > 0)
+          if (pool.kept && connection.isOpen() && idleFor > 0)
             pool.idle.push({ connection, idleSince: o.clock.now(), idleFor });
           else connection.close();
         },
@@ -90,7 +90,7 @@
           return leased(w.id, pool, kept, true);
         }
         c.opened += 1;
-        return leased(w.id, pool, o.net.connect(w.at, { connectWithin }), false);
+        return leased(w.id, pool, o.net.connectHttp(w.at, { connectWithin }), false);
       },
       retain: (ids) => {
         for (const [id, pool] of [...pools]) if (!ids.has(id)) giveUp(id, pool);
--- a/packages/data-plane/src/forward/dialect.ts
+++ b/packages/data-plane/src/forward/dialect.ts
@@ -151,7 +151,7 @@
   // As it came: what a worker gets unchanged is what chooses its route.
   const route = routeOf(config, host, ask.target.split('?', 1)[0]!);
   if (!route) return refusal('no_such_route', null, 'no route leads there');
-  if (ask.tooBig) return refusal('too_large', 'body', `the body is over ${config.limits.maxBodyBytes} bytes`);
+  if (ask.bodyTooLarge) return refusal('too_large', 'body', `the body is over ${config.limits.maxBodyBytes} bytes`);
   const read = reader(ask);
   const attempt = read(names.attempt, printable, '1 to 200 printable characters');
   if (attempt === null) return refusal('missing_field', names.attempt, 'every attempt carries an id of its own');
--- a/packages/data-plane/src/forward/entry.ts
+++ b/packages/data-plane/src/forward/entry.ts
@@ -27,8 +27,8 @@
   retryAfter: number | null,
 ): void => {
   const answer = dialect.refuse(refused, retryAfter);
-  if (response.gone()) return;
-  response.head(answer.status, [...answer.headers, 'content-length', String(Buffer.byteLength(answer.body))]);
+  if (response.isClosed()) return;
+  response.writeHead(answer.status, [...answer.headers, 'content-length', String(Buffer.byteLength(answer.body))]);
   response.end(answer.body);
 };
 
@@ -42,7 +42,7 @@
   const untilKnown = async (response: HttpResponseWriter, limit: Microseconds): Promise<void> => {
     const begun = clock.now();
     const end = begun + limit;
-    const mayWait = (): boolean => !response.gone() && !lifecycle.isClosed() && lifecycle.phase() !== 'draining';
+    const mayWait = (): boolean => !response.isClosed() && !lifecycle.isClosed() && lifecycle.phase() !== 'draining';
     while (!isKnown() && clock.now() < end && mayWait()) await time.sleep(clock, startPollInterval);
     if (wasKnown || !isKnown()) return;
     wasKnown = true;
--- a/packages/data-plane/src/forward/exchange.ts
+++ b/packages/data-plane/src/forward/exchange.ts
@@ -67,7 +67,7 @@
         if (clean) lease.done(head?.said.keepAlive ?? null);
         else {
           lease.spoilt();
-          control?.cut();
+          control?.abort();
         }
         done(x);
       };
@@ -130,16 +130,16 @@
           body: o.body,
         },
         {
-          sent: () => {
+          onSent: () => {
             sent = true;
           },
-          head: onHead,
-          data: onData,
-          end: onEnd,
-          fail: (e) => broken(e.message),
+          onHead: onHead,
+          onData: onData,
+          onEnd: onEnd,
+          onError: (e) => broken(e.message),
         },
       );
-      o.say.onGone(() => {
+      o.say.onClose(() => {
         // A keyed request goes on: its result is what a repeat gets.
         if (!over && plan.key === null) finish({ how: 'gone' }, false);
       });
--- a/packages/data-plane/src/forward/finish.ts
+++ b/packages/data-plane/src/forward/finish.ts
@@ -19,7 +19,7 @@
 const cutOff = (request: Request): 'answered' => {
   void requests.settle(request, requests.tokensRelayed(request), null);
   requests.leaveScheduler(request, null, null);
-  request.response.cut();
+  request.response.abort();
   return 'answered';
 };
 
@@ -40,13 +40,13 @@
     requests.leaveScheduler(request, context.prompt + used, worker.id);
     request.phases.transition('lose');
     gateway.count('cut');
-    response.cut();
+    response.abort();
     return 'answered';
   }
   requests.leaveScheduler(request, context.prompt + used, worker.id);
   request.phases.transition('end');
   gateway.count('results');
-  if (!response.gone()) {
+  if (!response.isClosed()) {
     if (rest.length) response.write(rest);
     response.end();
   }
@@ -75,8 +75,8 @@
   }
   request.phases.transition('end');
   gateway.count('results');
-  if (response.gone()) return 'answered';
-  response.head(status, [...headers, 'content-length', String(body.length)]);
+  if (response.isClosed()) return 'answered';
+  response.writeHead(status, [...headers, 'content-length', String(body.length)]);
   response.end(body);
   return 'answered';
 };
@@ -90,7 +90,7 @@
   if (relayed.last) relayed.lastId = events.fields(relayed.last).id ?? relayed.lastId;
   const repeats = outcome.how === 'lost' && plan.route.semantics === 'idempotent';
   const resumes = plan.route.semantics === 'stream' && plan.route.resumable;
-  const mayGoOn = placement.sends < plan.route.maxAttempts && requests.left(request) > 0 && !response.gone();
+  const mayGoOn = placement.sends < plan.route.maxAttempts && requests.left(request) > 0 && !response.isClosed();
   request.phases.transition('lose');
   if ((repeats || resumes) && mayGoOn) {
     gateway.count('retried');
--- a/packages/data-plane/src/forward/forward.ts
+++ b/packages/data-plane/src/forward/forward.ts
@@ -33,7 +33,7 @@
 const carryOut = async (request: Request): Promise<void> => {
   for (const stage of [claim, readChain, charge, admit]) {
     if ((await stage(request)) === 'answered') return;
-    if (request.response.gone()) return void requests.clientDisconnected(request);
+    if (request.response.isClosed()) return void requests.clientDisconnected(request);
   }
   for (let round = 0; ; round++) {
     invariant.hold(round < mostRounds, 'a request was tried a hundred times');
--- a/packages/data-plane/src/forward/place.ts
+++ b/packages/data-plane/src/forward/place.ts
@@ -26,7 +26,7 @@
     },
     () => request.phases.transition('hold'),
   );
-  request.response.onGone(asked.abandon);
+  request.response.onClose(asked.abandon);
   const released = await asked.released;
   if (released.type === 'abandoned') return requests.clientDisconnected(request);
   if (released.type === 'rejected') {
@@ -57,7 +57,7 @@
       Math.min(requests.untilGivenUp(request), requests.left(request)) - gateway.admission.expectedService(plan.cls),
     service: placement.service,
   });
-  request.response.onGone(asked.abandon);
+  request.response.onClose(asked.abandon);
   const slot = await asked.slot;
   if (slot.type === 'acquired') return slot.worker;
   if (slot.type === 'abandoned') return requests.clientDisconnected(request);
--- a/packages/data-plane/src/forward/request.ts
+++ b/packages/data-plane/src/forward/request.ts
@@ -157,11 +157,11 @@
 /** The final answer of a request that is given up, at once (§4.3). `retryAfter` in seconds, or null. */
 const answerError = (request: Request, code: ErrorCode, text: string, retryAfter: number | null): void => {
   const { response, relayed, gateway, forwarding } = request;
-  if (response.gone()) return;
-  if (relayed.headSent) return response.cut();
+  if (response.isClosed()) return;
+  if (relayed.headSent) return response.abort();
   gateway.count('rejected');
   const words = forwarding.dialect.refuse(refusal(code, null, text), retryAfter);
-  response.head(words.status, [...words.headers, 'content-length', String(Buffer.byteLength(words.body))]);
+  response.writeHead(words.status, [...words.headers, 'content-length', String(Buffer.byteLength(words.body))]);
   response.end(words.body);
 };
 /** Soon, and spread out: those refused together do not come back together. In seconds. */
--- a/packages/data-plane/src/forward/response.ts
+++ b/packages/data-plane/src/forward/response.ts
@@ -22,17 +22,17 @@
     waiting = [];
     for (const tell of all) tell();
   };
-  const isGone = (): boolean => expired || raw.gone();
+  const isGone = (): boolean => expired || raw.isClosed();
   const stop = clock.schedule(Math.max(0, within), () => {
     if (ended || isGone()) return;
     expire();
     expired = true;
     tellAll();
   });
-  raw.onGone(tellAll);
+  raw.onClose(tellAll);
   const response: HttpResponseWriter = {
-    head: (status, headers) => {
-      if (!expired) raw.head(status, headers);
+    writeHead: (status, headers) => {
+      if (!expired) raw.writeHead(status, headers);
     },
     write: (piece) => expired || raw.write(piece),
     drained: () => (expired ? Promise.resolve() : raw.drained()),
@@ -40,12 +40,12 @@
       ended = true;
       if (!expired) raw.end(piece);
     },
-    cut: () => {
+    abort: () => {
       ended = true;
-      if (!expired) raw.cut();
+      if (!expired) raw.abort();
     },
-    gone: isGone,
-    onGone: (tell) => {
+    isClosed: isGone,
+    onClose: (tell) => {
       // One that is gone already tells nobody any more.
       if (isGone()) tell();
       else waiting.push(tell);
--- a/packages/data-plane/src/forward/send.ts
+++ b/packages/data-plane/src/forward/send.ts
@@ -45,9 +45,9 @@
   return {
     watched: {
       ...response,
-      onGone: (tell) => {
+      onClose: (tell) => {
         waiting.push(tell);
-        if (endsWithClient(plan)) response.onGone(tell);
+        if (endsWithClient(plan)) response.onClose(tell);
       },
     },
     stop: (text) => {
@@ -86,9 +86,9 @@
       if (relayed.version !== null && version !== null && version !== relayed.version)
         return stop.stop(`version ${version} of its weights in place of ${relayed.version}`);
       relayed.version ??= version;
-      if (relayed.headSent || response.gone()) return;
+      if (relayed.headSent || response.isClosed()) return;
       relayed.headSent = true;
-      response.head(status, headers);
+      response.writeHead(status, headers);
     },
     event: (event) => {
       if (stop.why() !== null) return true;
@@ -100,7 +100,7 @@
         first = false;
         relay(event);
       }
-      return response.gone() || response.write(event.bytes);
+      return response.isClosed() || response.write(event.bytes);
     },
     drained: () => untilRead(gateway, response),
   };
--- a/packages/data-plane/src/forward/stored-turns.ts
+++ b/packages/data-plane/src/forward/stored-turns.ts
@@ -86,7 +86,7 @@
     );
     if (stored) cache.set(id, stored);
   };
-  const endsSoon = (id: string, span: Microseconds): boolean => (cache.get(id)?.until ?? 0) < clock.wall() + span;
+  const endsSoon = (id: string, span: Microseconds): boolean => (cache.get(id)?.until ?? 0) < clock.wallTime() + span;
   const chain: StoredTurns['chain'] = async (last, timeout) => {
     const here = cache.get(last) !== undefined;
     const [end] = await read([last], timeout);
--- a/packages/data-plane/src/job.ts
+++ b/packages/data-plane/src/job.ts
@@ -56,7 +56,7 @@
     force: false,
     limit,
   });
-  response.onGone(asked.abandon);
+  response.onClose(asked.abandon);
   const slot = await asked.slot;
   if (slot.type === 'acquired') return slot.worker;
   if (slot.type === 'abandoned') {
@@ -96,7 +96,7 @@
   for await (const piece of response.body) {
     body += piece;
     if (body.length > maxResultLength) {
-      response.cut();
+      response.abort();
       throw internalErrors.create('result-too-large', { step: 'job.body' });
     }
   }
@@ -111,8 +111,8 @@
   if (job.claimed) await gateway.keys.recordResult(idempotencyKeyOf(plan), job.id, recorded);
   job.phases.transition('end');
   gateway.count('results');
-  if (response.gone()) return;
-  response.head(result.status, { 'content-type': type, 'x-thornsail-ran': 'yes' });
+  if (response.isClosed()) return;
+  response.writeHead(result.status, { 'content-type': type, 'x-thornsail-ran': 'yes' });
   response.end(body);
 };
 
--- a/packages/data-plane/src/lifecycle.ts
+++ b/packages/data-plane/src/lifecycle.ts
@@ -43,8 +43,8 @@
   /** Callers that keep their connection are told to open the next one elsewhere. */
   const closingWhileLeaving = (response: HttpResponseWriter): HttpResponseWriter => ({
     ...response,
-    head: (status, headers) =>
-      response.head(
+    writeHead: (status, headers) =>
+      response.writeHead(
         status,
         phase === 'serving'
           ? headers
@@ -62,7 +62,7 @@
         await serve(request, closingWhileLeaving(response));
       } catch (error) {
         log(`a request failed: ${fault.text(error)}.`);
-        response.cut();
+        response.abort();
       } finally {
         answering -= 1;
       }
--- a/packages/data-plane/src/plan.ts
+++ b/packages/data-plane/src/plan.ts
@@ -75,7 +75,7 @@
     const chat = ask.path === '/v1/chat/completions';
     if (!chat && ask.path !== '/v1/jobs') return reject('no_such_path', null, `nothing is served at ${ask.path}`);
     if (ask.method !== 'POST') return reject('bad_method', null, 'only POST is served here');
-    if (ask.tooBig || Buffer.byteLength(ask.body, 'utf8') > config.limits.maxBodyBytes)
+    if (ask.bodyTooLarge || Buffer.byteLength(ask.body, 'utf8') > config.limits.maxBodyBytes)
       return reject('too_large', 'body', `the body is over ${config.limits.maxBodyBytes} bytes`);
     const h = (name: string): string | undefined => ask.headers[header + name];
     const cls = h('class');
--- a/packages/data-plane/src/relay.ts
+++ b/packages/data-plane/src/relay.ts
@@ -48,10 +48,10 @@
 /** Writes one event. A slow reader holds the worker's stream back; nothing piles up here. */
 const writeEvent = async (turn: ChatTurn, progress: Progress, workerId: string, data: string): Promise<void> => {
   const { gateway, plan, response } = turn;
-  if (!plan.stream || response.gone()) return;
+  if (!plan.stream || response.isClosed()) return;
   if (!progress.headSent) {
     progress.headSent = true;
-    response.head(200, {
+    response.writeHead(200, {
       'content-type': 'text/event-stream',
       'cache-control': 'no-cache',
       'x-thornsail-worker': workerId,
@@ -119,8 +119,8 @@
   }
   phases.transition('end');
   gateway.count('results');
-  stream.cut();
-  if (response.gone()) return 'complete';
+  stream.abort();
+  if (response.isClosed()) return 'complete';
   if (plan.stream && !progress.headSent) await writeEvent(turn, progress, workerId, '{}');
   endResponse(turn, progress, workerId);
   return 'complete';
@@ -174,7 +174,7 @@
     throw internalErrors.create('stream-incomplete', { step: 'relay', peer: workerId });
   } catch (error) {
     gateway.log(`a turn was lost: ${fault.text(error)}.`);
-    stream.cut();
+    stream.abort();
     const { headSent, written, outputEvents } = progress;
     const nothingRelayed = !headSent && !plan.stream && written === 0 && outputEvents === 0;
     return phases.current() === 'sent' || nothingRelayed ? 'empty' : 'cut';
--- a/packages/data-plane/src/requests/attempt.ts
+++ b/packages/data-plane/src/requests/attempt.ts
@@ -33,7 +33,7 @@
     if (!refreshed) return rules.reject(request, 'stale', staleText, rules.retryAfter(request));
     const current = request.gateway.admission.worker(worker.id);
     if (!current || current.leaving) return 'continue';
-    if (request.response.gone()) return rules.clientDisconnected(request);
+    if (request.response.isClosed()) return rules.clientDisconnected(request);
     if (rules.remaining(request) <= rules.minimumTime)
       return rules.reject(request, 'late', lateText, rules.retryAfter(request));
     return current;
@@ -47,7 +47,7 @@
     response.drained().then(() => false),
     time.sleep(gateway.runtime.clock, slowReaderTimeout).then(() => true),
   ]);
-  if (!isStuck || response.gone()) return;
+  if (!isStuck || response.isClosed()) return;
   gateway.count('slow_cut');
-  response.cut();
+  response.abort();
 };
--- a/packages/data-plane/src/requests/charge.ts
+++ b/packages/data-plane/src/requests/charge.ts
@@ -50,7 +50,7 @@
   const end = clock.now() + Math.min(limit, chargeInterval);
   for (;;) {
     await time.sleep(clock, duration.ms(pollMs + rand.int(pollMs)));
-    if (clock.now() >= end || response.gone()) return;
+    if (clock.now() >= end || response.isClosed()) return;
     const record = await gateway.budgets
       .budgetRecord(program, Math.max(minimumRecordTimeout, end - clock.now()))
       .catch(() => undefined);
@@ -88,7 +88,7 @@
         const text = 'other turns of this program hold its budget';
         return rules.reject(request, 'turn_open', text, rules.retryAfter(request));
       }
-      if (rules.clientDisconnected && response.gone()) return rules.clientDisconnected(request);
+      if (rules.clientDisconnected && response.isClosed()) return rules.clientDisconnected(request);
       await untilBudgetFrees(request, account, wait);
     }
     gateway.admission.observeCharge(gateway.runtime.clock.now() - begun);
--- a/packages/data-plane/src/responses.ts
+++ b/packages/data-plane/src/responses.ts
@@ -42,8 +42,8 @@
 export const responses = {
   open: ({ rand, count }: { rand: Random; count: (counter: string) => void }): Responses => {
     const json: Responses['json'] = (response, status, body, headers = {}) => {
-      if (response.gone()) return;
-      response.head(status, { 'content-type': 'application/json', ...headers });
+      if (response.isClosed()) return;
+      response.writeHead(status, { 'content-type': 'application/json', ...headers });
       response.end(JSON.stringify(body));
     };
     return {
--- a/packages/data-plane/src/worker-request.ts
+++ b/packages/data-plane/src/worker-request.ts
@@ -20,16 +20,16 @@
   /** Never rejects: a failure to reach the worker is a reply of type `failed`. */
   send: async (runtime: Runtime, to: WorkerEntry, request: WorkerRequest): Promise<WorkerReply> => {
     try {
-      const response = await runtime.net.call({
+      const response = await runtime.net.request({
         at: to.at,
         method: 'POST',
         path: request.path,
         headers: { 'content-type': 'application/json', ...request.headers },
         body: request.body,
         // These workers name no request in their answers: none may come in another's place (§5.8).
-        fresh: true,
-        timeLeft: request.timeLeft,
-        silence: readTimeout,
+        newConnection: true,
+        headersTimeout: request.timeLeft,
+        bodyTimeout: readTimeout,
       });
       return { type: 'response', response };
     } catch (error) {
--- a/packages/data-plane/test/connections.test.ts
+++ b/packages/data-plane/test/connections.test.ts
@@ -1,27 +1,27 @@
 // Which connection to a worker is used again, and which is closed (§5.8).
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { duration, type Connection, type Runtime, type Net } from '@thornsail/runtime';
+import { duration, type HttpConnection, type Runtime, type Net } from '@thornsail/runtime';
 import type { WorkerEntry } from '@thornsail/load-balancer';
 import { connections, type Connections, type Lease } from '../src/forward/connections.js';
 
-type Opened = Connection & { at: string; closed: () => boolean };
+type Opened = HttpConnection & { at: string; closed: () => boolean };
 const bench = (): { pool: Connections; opened: Opened[]; pass: (t: number) => void } => {
   let now = 0;
   const opened: Opened[] = [];
-  const connect: Net['connect'] = (at) => {
+  const connect: Net['connectHttp'] = (at) => {
     let up = true;
     const one: Opened = {
       at,
-      exchange: () => ({ pause: () => undefined, resume: () => undefined, cut: () => undefined }),
-      open: () => up,
+      exchange: () => ({ pause: () => undefined, resume: () => undefined, abort: () => undefined }),
+      isOpen: () => up,
       close: () => void (up = false),
       closed: () => !up,
     };
     opened.push(one);
     return one;
   };
-  const runtime = { clock: { now: () => now }, net: { connect } } as unknown as Runtime;
+  const runtime = { clock: { now: () => now }, net: { connectHttp: connect } } as unknown as Runtime;
   return { pool: connections.open(runtime), opened, pass: (t) => void (now += t) };
 };
 const workerOf = (id: string, at = '10.0.0.1:80'): WorkerEntry => ({ id, at }) as WorkerEntry;
--- a/packages/data-plane/test/response.test.ts
+++ b/packages/data-plane/test/response.test.ts
@@ -12,16 +12,16 @@
   const told: (() => void)[] = [];
   let gone = false;
   const say: HttpResponseWriter = {
-    head: (status) => void said.push(`head ${status}`),
+    writeHead: (status) => void said.push(`head ${status}`),
     write: (piece) => {
       said.push(`write ${String(piece)}`);
       return true;
     },
     drained: () => Promise.resolve(),
     end: (piece) => void said.push(`end ${String(piece ?? '')}`),
-    cut: () => void said.push('cut'),
-    gone: () => gone,
-    onGone: (tell) => void told.push(tell),
+    abort: () => void said.push('cut'),
+    isClosed: () => gone,
+    onClose: (tell) => void told.push(tell),
   };
   const leave = (): void => {
     gone = true;
@@ -43,29 +43,29 @@
   const raw = rawOf();
   const bell = alarm();
   const { response } = timedResponse.open(bell.clock, raw.say, 100, () => {
-    response.head(504, []);
+    response.writeHead(504, []);
     response.end('late');
   });
   let told = 0;
-  response.onGone(() => void (told += 1));
+  response.onClose(() => void (told += 1));
   bell.ring();
   bell.ring();
-  response.head(200, []);
+  response.writeHead(200, []);
   response.write('x');
   response.end('y');
-  response.cut();
+  response.abort();
   assert.equal(raw.said, ['head 504', 'end late']);
   assert.is(told, 1);
-  assert.is(response.gone(), true);
+  assert.is(response.isClosed(), true);
 });
 test('a client that has gone, before or after it was asked for, is told of once; it gets no final answer', () => {
   const raw = rawOf();
   const bell = alarm();
   const { response } = timedResponse.open(bell.clock, raw.say, 100, () => response.end('late'));
   const told: string[] = [];
-  response.onGone(() => void told.push('before'));
+  response.onClose(() => void told.push('before'));
   raw.leave();
-  response.onGone(() => void told.push('after'));
+  response.onClose(() => void told.push('after'));
   bell.ring();
   assert.equal(told, ['before', 'after']);
   assert.equal(raw.said, []);
@@ -74,7 +74,7 @@
   const raw = rawOf();
   const bell = alarm();
   const { response, stop } = timedResponse.open(bell.clock, raw.say, 100, () => response.end('late'));
-  response.head(200, []);
+  response.writeHead(200, []);
   response.end('whole');
   bell.ring();
   assert.equal(raw.said, ['head 200', 'end whole']);
--- a/packages/durable-files/src/batch-reservation.ts
+++ b/packages/durable-files/src/batch-reservation.ts
@@ -16,14 +16,14 @@
 };
 
 /** Opens the reservation of a folder: `count` names are made at a time, and more when half of them are left. */
-export const openBatchReservation = (disk: Pick<Disk, 'reserve'>, count: number): BatchReservation => {
+export const openBatchReservation = (disk: Pick<Disk, 'reserveFiles'>, count: number): BatchReservation => {
   let lastReserved = 0;
   let inFlight: Promise<void> | undefined;
   const reserve = async (nextBatch: number): Promise<void> => {
     const first = Math.max(lastReserved + 1, nextBatch);
     const last = nextBatch + count - 1;
     const batches = Array.from({ length: last - first + 1 }, (_, i) => first + i);
-    await disk.reserve(batches.map((batch) => recordFormat.fileName('batch', batch)));
+    await disk.reserveFiles(batches.map((batch) => recordFormat.fileName('batch', batch)));
     lastReserved = last;
   };
   const reserveOnce = (nextBatch: number): Promise<void> => {
--- a/packages/durable-files/src/batch-writer.ts
+++ b/packages/durable-files/src/batch-writer.ts
@@ -62,7 +62,7 @@
     let batch: Pending<T> | undefined;
     try {
       await reservation.upTo(next.batch);
-      await disk.fill(name, () => recordFormat.seal([...(batch = take()).values()].map(({ line }) => line)));
+      await disk.writeReserved(name, () => recordFormat.seal([...(batch = take()).values()].map(({ line }) => line)));
     } catch (error) {
       for (const { reject } of (batch ?? take()).values()) for (const fail of reject) fail(error as Error);
       return;
--- a/packages/durable-files/src/durable-store.ts
+++ b/packages/durable-files/src/durable-store.ts
@@ -48,7 +48,7 @@
   (disk: Disk, versions: Versions, counters: Counters): DurableStore['read'] =>
   async <T>(name: string) => {
     for (const version of [...(versions.get(name) ?? [])].reverse()) {
-      const raw = await disk.get(documentFileName(name, version));
+      const raw = await disk.read(documentFileName(name, version));
       const text = raw === undefined ? undefined : format.unseal(raw);
       if (text !== undefined) return { version, value: JSON.parse(text) as T };
       counters.torn += 1;
@@ -59,13 +59,13 @@
 const writer =
   (disk: Disk, versions: Versions): DurableStore['write'] =>
   async (name, version, value) => {
-    await disk.put(documentFileName(name, version), format.seal(JSON.stringify(value)));
+    await disk.writeDocument(documentFileName(name, version), format.seal(JSON.stringify(value)));
     const others = (versions.get(name) ?? []).filter((one) => one !== version);
     versions.set(name, [...others, version].sort(ascending));
     const newest = Math.max(version, ...others);
     for (const old of others.filter((one) => one < newest)) {
       // An old version that stays does no harm: the newest counts.
-      await disk.drop(documentFileName(name, old)).catch(() => undefined);
+      await disk.remove(documentFileName(name, old)).catch(() => undefined);
       versions.set(
         name,
         (versions.get(name) ?? []).filter((one) => one !== old),
@@ -78,18 +78,18 @@
   async () => {
     const marker = documentFileName(erasingMarker, 1);
     await write(erasingMarker, 1, {});
-    for (const file of await disk.list()) if (isDataFile(file) && file !== marker) await disk.drop(file);
+    for (const file of await disk.list()) if (isDataFile(file) && file !== marker) await disk.remove(file);
     versions.clear();
     // The marker goes last: its name must not be lost while others come back.
-    await disk.settle([]);
-    await disk.drop(marker);
-    await disk.settle([]);
+    await disk.syncExisting([]);
+    await disk.remove(marker);
+    await disk.syncExisting([]);
   };
 
 const open = async (folder: Disk, onFailed: (error: Error) => void = () => undefined): Promise<DurableStore> => {
   const files = await folder.list();
   // Names that a killed process left may be seen by now, and yet be lost with the power: they are synced before use.
-  await folder.settle([]);
+  await folder.syncExisting([]);
   const versions = listVersions(files);
   const counters: Counters = { syncs: 0, torn: 0 };
   const disk = guardDisk(folder, () => (counters.syncs += 1), onFailed);
@@ -98,7 +98,7 @@
   const write: DurableStore['write'] = (name, version, value) => exclusive(name, () => writeNow(name, version, value));
   const removeOne = (name: string): Promise<void> =>
     exclusive(name, async () => {
-      for (const version of versions.get(name) ?? []) await disk.drop(documentFileName(name, version));
+      for (const version of versions.get(name) ?? []) await disk.remove(documentFileName(name, version));
       versions.delete(name);
     });
   return {
@@ -106,7 +106,7 @@
     write,
     remove: async (names) => {
       await forEachConcurrent(names, removalsAtOnce, removeOne);
-      await disk.settle([]);
+      await disk.syncExisting([]);
     },
     names: () => [...versions.keys()],
     erase: eraser(disk, versions, write),
--- a/packages/durable-files/src/guarded-disk.ts
+++ b/packages/durable-files/src/guarded-disk.ts
@@ -23,8 +23,8 @@
   };
   return {
     ...folder,
-    put: (name, text) => guarded(() => folder.put(name, text)),
-    reserve: (names) => guarded(() => folder.reserve(names)),
-    fill: (name, text) => guarded(() => folder.fill(name, text)),
+    writeDocument: (name, text) => guarded(() => folder.writeDocument(name, text)),
+    reserveFiles: (names) => guarded(() => folder.reserveFiles(names)),
+    writeReserved: (name, text) => guarded(() => folder.writeReserved(name, text)),
   };
 };
--- a/packages/durable-files/src/record-folder.ts
+++ b/packages/durable-files/src/record-folder.ts
@@ -17,9 +17,12 @@
 
 /** Writes a base file, whose header says what is in effect once it is there. Fails as `Disk.put` does. */
 export const writeBaseFile = (disk: Disk, number: number, header: BaseHeader, lines: string[]): Promise<void> =>
-  disk.put(recordFormat.fileName('base', number), recordFormat.seal([recordFormat.headerLine(header), ...lines]));
+  disk.writeDocument(
+    recordFormat.fileName('base', number),
+    recordFormat.seal([recordFormat.headerLine(header), ...lines]),
+  );
 
 /** Removes a file that is no longer in effect. */
 export const removeRecordFile = (disk: Disk, kind: RecordFileKind, number: number): Promise<void> =>
   // One that stays does no harm: the newest base file says what is in effect.
-  disk.drop(recordFormat.fileName(kind, number)).catch(() => undefined);
+  disk.remove(recordFormat.fileName(kind, number)).catch(() => undefined);
--- a/packages/durable-files/src/record-loader.ts
+++ b/packages/durable-files/src/record-loader.ts
@@ -11,7 +11,7 @@
   { disk }: RecordFolder<T>,
   kind: RecordFileKind,
   number: number,
-): Promise<string[] | undefined> => recordFormat.unseal(await disk.get(recordFormat.fileName(kind, number)));
+): Promise<string[] | undefined> => recordFormat.unseal(await disk.read(recordFormat.fileName(kind, number)));
 
 /** Reads the base files in effect; undefined if one is missing or damaged. */
 const loadBases = async <T>(folder: RecordFolder<T>, files: string[]): Promise<BaseHeader | undefined> => {
@@ -37,7 +37,7 @@
   const { disk, table, codec } = folder;
   const found = new Map<number, { empty: boolean }>();
   await forEachConcurrent(batches, filesAtOnce, async (batch) => {
-    const raw = await disk.get(recordFormat.fileName('batch', batch));
+    const raw = await disk.read(recordFormat.fileName('batch', batch));
     const lines = recordFormat.unseal(raw);
     found.set(batch, { empty: raw === '' });
     if (!lines) return;
@@ -70,7 +70,7 @@
   while (found.has(lastReserved + 1)) lastReserved += 1;
   reservation.found(lastReserved);
   // A killed process may have left the last one without its sync: seen from now on, it must be durable.
-  if (valid.has(last)) await disk.settle([recordFormat.fileName('batch', last)]);
+  if (valid.has(last)) await disk.syncExisting([recordFormat.fileName('batch', last)]);
   return true;
 };
 
--- a/packages/leases/src/lease.ts
+++ b/packages/leases/src/lease.ts
@@ -96,7 +96,7 @@
   const extending = isHeld(candidate);
   if (!extending && startedAt < candidate.waitsUntil) return;
   // Tokens follow the wall clock, so that they also grow when all voters have forgotten theirs.
-  const newToken = (): number => Math.max(candidate.highestToken + 1, Math.floor(clock.wall() / 1000));
+  const newToken = (): number => Math.max(candidate.highestToken + 1, Math.floor(clock.wallTime() / 1000));
   const fencingToken = extending ? candidate.fencingToken : newToken();
   const voters = candidate.options.voters();
   if (voters.length === 0) return;
--- a/packages/register-store/src/acceptor.ts
+++ b/packages/register-store/src/acceptor.ts
@@ -44,7 +44,7 @@
   const { storage, counts, group, runtime } = context;
   const promised = storage.promisedOf(body.key);
   if (ballot.compare(body.ballot, promised) <= 0) return context.reject(promised);
-  const next: Replica = { ...storage.getOrEmpty(body.key), promised: body.ballot, touched: runtime.clock.wall() };
+  const next: Replica = { ...storage.getOrEmpty(body.key), promised: body.ballot, touched: runtime.clock.wallTime() };
   await storage.write(body.key, next);
   counts.prepares += 1;
   // A proposer of the release before takes the whole replica.
@@ -63,7 +63,7 @@
     promised: body.next ? ballot.max(body.next, body.ballot) : body.ballot,
     accepted: body.ballot,
     stored: decodeValue(body.held),
-    touched: runtime.clock.wall(),
+    touched: runtime.clock.wallTime(),
     ...extensionOf(current, body),
   };
   await storage.write(body.key, next);
@@ -81,7 +81,7 @@
     promised: ballot.max(body.next, body.ballot),
     accepted: ballot.opening(body.op),
     stored: decodeValue(body.held),
-    touched: runtime.clock.wall(),
+    touched: runtime.clock.wallTime(),
   });
   counts.opened += 1;
   return group.answer(body, {});
@@ -97,7 +97,7 @@
     promised: ballot.max(current.promised, body.ballot),
     accepted: body.ballot,
     stored: decodeValue(body.held),
-    touched: runtime.clock.wall(),
+    touched: runtime.clock.wallTime(),
     ...extensionOf(current, body),
   };
   await storage.write(body.key, next);
@@ -113,7 +113,7 @@
     if (!current) return false;
     // One that has expired counts as absent: it is not brought back.
     const extendedUntil = current.extendedUntil ?? 0;
-    if (effectiveExpiry(current.stored?.expiresAt ?? 0, extendedUntil) <= runtime.clock.wall()) return false;
+    if (effectiveExpiry(current.stored?.expiresAt ?? 0, extendedUntil) <= runtime.clock.wallTime()) return false;
     if (extendedUntil >= until) return true;
     await storage.write(key, { ...current, extendedUntil: until });
     counts.extended += 1;
--- a/packages/register-store/src/expiry-handlers.ts
+++ b/packages/register-store/src/expiry-handlers.ts
@@ -14,7 +14,7 @@
 ): boolean => {
   const current = storage.get(key);
   if (!current || !ballot.equals(current.accepted, accepted)) return false;
-  return neededUntil(current) + grace <= Math.min(wall, runtime.clock.wall());
+  return neededUntil(current) + grace <= Math.min(wall, runtime.clock.wallTime());
 };
 const dropOne = (context: StoreContext, key: string, accepted: Ballot, wall: Microseconds): Promise<boolean> =>
   context.exclusive(key, async () => {
--- a/packages/register-store/src/read-handlers.ts
+++ b/packages/register-store/src/read-handlers.ts
@@ -46,7 +46,7 @@
   const page = keys.slice(0, limit);
   return {
     ok: true,
-    wall: runtime.clock.wall(),
+    wall: runtime.clock.wallTime(),
     next: keys.length > limit ? page[page.length - 1]! : null,
     keys: page.flatMap((key) => {
       const replica = storage.get(key);
@@ -72,14 +72,14 @@
     if (await group.check(body)) return refusedFor(context);
     const digests = Array.from({ length: rangeCount }, (_, range) => storage.table.digest(range));
     // Anti-entropy of the release before asks which ranges hold something that may be dropped: `due` says it.
-    return { ok: true, digests, due: [], wall: runtime.clock.wall() };
+    return { ok: true, digests, due: [], wall: runtime.clock.wallTime() };
   });
   rpc.on<ListBody>(messages.list, bodyShapes.list, async (body) =>
     (await group.check(body)) ? refusedFor(context) : list(context, body),
   );
   rpc.on<DueBody>(messages.due, bodyShapes.due, async (body): Promise<DueReply> => {
     if (await group.check(body)) return { ok: false };
-    const wall = runtime.clock.wall();
+    const wall = runtime.clock.wallTime();
     return { ok: true, keys: storage.table.due(wall - grace, Math.min(body.limit, mostDue)), wall };
   });
 };
--- a/packages/register-store/src/store-group.ts
+++ b/packages/register-store/src/store-group.ts
@@ -131,7 +131,7 @@
     answer: (target, body) =>
       outdated(target) ?? {
         ok: true,
-        wall: runtime.clock.wall(),
+        wall: runtime.clock.wallTime(),
         ...(typeof target.group === 'number' || !isHere() ? {} : { lean: true }),
         ...(storage.floor() > 0 ? { floor: storage.floor() } : {}),
         ...body,
--- a/packages/register-store/test/builders.ts
+++ b/packages/register-store/test/builders.ts
@@ -122,7 +122,7 @@
   return { frames: w.frames() - frames, bytes: w.zoneBytes() - bytes, took: w.now() - from };
 };
 export const wallAt = (w: World, after: Microseconds): Microseconds =>
-  w.runtime(w.host('127.0.8.7', 'z9')).clock.wall() + after;
+  w.runtime(w.host('127.0.8.7', 'z9')).clock.wallTime() + after;
 
 export const fresh = { fresh: true };
 /** An edge that reaches some stores alone opens a key and goes no further. */
--- a/packages/register-store/test/former-messages.test.ts
+++ b/packages/register-store/test/former-messages.test.ts
@@ -18,7 +18,7 @@
   const base = { to: validate.string, group: validate.object({ mark: validate.integer }), key: validate.string };
   const answer = (key: string, copy: Copy): object => {
     all.set(key, copy);
-    return { ok: true, copy, wall: runtime.clock.wall() };
+    return { ok: true, copy, wall: runtime.clock.wallTime() };
   };
   p.on<Ask>('reg.prepare', validate.object({ ...base, ballot: validate.ballot }), (m) => {
     const cur = all.get(m.key) ?? none;
--- a/packages/register-store/test/history.ts
+++ b/packages/register-store/test/history.ts
@@ -94,8 +94,8 @@
   stage.folders.set(number, files);
   const { runtime } = stage.net.node(storeAt(number), files);
   for (const i of [1, 2]) {
-    const held = { value: { former: i }, until: stage.net.clock.wall() + 5000 * second, ops: [`old.${i}`] };
-    const copy = { promised: [3, 'old'], accepted: [2, 'old'], held, touched: stage.net.clock.wall() };
+    const held = { value: { former: i }, until: stage.net.clock.wallTime() + 5000 * second, ops: [`old.${i}`] };
+    const copy = { promised: [3, 'old'], accepted: [2, 'old'], held, touched: stage.net.clock.wallTime() };
     await release.writeDocument(runtime, `reg:former/${i}`, 2, copy);
   }
 };
@@ -115,7 +115,7 @@
   await two.change('short', put('s', 2));
   await one.change('opened', put('o'), { fresh: true });
   await two.change('extended', put('e', 4), { fresh: true });
-  await one.extend(['extended', 'none', 'removed'], net.clock.wall() + 4000 * second);
+  await one.extend(['extended', 'none', 'removed'], net.clock.wallTime() + 4000 * second);
   const heal = net.disconnect(edgeAt(1), storeAt(3));
   await one.change('strayed', put('opened at two'), { fresh: true });
   for (let i = 0; i < 12; i++) await one.change(`many/${i}`, put(`v${i}`.repeat(20)));
--- a/packages/register-store/test/loopback.ts
+++ b/packages/register-store/test/loopback.ts
@@ -47,27 +47,27 @@
     return true;
   };
   // `tick` is the former name of `schedule`.
-  const clock = { now: () => now, wall: () => wallAtStart + now, schedule, tick: schedule };
+  const clock = { now: () => now, wallTime: () => wallAtStart + now, schedule, tick: schedule };
   return { clock, step };
 };
 
 const openDisk = (sleep: (time: Microseconds) => Promise<void>, files: Files): Runtime['disk'] => ({
-  put: async (name, text) => {
+  writeDocument: async (name, text) => {
     await sleep(diskTimes.put);
     files.set(name, text);
   },
-  reserve: async (names) => {
+  reserveFiles: async (names) => {
     await sleep(diskTimes.reserve);
     for (const name of names) if (!files.has(name)) files.set(name, '');
   },
-  fill: async (name, text) => {
+  writeReserved: async (name, text) => {
     await sleep(diskTimes.fill);
     const content = text();
     await sleep(diskTimes.fill);
     files.set(name, content);
   },
-  settle: () => sleep(diskTimes.settle),
-  get: async (name) => {
+  syncExisting: () => sleep(diskTimes.settle),
+  read: async (name) => {
     await sleep(diskTimes.get);
     return files.get(name);
   },
@@ -75,7 +75,7 @@
     await sleep(diskTimes.list);
     return [...files.keys()].sort();
   },
-  drop: async (name) => {
+  remove: async (name) => {
     await sleep(diskTimes.drop);
     files.delete(name);
   },
@@ -112,7 +112,7 @@
     let ids = 0;
     const id = (): string => `${at.split('.')[3]}-${process}-${++ids}`.padEnd(24, 'x');
     const rand = { next: () => 0.5, int: (below: number) => Math.floor(below / 2), id };
-    const net = { frames: async (address: Address, receive: Receiver) => openFrames(address, receive) };
+    const net = { openFrameTransport: async (address: Address, receive: Receiver) => openFrames(address, receive) };
     const runtime = { clock, rand, disk: openDisk(sleep, files), net, log: () => () => undefined };
     return { runtime: runtime as unknown as Runtime, files };
   };
--- a/packages/rpc/src/endpoint.ts
+++ b/packages/rpc/src/endpoint.ts
@@ -52,7 +52,7 @@
       return receive(from, text);
     };
     const onBroken = (from: Address, reason: string): void => log(`broke off the connection from ${from}: ${reason}.`);
-    const transport = await runtime.net.frames(at, onFrame, pending.connectionLost, onBroken);
+    const transport = await runtime.net.openFrameTransport(at, onFrame, pending.connectionLost, onBroken);
     const self = transport.at;
     const isClosed = (): boolean => closed;
     const sender = openSender({ self, handlers, pending, nextRequestId, sendText, isClosed });
--- a/packages/rpc/test/connection.test.ts
+++ b/packages/rpc/test/connection.test.ts
@@ -60,8 +60,8 @@
     ...runtime,
     net: {
       ...runtime.net,
-      frames: async (...x) => {
-        const f = await runtime.net.frames(...x);
+      openFrameTransport: async (...x) => {
+        const f = await runtime.net.openFrameTransport(...x);
         return { ...f, send: (to, text) => (sent.push({ to, text }), f.send(to, text)) };
       },
     },
--- a/packages/rpc/test/frame.test.ts
+++ b/packages/rpc/test/frame.test.ts
@@ -57,11 +57,11 @@
   const base = real.runtime('/nonexistent');
   const sent: string[] = [];
   let receive: (text: string) => void = () => undefined;
-  const frames: Net['frames'] = async (at, onFrame) => {
+  const frames: Net['openFrameTransport'] = async (at, onFrame) => {
     receive = (text) => void onFrame(peer, text);
     return { at, send: (_to, text) => void sent.push(text), close: async () => undefined };
   };
-  const node = await rpc.open({ ...base, net: { ...base.net, frames } } as Runtime, '10.0.0.1:1');
+  const node = await rpc.open({ ...base, net: { ...base.net, openFrameTransport: frames } } as Runtime, '10.0.0.1:1');
   node.on<{ n: number }>('double', validate.object({ n: validate.integer }), ({ n }) => n * 2);
   return { node, sent, receive };
 };
--- a/packages/rpc/test/identity.test.ts
+++ b/packages/rpc/test/identity.test.ts
@@ -14,12 +14,13 @@
 } => {
   const waiting: Sent[] = [];
   const nodes = new Map<Address, { take: (from: Address, text: string) => boolean; down: (to: Address) => void }>();
-  const frames: Net['frames'] = async (at, take, down) => {
+  const frames: Net['openFrameTransport'] = async (at, take, down) => {
     nodes.set(at, { take, down: down ?? (() => undefined) });
     return { at, send: (to, text) => void waiting.push({ from: at, to, text }), close: async () => undefined };
   };
   const base = real.runtime('/nonexistent');
-  const open = (at: Address): Promise<Rpc> => rpc.open({ ...base, net: { ...base.net, frames } } as Runtime, at);
+  const open = (at: Address): Promise<Rpc> =>
+    rpc.open({ ...base, net: { ...base.net, openFrameTransport: frames } } as Runtime, at);
   return {
     open,
     waiting,
--- a/packages/runtime/src/connection.ts
+++ b/packages/runtime/src/connection.ts
@@ -4,7 +4,7 @@
 import { Client, type Dispatcher } from 'undici';
 import { connector } from './connector.js';
 import { flatHeaders } from './headers.js';
-import { fault, type Connection, type ExchangeEvents, type Net } from './index.js';
+import { fault, type HttpConnection, type ExchangeEvents, type Net } from './index.js';
 
 /** Names and values as they came, where the library still has them as bytes. */
 const rawOf = (c: Dispatcher.DispatchController, headers: Record<string, string | string[] | undefined>): string[] => {
@@ -22,30 +22,30 @@
   return {
     onRequestStart: (c) => {
       o.started(c);
-      if (!done) on.sent();
+      if (!done) on.onSent();
     },
     onResponseStart: (c, status, headers) => {
-      if (!done && status >= 200) on.head(status, flatHeaders(headers), rawOf(c, headers));
+      if (!done && status >= 200) on.onHead(status, flatHeaders(headers), rawOf(c, headers));
     },
     onResponseData: (_c, chunk) => {
-      if (!done) on.data(chunk);
+      if (!done) on.onData(chunk);
     },
     onResponseEnd: () => {
       if (done) return;
       done = true;
       o.over();
-      on.end();
+      on.onEnd();
     },
     onResponseError: (_c, e) => {
       if (done) return;
       done = true;
       o.over();
-      on.fail(o.fault(e));
+      on.onError(o.fault(e));
     },
   };
 };
 
-export const connect: Net['connect'] = (at, o) => {
+export const connect: Net['connectHttp'] = (at, o) => {
   let socket: net.Socket | undefined;
   const opened = { timeout: o.connectWithin / 1000, keepAlive: true, keepAliveInitialDelay: 1_000 };
   const client = new Client(`http://${at}`, {
@@ -68,7 +68,7 @@
   };
   client.on('disconnect', closed);
   client.on('connectionError', closed);
-  const it: Connection = {
+  const it: HttpConnection = {
     exchange: (x, on) => {
       let control: Dispatcher.DispatchController | undefined;
       let cut = false;
@@ -94,14 +94,14 @@
       return {
         pause: () => control?.pause(),
         resume: () => control?.resume(),
-        cut: () => {
+        abort: () => {
           cut = true;
           if (control) control.abort(new Error('cut'));
           closed();
         },
       };
     },
-    open: () => up && !client.destroyed && !client.closed,
+    isOpen: () => up && !client.destroyed && !client.closed,
     close: closed,
   };
   return it;
--- a/packages/runtime/src/data-folder.ts
+++ b/packages/runtime/src/data-folder.ts
@@ -79,7 +79,7 @@
   /** Documents that are being written: what else lies aside was left by a former process. */
   const underWay = new Set<string>();
   return {
-    put: async (name, text) => {
+    writeDocument: async (name, text) => {
       await step('write', ready());
       const aside = `.aside-${n++}`;
       underWay.add(aside);
@@ -91,12 +91,12 @@
       }
       await step('sync', syncFolder());
     },
-    reserve: async (names) => {
+    reserveFiles: async (names) => {
       await step('write', ready());
       for (const name of names) await step('write', makeEmpty(path.join(folder, name)));
       await step('sync', syncFolder());
     },
-    fill: async (name, text) => {
+    writeReserved: async (name, text) => {
       const at = path.join(folder, name);
       try {
         await write(at, text);
@@ -106,11 +106,11 @@
         throw error;
       }
     },
-    settle: async (names) => {
+    syncExisting: async (names) => {
       await step('sync', ready());
       await step('sync', Promise.all([...names.map((name) => sync(path.join(folder, name))), syncFolder()]));
     },
-    get: async (name) => calls.readFile(path.join(folder, name), 'utf8').catch(unlessMissing('read')),
+    read: async (name) => calls.readFile(path.join(folder, name), 'utf8').catch(unlessMissing('read')),
     list: async () => {
       await step('read', ready());
       const all = await step('read', calls.readdir(folder));
@@ -118,6 +118,6 @@
       await Promise.all(old.map((file) => calls.rm(path.join(folder, file), { force: true })));
       return all.filter((file) => !file.startsWith('.aside-')).sort();
     },
-    drop: async (name) => calls.unlink(path.join(folder, name)).catch(unlessMissing('remove')),
+    remove: async (name) => calls.unlink(path.join(folder, name)).catch(unlessMissing('remove')),
   };
 };
--- a/packages/runtime/src/frames.ts
+++ b/packages/runtime/src/frames.ts
@@ -14,8 +14,8 @@
 /** Milliseconds that a connection may take to come up. */
 const connectMs = 2_000;
 
-type FrameListener = Parameters<Net['frames']>[1];
-type BadListener = Parameters<Net['frames']>[3];
+type FrameListener = Parameters<Net['openFrameTransport']>[1];
+type BadListener = Parameters<Net['openFrameTransport']>[3];
 
 /** Cuts a stream of bytes into frames, until one is bad. */
 const frameReader = (take: (text: string) => boolean, bad: (why: string) => void): ((d: Buffer) => void) => {
@@ -102,7 +102,7 @@
  * first
  * names the sender (§3.1). Rejects with step `frames.bind` if the address cannot be bound.
  */
-export const frames: Net['frames'] = (at, onFrame, onDown, onBad) =>
+export const frames: Net['openFrameTransport'] = (at, onFrame, onDown, onBad) =>
   new Promise((done, fail) => {
     const outgoing = new Map<Address, net.Socket>();
     const incoming = new Set<net.Socket>();
--- a/packages/runtime/src/http-client.ts
+++ b/packages/runtime/src/http-client.ts
@@ -53,7 +53,7 @@
  * 30 s if absent) without a piece. With `fresh` the call has a connection of its own, which ends with it.
  */
 export const call = async (options: HttpClientRequest): Promise<HttpClientResponse> => {
-  const own = options.fresh
+  const own = options.newConnection
     ? new Client(`http://${options.at}`, {
         connect: connector.open({ timeout: 800 }),
         bodyTimeout: 0,
@@ -63,7 +63,7 @@
     : undefined;
   const drop = (): void => void own?.destroy().catch(() => undefined);
   const abort = new AbortController();
-  const late = setTimeout(() => abort.abort(), Math.max(1, options.timeLeft / 1000));
+  const late = setTimeout(() => abort.abort(), Math.max(1, options.headersTimeout / 1000));
   let response: Dispatcher.ResponseData;
   try {
     response = await request(`http://${options.at}${options.path}`, {
@@ -84,7 +84,7 @@
   } finally {
     clearTimeout(late);
   }
-  const silence = options.silence ?? duration.s(30);
+  const silence = options.bodyTimeout ?? duration.s(30);
   const cut = (): void => {
     response.body.on('error', () => undefined);
     response.body.destroy();
@@ -94,6 +94,6 @@
     status: response.statusCode,
     headers: flatHeaders(response.headers),
     body: textOf(response.body, options.at, silence, drop),
-    cut,
+    abort: cut,
   };
 };
--- a/packages/runtime/src/http-server.ts
+++ b/packages/runtime/src/http-server.ts
@@ -32,14 +32,14 @@
  * When the client has gone or the answer is over. An answer that waits behind another one of its connection has no
  * socket yet, and isn't told of its end by Node: the request's socket is.
  */
-const departure = (
+const closing = (
   req: http.IncomingMessage,
   res: http.ServerResponse,
-): Pick<HttpResponseWriter, 'gone' | 'onGone'> => {
+): Pick<HttpResponseWriter, 'isClosed' | 'onClose'> => {
   const { socket } = req;
-  const gone = (): boolean => res.destroyed || socket.destroyed;
-  const onGone = (fn: () => void): void => {
-    if (gone()) return fn();
+  const isClosed = (): boolean => res.destroyed || socket.destroyed;
+  const onClose = (fn: () => void): void => {
+    if (isClosed()) return fn();
     let told = false;
     const once = (): void => {
       if (told) return;
@@ -50,35 +50,35 @@
     const forget = onSocketClose(socket, once);
     res.once('close', once);
   };
-  return { gone, onGone };
+  return { isClosed, onClose };
 };
 const hasLength = (headers: Record<string, string> | readonly string[]): boolean => {
   const names = Array.isArray(headers) ? headers.filter((_, i) => i % 2 === 0) : Object.keys(headers);
   return names.some((name: string) => name.toLowerCase() === 'content-length');
 };
 const say = (req: http.IncomingMessage, res: http.ServerResponse): HttpResponseWriter => {
-  const { gone, onGone } = departure(req, res);
+  const { isClosed, onClose } = closing(req, res);
   let framed = false;
   return {
-    head: (status, headers) => {
+    writeHead: (status, headers) => {
       framed = hasLength(headers);
       res.writeHead(status, headers as Record<string, string>);
     },
-    write: (piece) => gone() || res.write(piece),
+    write: (piece) => isClosed() || res.write(piece),
     drained: () =>
       new Promise((fin) => {
-        if (gone() || !res.writableNeedDrain) return fin();
+        if (isClosed() || !res.writableNeedDrain) return fin();
         res.once('drain', fin);
-        onGone(fin);
+        onClose(fin);
       }),
     end: (piece) => void res.end(piece),
-    cut: () => {
+    abort: () => {
       // Where nothing but the end of the connection ends an answer, only a reset shows that it was cut.
       if (res.headersSent && !framed && !res.chunkedEncoding) res.socket?.resetAndDestroy();
       res.destroy();
     },
-    gone,
-    onGone,
+    isClosed,
+    onClose,
   };
 };
 
@@ -95,7 +95,7 @@
     headers: flatHeaders(req.headers),
     rawHeaders: req.rawHeaders,
     bytes,
-    tooBig,
+    bodyTooLarge: tooBig,
   };
   return Object.defineProperties(ask, {
     body: { get: () => (text ??= bytes.toString('utf8')), enumerable: true },
@@ -121,7 +121,7 @@
     const out = say(req, res);
     const url = addressOf(req);
     if (!url) {
-      out.head(400, { 'content-type': 'application/json' });
+      out.writeHead(400, { 'content-type': 'application/json' });
       out.end('{"error":"bad_field","field":"path","ran":"no"}');
       return;
     }
@@ -142,7 +142,7 @@
       const ask = asked(req, url, parts.length === 1 ? parts[0]! : Buffer.concat(parts), tooBig);
       Promise.resolve()
         .then(() => handler(ask, out))
-        .catch(() => out.cut());
+        .catch(() => out.abort());
     });
   };
 
@@ -187,20 +187,20 @@
  * Serves HTTP at an address. Its `close` lets answers that were ended be written out, then ends idle connections and
  * resolves once all are closed. Fails at step `http.bind` if the address can't be had.
  */
-export const serve: Net['serve'] = (at, handler, limits) =>
+export const serve: Net['serveHttp'] = (at, handler, limits) =>
   new Promise((done, fail) => {
-    const bounds: HttpLimits = typeof limits === 'number' ? { maxBody: () => limits } : limits;
-    const server = http.createServer({ ...(bounds.maxHeader ? { maxHeaderSize: bounds.maxHeader } : {}) });
+    const bounds: HttpLimits = typeof limits === 'number' ? { maxBodyBytes: () => limits } : limits;
+    const server = http.createServer({ ...(bounds.maxHeaderBytes ? { maxHeaderSize: bounds.maxHeaderBytes } : {}) });
     const setTimes = (): void => {
-      server.keepAliveTimeout = bounds.idleFor ? bounds.idleFor() / 1000 : 5_000;
-      if (bounds.headersWithin) server.headersTimeout = bounds.headersWithin() / 1000;
+      server.keepAliveTimeout = bounds.keepAliveTimeout ? bounds.keepAliveTimeout() / 1000 : 5_000;
+      if (bounds.headersTimeout) server.headersTimeout = bounds.headersTimeout() / 1000;
     };
     setTimes();
     const times = setInterval(setTimes, 1_000);
     times.unref();
     const answers = openAnswers();
     server.on('request', (_, res) => answers.add(res));
-    const listen = listener(handler, bounds.maxBody);
+    const listen = listener(handler, bounds.maxBodyBytes);
     const app = polka({
       server,
       onError: (_e, _req, res) => void (res as http.ServerResponse).destroy(),
--- a/packages/runtime/src/index.ts
+++ b/packages/runtime/src/index.ts
@@ -24,7 +24,7 @@
   /** Monotonic; means nothing outside this process. */
   now: () => Microseconds;
   /** Wall time since 1970, for what must be read by others. */
-  wall: () => Microseconds;
+  wallTime: () => Microseconds;
   schedule: (after: Microseconds, fn: () => void) => Cancel;
 };
 
@@ -35,19 +35,19 @@
  * if there was no room and nothing has changed, else with `failed`: nobody knows then what the disk holds.
  */
 export type Disk = {
-  put: (name: string, text: string) => Promise<void>;
+  writeDocument: (name: string, text: string) => Promise<void>;
   /** Makes empty files; resolves once the folder is synced, so that their names outlast a loss of power. */
-  reserve: (names: string[]) => Promise<void>;
+  reserveFiles: (names: string[]) => Promise<void>;
   /**
    * Writes a reserved file and syncs it: a loss of power before that may leave it torn. `text` is asked for when the
    * file is open, and not again. Fails as `put` does.
    */
-  fill: (name: string, text: () => string) => Promise<void>;
+  writeReserved: (name: string, text: () => string) => Promise<void>;
   /** Syncs what a former process may have left without a sync: these files, and the names of all. */
-  settle: (names: string[]) => Promise<void>;
-  get: (name: string) => Promise<string | undefined>;
+  syncExisting: (names: string[]) => Promise<void>;
+  read: (name: string) => Promise<string | undefined>;
   list: () => Promise<string[]>;
-  drop: (name: string) => Promise<void>;
+  remove: (name: string) => Promise<void>;
 };
 
 export type FrameTransport = { at: Address; send: (to: Address, text: string) => void; close: () => Promise<void> };
@@ -64,18 +64,18 @@
   bytes: Uint8Array;
   /** The bytes read as UTF-8. */
   body: string;
-  tooBig: boolean;
+  bodyTooLarge: boolean;
 };
 export type HttpResponseWriter = {
-  head: (status: number, headers: Record<string, string> | readonly string[]) => void;
+  writeHead: (status: number, headers: Record<string, string> | readonly string[]) => void;
   /** False when the reader is slow: wait for `drained` before the next piece. */
   write: (piece: string | Uint8Array) => boolean;
   drained: () => Promise<void>;
   end: (piece?: string | Uint8Array) => void;
   /** Breaks the stream off so that it cannot look complete (§5.6). */
-  cut: () => void;
-  gone: () => boolean;
-  onGone: (fn: () => void) => void;
+  abort: () => void;
+  isClosed: () => boolean;
+  onClose: (fn: () => void) => void;
 };
 export type HttpHandler = (ask: HttpRequest, say: HttpResponseWriter) => void | Promise<void>;
 export type HttpClientRequest = {
@@ -85,17 +85,17 @@
   headers?: Record<string, string>;
   body?: string;
   /** Limit for the head of the result. */
-  timeLeft: Microseconds;
+  headersTimeout: Microseconds;
   /** Limit for silence within the body. */
-  silence?: Microseconds;
+  bodyTimeout?: Microseconds;
   /** Never reuse a kept connection (§5.4). */
-  fresh?: boolean;
+  newConnection?: boolean;
 };
 export type HttpClientResponse = {
   status: number;
   headers: Record<string, string>;
   body: AsyncIterable<string>;
-  cut: () => void;
+  abort: () => void;
 };
 /** One request over a connection of one's own. `target` and `body` reach the other side byte for byte. */
 export type Exchange = {
@@ -107,19 +107,19 @@
 };
 export type ExchangeEvents = {
   /** The first byte is about to be sent: from here on the request may have run. */
-  sent: () => void;
-  head: (status: number, headers: Record<string, string>, rawHeaders: readonly string[]) => void;
-  data: (bytes: Uint8Array) => void;
-  end: () => void;
+  onSent: () => void;
+  onHead: (status: number, headers: Record<string, string>, rawHeaders: readonly string[]) => void;
+  onData: (bytes: Uint8Array) => void;
+  onEnd: () => void;
   /** The exchange is over without its end. Nothing was sent unless `sent` was called before. */
-  fail: (e: Error) => void;
+  onError: (e: Error) => void;
 };
-export type ExchangeControl = { pause: () => void; resume: () => void; cut: () => void };
+export type ExchangeControl = { pause: () => void; resume: () => void; abort: () => void };
 /** One connection to a worker, that serves one exchange at a time. */
-export type Connection = {
+export type HttpConnection = {
   exchange: (x: Exchange, on: ExchangeEvents) => ExchangeControl;
   /** False once the other side has closed it, or it was cut. */
-  open: () => boolean;
+  isOpen: () => boolean;
   close: () => void;
 };
 /** A whole body as text. */
@@ -130,11 +130,11 @@
 };
 /** What callers may send, asked anew for each request; times in microseconds. */
 export type HttpLimits = {
-  maxBody: () => number;
+  maxBodyBytes: () => number;
   /** Fixed at the start. */
-  maxHeader?: number;
-  headersWithin?: () => Microseconds;
-  idleFor?: () => Microseconds;
+  maxHeaderBytes?: number;
+  headersTimeout?: () => Microseconds;
+  keepAliveTimeout?: () => Microseconds;
 };
 export type HttpServer = { at: Address; close: () => Promise<void> };
 export type Net = {
@@ -142,7 +142,7 @@
    * `onDown` says that the connection to a sibling broke or did not come up: what was sent may or may not have
    * arrived.
    */
-  frames: (
+  openFrameTransport: (
     at: Address,
     /** False if the frame could not be read: its connection is broken off. */
     onFrame: (from: Address, text: string) => boolean,
@@ -150,10 +150,10 @@
     /** A connection was broken off for what came over it. */
     onBad?: (from: Address, why: string) => void,
   ) => Promise<FrameTransport>;
-  serve: (at: Address, handler: HttpHandler, limits: number | HttpLimits) => Promise<HttpServer>;
-  call: (c: HttpClientRequest) => Promise<HttpClientResponse>;
+  serveHttp: (at: Address, handler: HttpHandler, limits: number | HttpLimits) => Promise<HttpServer>;
+  request: (c: HttpClientRequest) => Promise<HttpClientResponse>;
   /** Not opened before its first exchange; that fails if it does not come up within `connectWithin`. */
-  connect: (at: Address, o: { connectWithin: Microseconds; onClosed?: () => void }) => Connection;
+  connectHttp: (at: Address, o: { connectWithin: Microseconds; onClosed?: () => void }) => HttpConnection;
 };
 
 export type Log = (text: string) => void;
--- a/packages/runtime/src/real.ts
+++ b/packages/runtime/src/real.ts
@@ -12,7 +12,7 @@
   now: () => Number(process.hrtime.bigint() / 1000n),
   // The system's clock as it is now: it follows corrections, which the process's own origin does not.
   // eslint-disable-next-line no-restricted-syntax
-  wall: () => Date.now() * 1000,
+  wallTime: () => Date.now() * 1000,
   schedule: (after, fn) => {
     const t = setTimeout(fn, Math.max(0, after / 1000));
     return () => clearTimeout(t);
@@ -50,7 +50,7 @@
     clock,
     rand,
     disk: files(folder),
-    net: { frames, serve, call, connect },
+    net: { openFrameTransport: frames, serveHttp: serve, request: call, connectHttp: connect },
     log: logs,
   }),
   /** What a daemon says unless DEBUG says otherwise: all parts but the one that speaks for each program. */
--- a/packages/runtime/test/answers.test.ts
+++ b/packages/runtime/test/answers.test.ts
@@ -3,7 +3,7 @@
 import net from 'node:net';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { real, time, duration, readText, type Connection } from '@thornsail/runtime';
+import { real, time, duration, readText, type HttpConnection } from '@thornsail/runtime';
 
 const runtime = real.runtime('/nonexistent');
 const connectWithin = duration.ms(500);
@@ -24,7 +24,7 @@
     });
   return { at: `127.0.0.1:${(server.address() as net.AddressInfo).port}`, close };
 };
-const exchange = (connection: Connection, target: string, body: Uint8Array | null = null): Promise<Got> =>
+const exchange = (connection: HttpConnection, target: string, body: Uint8Array | null = null): Promise<Got> =>
   new Promise((done) => {
     const got: Got = { status: 0, body: '', how: 'end', sent: false };
     runtime.clock.schedule(duration.s(1), () => done({ ...got, how: 'silent' }));
@@ -36,11 +36,11 @@
         body,
       },
       {
-        sent: () => void (got.sent = true),
-        head: (status) => void (got.status = status),
-        data: (bytes) => void (got.body += Buffer.from(bytes).toString('latin1')),
-        end: () => done(got),
-        fail: () => done({ ...got, how: 'fail' }),
+        onSent: () => void (got.sent = true),
+        onHead: (status) => void (got.status = status),
+        onData: (bytes) => void (got.body += Buffer.from(bytes).toString('latin1')),
+        onEnd: () => done(got),
+        onError: () => done({ ...got, how: 'fail' }),
       },
     );
   });
@@ -131,11 +131,11 @@
         ended(socket, one.ending);
       }),
     );
-    const connection = runtime.net.connect(server.at, { connectWithin });
+    const connection = runtime.net.connectHttp(server.at, { connectWithin });
     const got = await exchange(connection, '/first');
     assert.is(got.how, one.whole ? 'end' : 'fail');
     if (one.whole) assert.is(got.body, 'ok');
-    const usable = connection.open();
+    const usable = connection.isOpen();
     if (one.again) assert.ok(usable);
     // Whoever asks at once, before anything else could be seen, gets no other's answer either.
     const next = await exchange(connection, '/second');
@@ -145,7 +145,7 @@
       assert.not.ok(asked.includes('/second'), 'the second request has left');
     }
     await time.sleep(runtime.clock, duration.ms(60));
-    assert.is(connection.open(), one.again);
+    assert.is(connection.isOpen(), one.again);
     connection.close();
     await server.close();
   });
@@ -159,8 +159,8 @@
           ended(socket, one.ending);
         }),
       );
-      const call = { at: server.at, method: 'GET', path: '/', timeLeft: duration.s(1), fresh };
-      const text = await runtime.net.call(call).then(
+      const call = { at: server.at, method: 'GET', path: '/', headersTimeout: duration.s(1), newConnection: fresh };
+      const text = await runtime.net.request(call).then(
         (result) => readText(result.body).catch(() => null),
         () => null,
       );
@@ -186,11 +186,11 @@
       setTimeout(() => socket.resume(), 150);
     });
   });
-  const connection = runtime.net.connect(server.at, { connectWithin });
+  const connection = runtime.net.connectHttp(server.at, { connectWithin });
   const got = await exchange(connection, '/long', Buffer.alloc(size, 'b'));
   assert.is(got.how, 'end');
   assert.is(got.status, 503);
-  assert.not.ok(connection.open(), 'it still owes the rest of a body');
+  assert.not.ok(connection.isOpen(), 'it still owes the rest of a body');
   const next = await exchange(connection, '/second');
   assert.is(next.how, 'fail');
   assert.not.ok(next.sent);
--- a/packages/runtime/test/clients.test.ts
+++ b/packages/runtime/test/clients.test.ts
@@ -33,9 +33,9 @@
   handler: (request: HttpRequest, say: HttpResponseWriter) => void | Promise<void>,
   run: (server: HttpServer) => Promise<void>,
 ): Promise<void> => {
-  const server = await runtime.net.serve('127.0.0.1:0', handler, {
-    maxBody: () => 1 << 20,
-    idleFor: () => duration.ms(300),
+  const server = await runtime.net.serveHttp('127.0.0.1:0', handler, {
+    maxBodyBytes: () => 1 << 20,
+    keepAliveTimeout: () => duration.ms(300),
   });
   try {
     await run(server);
@@ -50,8 +50,8 @@
   await serving(
     async (_request, say) => {
       await sleep(100);
-      gone = say.gone();
-      say.onGone(() => void (told += 1));
+      gone = say.isClosed();
+      say.onClose(() => void (told += 1));
     },
     async (server) => {
       const { socket } = client(server.at, get('/'));
@@ -69,7 +69,7 @@
   await serving(
     (request, say) => {
       seen.push(say);
-      say.onGone(() => void told.push(request.path));
+      say.onClose(() => void told.push(request.path));
     },
     async (server) => {
       const { socket } = client(server.at, get('/first') + get('/second'));
@@ -78,7 +78,7 @@
       socket.destroy();
       await sleep(60);
       assert.equal(told.sort(), ['/first', '/second']);
-      assert.ok(seen.every((say) => say.gone()));
+      assert.ok(seen.every((say) => say.isClosed()));
     },
   );
 });
@@ -86,7 +86,7 @@
   await serving(
     async (request, say) => {
       await sleep(request.path === '/slow' ? 80 : 1);
-      say.head(200, { 'content-length': String(request.path.length) });
+      say.writeHead(200, { 'content-length': String(request.path.length) });
       say.end(request.path);
     },
     async (server) => {
@@ -105,9 +105,9 @@
 test('a second answer that is cut before its turn never appears', async () => {
   await serving(
     async (request, say) => {
-      if (request.path === '/second') return say.cut();
+      if (request.path === '/second') return say.abort();
       await sleep(80);
-      say.head(200, { 'content-length': '2' });
+      say.writeHead(200, { 'content-length': '2' });
       say.end('ok');
     },
     async (server) => {
@@ -126,10 +126,10 @@
   test(`an answer that is cut does not appear complete: ${what}`, async () => {
     await serving(
       async (_request, say) => {
-        say.head(200, headers);
+        say.writeHead(200, headers);
         say.write('part');
         await sleep(40);
-        say.cut();
+        say.abort();
       },
       async (server) => {
         const one = client(server.at, get('/', version));
@@ -168,17 +168,17 @@
       await sleep(30);
       one.socket.destroy();
       await sleep(30);
-      late!.head(200, {});
+      late!.writeHead(200, {});
       assert.ok(late!.write('x'));
       late!.end('y');
-      late!.cut();
+      late!.abort();
       await late!.drained();
       const two = client(server.at, get('/'));
       await sleep(30);
-      late!.head(200, { 'content-length': '2' });
+      late!.writeHead(200, { 'content-length': '2' });
       late!.end('ok');
       await sleep(30);
-      assert.throws(() => late!.head(200, { 'content-length': '5' }));
+      assert.throws(() => late!.writeHead(200, { 'content-length': '5' }));
       late!.end('again');
       await sleep(30);
       assert.is(two.text().split('HTTP/1.1 ').length, 2, 'one answer to one request');
@@ -189,7 +189,7 @@
 test('a connection without a request gets no bytes, and is closed once it is idle for long', async () => {
   await serving(
     (_request, say) => {
-      say.head(200, { 'content-length': '2' });
+      say.writeHead(200, { 'content-length': '2' });
       say.end('ok');
     },
     async (server) => {
--- a/packages/runtime/test/closing.test.ts
+++ b/packages/runtime/test/closing.test.ts
@@ -34,11 +34,11 @@
     onAnswered = done;
   });
   const handler = async (_: unknown, say: HttpResponseWriter): Promise<void> => {
-    say.head(200, headers);
+    say.writeHead(200, headers);
     say.end(answer);
     onAnswered();
   };
-  const server = await runtime.net.serve('127.0.0.1:0', handler, 1000);
+  const server = await runtime.net.serveHttp('127.0.0.1:0', handler, 1000);
   return { ...server, answered };
 };
 
@@ -68,7 +68,7 @@
 });
 
 test('a close with nothing left to write is immediate', async () => {
-  const server = await runtime.net.serve('127.0.0.1:0', async (_, say) => say.end(''), 1000);
+  const server = await runtime.net.serveHttp('127.0.0.1:0', async (_, say) => say.end(''), 1000);
   const client = slowClient(server.at);
   client.resume();
   await time.sleep(runtime.clock, duration.ms(100));
--- a/packages/runtime/test/http.test.ts
+++ b/packages/runtime/test/http.test.ts
@@ -18,10 +18,10 @@
 const status = (text: string): string => text.slice(9, 12);
 
 test('odd paths and bodies get an error, and the server lives on', async () => {
-  const server = await runtime.net.serve(
+  const server = await runtime.net.serveHttp(
     '127.0.0.1:0',
     (ask, say) => {
-      say.head(ask.tooBig ? 413 : 200, {});
+      say.writeHead(ask.bodyTooLarge ? 413 : 200, {});
       say.end(ask.path);
     },
     1000,
@@ -41,7 +41,7 @@
 });
 test('"not sent" is said only when nothing was', async () => {
   const refused = await runtime.net
-    .call({ at: '127.0.0.1:1', method: 'GET', path: '/', timeLeft: duration.s(1) })
+    .request({ at: '127.0.0.1:1', method: 'GET', path: '/', headersTimeout: duration.s(1) })
     .catch((e: unknown) => e);
   assert.ok(fault.notSent(refused));
   // A server that takes the request and drops the connection: whether it ran is not known.
@@ -54,7 +54,7 @@
   const at = `127.0.0.1:${(server.address() as net.AddressInfo).port}`;
   for (const fresh of [true, false]) {
     const lost = await runtime.net
-      .call({ at, method: 'POST', path: '/', body: '{}', timeLeft: duration.s(2), fresh })
+      .request({ at, method: 'POST', path: '/', body: '{}', headersTimeout: duration.s(2), newConnection: fresh })
       .catch((e: unknown) => e);
     assert.ok(lost instanceof Error);
     assert.not.ok(fault.notSent(lost));
--- a/packages/service-catalog/src/index.ts
+++ b/packages/service-catalog/src/index.ts
@@ -48,7 +48,13 @@
 
 const ownFormat = async (runtime: Runtime, platform: Address): Promise<PlatformWorker[]> => {
   const limit = duration.ms(700);
-  const r = await runtime.net.call({ at: platform, method: 'GET', path: '/workers', timeLeft: limit, silence: limit });
+  const r = await runtime.net.request({
+    at: platform,
+    method: 'GET',
+    path: '/workers',
+    headersTimeout: limit,
+    bodyTimeout: limit,
+  });
   const list = parse(await readText(r.body));
   if (r.status !== 200) throw new Error(`status ${r.status}`);
   return list;
--- a/programs/thornsail/src/embed.ts
+++ b/programs/thornsail/src/embed.ts
@@ -37,11 +37,11 @@
     const c = configSchema.options('gateway', settings);
     if (!c.ok) throw fault.make({ step: 'embed' }, c.problems.map((p) => `${p.path}: ${p.text}`).join('; '));
     const given: { handler?: HttpHandler } = {};
-    const serve: Runtime['net']['serve'] = async (at, handler) => {
+    const serve: Runtime['net']['serveHttp'] = async (at, handler) => {
       given.handler = handler;
       return { at, close: async () => undefined };
     };
-    const node = await roles.gateway({ ...runtime, net: { ...runtime.net, serve } }, c.value);
+    const node = await roles.gateway({ ...runtime, net: { ...runtime.net, serveHttp: serve } }, c.value);
     return {
       handler: real.listener(given.handler!, largestBody, ours),
       ready: node.ready,
--- a/programs/thornsail/src/operator.ts
+++ b/programs/thornsail/src/operator.ts
@@ -57,8 +57,11 @@
 export const operator = {
   open: (o: { runtime: Runtime; out: (t: string) => void; err: (t: string) => void }): Operator => {
     const { runtime, out, err } = o;
-    const call = async (c: Omit<HttpClientRequest, 'timeLeft'>, timeLeft = duration.s(8)): Promise<Reply> => {
-      const r = await runtime.net.call({ ...c, timeLeft });
+    const call = async (
+      c: Omit<HttpClientRequest, 'headersTimeout'>,
+      headersTimeout = duration.s(8),
+    ): Promise<Reply> => {
+      const r = await runtime.net.request({ ...c, headersTimeout });
       const text = await readText(r.body);
       try {
         return { status: r.status, body: JSON.parse(text) as Record<string, unknown> };
--- a/programs/thornsail/src/roles.ts
+++ b/programs/thornsail/src/roles.ts
@@ -112,7 +112,7 @@
     })());
   const ops = signal.handler({ ...x, drain: () => drain() });
   const own = x.callers;
-  const http = await x.runtime.net.serve(
+  const http = await x.runtime.net.serveHttp(
     x.http,
     (ask, say) =>
       own && !ask.path.startsWith(`${root}/`) && ask.path !== '/ready' && ask.path !== '/metrics'
--- a/tools/simulation/src/fleet/calls.ts
+++ b/tools/simulation/src/fleet/calls.ts
@@ -9,11 +9,11 @@
 /** `usual` is the node that a configuration is pushed to when a scenario names none. */
 export const callsOf = ({ net }: Runtime, usual: Address): Calls => {
   const http: Fleet['http'] = async (at, method, path, body, headers = {}) => {
-    const response = await net.call({
+    const response = await net.request({
       at,
       method,
       path,
-      timeLeft: callTimeout,
+      headersTimeout: callTimeout,
       headers: { 'content-type': 'application/json', ...headers },
       ...(body === undefined ? {} : { body: JSON.stringify(body) }),
     });
--- a/tools/simulation/src/guards/data-plane.ts
+++ b/tools/simulation/src/guards/data-plane.ts
@@ -117,7 +117,7 @@
     name: 'a cut stream is broken off',
     rule: '10 streams',
     file: 'data-plane/src/chat.js',
-    find: "gateway.count('cut'); response.cut();",
+    find: "gateway.count('cut'); response.abort();",
     replacement: "gateway.count('cut'); response.end();",
     noticedBy: {
       scenario: 'streams',
@@ -145,8 +145,8 @@
     name: 'a connection is not kept for a worker that left the list',
     rule: 'answers',
     file: 'data-plane/src/forward/connections.js',
-    find: 'if (pool.kept && connection.open()',
-    replacement: 'if (connection.open()',
+    find: 'if (pool.kept && connection.isOpen()',
+    replacement: 'if (connection.isOpen()',
     noticedBy: { test: 'data-plane/test/connections.test.js' },
   }),
   guard({
@@ -161,8 +161,8 @@
     name: 'no answer that names no request over a kept connection',
     rule: 'answers',
     file: 'data-plane/src/worker-request.js',
-    find: 'fresh: true',
-    replacement: 'fresh: false',
+    find: 'newConnection: true',
+    replacement: 'newConnection: false',
     noticedBy: { test: 'data-plane/test/sends.test.js' },
   }),
 ];
--- a/tools/simulation/src/guards/durable-files.ts
+++ b/tools/simulation/src/guards/durable-files.ts
@@ -7,16 +7,19 @@
     name: 'a batch is acknowledged after its sync',
     rule: '9 durable',
     file: 'durable-files/src/batch-writer.js',
-    find: 'await disk.fill(name, () => recordFormat.seal([...(batch = take()).values()].map(({ line }) => line)))',
+    find:
+      'await disk.writeReserved(name, () => recordFormat.seal([...(batch = ' +
+      'take()).values()].map(({ line }) => line)))',
     replacement:
-      'const now = recordFormat.seal([...(batch = take()).values()].map((c) => c.line)); disk.fill(name, () => now)',
+      'const now = recordFormat.seal([...(batch = take()).values()].map((c) => ' +
+      'c.line)); disk.writeReserved(name, () => now)',
     noticedBy: { test: 'durable-files/test/restarts.test.js' },
   }),
   guard({
     name: 'what a killed process left is synced before it is used',
     rule: '9 durable',
     file: 'durable-files/src/record-loader.js',
-    find: "await disk.settle([recordFormat.fileName('batch', last)]);",
+    find: "await disk.syncExisting([recordFormat.fileName('batch', last)]);",
     replacement: ';',
     noticedBy: { test: 'durable-files/test/power-loss.test.js' },
   }),
@@ -24,7 +27,7 @@
     name: 'names that a killed process left are synced before they are used',
     rule: '9 durable',
     file: 'durable-files/src/durable-store.js',
-    find: 'await folder.settle([]);',
+    find: 'await folder.syncExisting([]);',
     replacement: '',
     noticedBy: { test: 'durable-files/test/power-loss.test.js' },
   }),
@@ -40,7 +43,7 @@
     name: 'a removed document is acknowledged after the sync of its folder',
     rule: '9 durable',
     file: 'durable-files/src/durable-store.js',
-    find: 'removeOne);\n            await disk.settle([]);',
+    find: 'removeOne);\n            await disk.syncExisting([]);',
     replacement: 'removeOne);',
     noticedBy: { test: 'durable-files/test/power-loss.test.js' },
   }),
@@ -48,8 +51,8 @@
     name: 'the mark of a damaged folder goes last',
     rule: '9 durable',
     file: 'durable-files/src/durable-store.js',
-    find: 'await disk.settle([]);\n    await disk.drop(marker);',
-    replacement: 'await disk.drop(marker);',
+    find: 'await disk.syncExisting([]);\n    await disk.remove(marker);',
+    replacement: 'await disk.remove(marker);',
     noticedBy: { test: 'durable-files/test/power-loss.test.js' },
   }),
   guard({
--- a/tools/simulation/src/guards/runtime.ts
+++ b/tools/simulation/src/guards/runtime.ts
@@ -41,7 +41,7 @@
     name: 'whoever asks late is told that the client left',
     rule: 'answers',
     file: 'runtime/src/http-server.js',
-    find: 'if (gone()) return fn();',
+    find: 'if (isClosed()) return fn();',
     replacement: '',
     noticedBy: { test: 'runtime/test/clients.test.js' },
   }),
--- a/tools/simulation/src/measurement/capacity/fixtures.ts
+++ b/tools/simulation/src/measurement/capacity/fixtures.ts
@@ -24,7 +24,7 @@
   const runtime = w.runtime(w.host('10.0.0.1', 'z1'));
   const net: Runtime['net'] = {
     ...runtime.net,
-    frames: (at) =>
+    openFrameTransport: (at) =>
       Promise.resolve({
         at,
         send: (_to, text) => void sent.push(Buffer.byteLength(text) + 4),
--- a/tools/simulation/src/measurement/capacity/memory.ts
+++ b/tools/simulation/src/measurement/capacity/memory.ts
@@ -12,13 +12,13 @@
 import { type Part, type Slope, pick, points, slope } from './slope.js';
 
 const nowhere: Disk = {
-  put: () => Promise.resolve(),
-  reserve: () => Promise.resolve(),
-  fill: (_name, text) => Promise.resolve(void text()),
-  settle: () => Promise.resolve(),
-  get: () => Promise.resolve(undefined),
+  writeDocument: () => Promise.resolve(),
+  reserveFiles: () => Promise.resolve(),
+  writeReserved: (_name, text) => Promise.resolve(void text()),
+  syncExisting: () => Promise.resolve(),
+  read: () => Promise.resolve(undefined),
   list: () => Promise.resolve([]),
-  drop: () => Promise.resolve(),
+  remove: () => Promise.resolve(),
 };
 
 export const memory: Part = async (sizes) => {
--- a/tools/simulation/src/measurement/hollow.ts
+++ b/tools/simulation/src/measurement/hollow.ts
@@ -32,12 +32,12 @@
   ...runtime,
   net: {
     ...runtime.net,
-    frames: async (at, onFrame, onDown, onBad) => {
+    openFrameTransport: async (at, onFrame, onDown, onBad) => {
       const got = (from: Address, text: string): boolean => {
         add(t.got, text);
         return onFrame(from, text);
       };
-      const f = await runtime.net.frames(at, got, onDown, onBad);
+      const f = await runtime.net.openFrameTransport(at, got, onDown, onBad);
       return {
         ...f,
         send: (to, text) => {
--- a/tools/simulation/src/world/connection-reply.ts
+++ b/tools/simulation/src/world/connection-reply.ts
@@ -63,7 +63,7 @@
   state.options.onCut(code);
 };
 
-const head = (state: ReplyState, ...[status, headers]: Parameters<WireSay['head']>): void => {
+const head = (state: ReplyState, ...[status, headers]: Parameters<WireSay['writeHead']>): void => {
   const { toClient, client, idleFor } = state.options;
   const raw = httpMessage.toRawHeaders(headers);
   const table = httpMessage.headerTable(raw);
@@ -106,7 +106,7 @@
 };
 
 const writerOf = (state: ReplyState): WireSay => ({
-  head: (status, headers) => head(state, status, headers),
+  writeHead: (status, headers) => head(state, status, headers),
   write: (chunk) => write(state, chunk),
   drained: () =>
     new Promise((resolve) => {
@@ -114,9 +114,9 @@
       else state.onDrained.push(resolve);
     }),
   end: (chunk) => end(state, chunk),
-  cut: () => cut(state, 'UND_ERR_SOCKET'),
-  gone: () => state.isGone,
-  onGone: (run) => (state.isGone ? run() : void state.onGone.push(run)),
+  abort: () => cut(state, 'UND_ERR_SOCKET'),
+  isClosed: () => state.isGone,
+  onClose: (run) => (state.isGone ? run() : void state.onGone.push(run)),
   garble: () => state.options.toClient.send(() => state.options.client.broke('HPE_INVALID_CONSTANT')),
   reset: () => cut(state, 'ECONNRESET'),
   surplus: (...args) => surplus(state, ...args),
--- a/tools/simulation/src/world/connection-server.ts
+++ b/tools/simulation/src/world/connection-server.ts
@@ -30,7 +30,7 @@
     method: exchange.method,
     path: exchange.target,
     rawHeaders: exchange.headers,
-    timeLeft: 0,
+    headersTimeout: 0,
     body: exchange.body ?? '',
   });
 };
@@ -78,7 +78,7 @@
   state.reply = reply;
   Promise.resolve()
     .then(() => listener.wire(toRequest(network, exchange), reply.writer))
-    .catch(() => reply.writer.cut());
+    .catch(() => reply.writer.abort());
 };
 
 /** Opens the server's end. */
--- a/tools/simulation/src/world/connection.ts
+++ b/tools/simulation/src/world/connection.ts
@@ -5,7 +5,7 @@
   duration,
   fault,
   type Address,
-  type Connection,
+  type HttpConnection,
   type Exchange,
   type ExchangeEvents,
   type Microseconds,
@@ -30,7 +30,7 @@
   /** What came while it was paused. */
   queue: (() => void)[];
 };
-type Options = Parameters<Net['connect']>[1];
+type Options = Parameters<Net['connectHttp']>[1];
 type ClientState = {
   network: Network;
   host: Host;
@@ -70,7 +70,7 @@
   const { current } = state;
   state.current = null;
   close(state);
-  current?.events.fail(failure(state, code));
+  current?.events.onError(failure(state, code));
 };
 /** This process ended. */
 const processEnded = (state: ClientState, silent: boolean): void => {
@@ -115,18 +115,18 @@
   head: (status, rawHeaders) =>
     whenRead(state, ({ events }) => {
       state.headers = httpMessage.headerTable(rawHeaders);
-      events.head(status, state.headers, rawHeaders);
+      events.onHead(status, state.headers, rawHeaders);
     }),
   data: (bytes) =>
     whenRead(state, ({ events }) => {
       const { server, toServer } = state;
       toServer?.send(() => server?.read(bytes.length));
-      events.data(bytes);
+      events.onData(bytes);
     }),
   end: () =>
     whenRead(state, ({ events }) => {
       state.current = null;
-      events.end();
+      events.onEnd();
       if (state.phase === 'open') rest(state);
     }),
   broke: (code) => {
@@ -139,7 +139,7 @@
 const send = (state: ClientState, next: ExchangeState): void => {
   if (state.current !== next || state.phase !== 'open') return;
   state.uses += 1;
-  next.events.sent();
+  next.events.onSent();
   const { server, toServer } = state;
   if (state.current === next) toServer?.send(() => server?.request(next.exchange));
 };
@@ -184,7 +184,7 @@
   else state.network.loop.schedule(beforeReuse, state.host, () => send(state, next));
 };
 
-const controlsOf = (state: ClientState, one: ExchangeState): ReturnType<Connection['exchange']> => ({
+const controlsOf = (state: ClientState, one: ExchangeState): ReturnType<HttpConnection['exchange']> => ({
   pause: () => {
     one.isPaused = true;
   },
@@ -192,13 +192,13 @@
     one.isPaused = false;
     while (one.queue.length && !one.isPaused) one.queue.shift()!();
   },
-  cut: () => {
+  abort: () => {
     if (state.current === one) breakOff(state, 'cut');
   },
 });
 
 /** A connection from a host to an address, not opened before its first exchange. */
-export const connect = (network: Network, host: Host, at: Address, options: Options): Connection => {
+export const connect = (network: Network, host: Host, at: Address, options: Options): HttpConnection => {
   const state: ClientState = {
     network,
     host,
@@ -215,11 +215,11 @@
     exchange: (exchange, events) => {
       const one: ExchangeState = { exchange, events, isPaused: false, queue: [] };
       if (state.phase === 'closed' || state.current)
-        network.loop.schedule(0, host, () => events.fail(failure(state, 'UND_ERR_DESTROYED')));
+        network.loop.schedule(0, host, () => events.onError(failure(state, 'UND_ERR_DESTROYED')));
       else start(state, one);
       return controlsOf(state, one);
     },
-    open: () => state.phase !== 'closed',
+    isOpen: () => state.phase !== 'closed',
     close: () => close(state),
   };
 };
--- a/tools/simulation/src/world/frames.ts
+++ b/tools/simulation/src/world/frames.ts
@@ -41,7 +41,7 @@
 export const openFrames = async (
   network: Network,
   host: Host,
-  ...[at, onFrame, onDown]: Parameters<Net['frames']>
+  ...[at, onFrame, onDown]: Parameters<Net['openFrameTransport']>
 ): Promise<FrameTransport> => {
   if (host.frames.has(at)) throw fault.make({ step: 'frames.bind', sibling: at }, 'address in use');
   const listener: FrameListener = { receive: onFrame, onDown: onDown ?? ((): void => undefined), peers: new Set() };
--- a/tools/simulation/src/world/http-call-body.ts
+++ b/tools/simulation/src/world/http-call-body.ts
@@ -25,7 +25,7 @@
       isWoken = true;
       resolve(false);
     };
-    call.network.loop.schedule(call.request.silence ?? usualSilence, call.client, () => {
+    call.network.loop.schedule(call.request.bodyTimeout ?? usualSilence, call.client, () => {
       if (!isWoken) resolve(true);
     });
   });
--- a/tools/simulation/src/world/http-call.ts
+++ b/tools/simulation/src/world/http-call.ts
@@ -17,14 +17,14 @@
   httpCallState.leave(call);
   httpCallState.wakeReader(call);
 };
-const begin = (call: HttpCall, ...[status, headers]: Parameters<HttpResponseWriter['head']>): void => {
+const begin = (call: HttpCall, ...[status, headers]: Parameters<HttpResponseWriter['writeHead']>): void => {
   if (call.phase !== 'sent') return;
   call.phase = 'streaming';
   call.resolve({
     status,
     headers: httpMessage.headerTable(headers),
     body: readBody(call),
-    cut: () => cutByClient(call),
+    abort: () => cutByClient(call),
   });
 };
 const complete = (call: HttpCall): void => {
@@ -36,7 +36,7 @@
 
 /** What the server's handler writes its response with. */
 const responseWriter = (call: HttpCall): HttpResponseWriter => ({
-  head: (status, headers) => toClient(call, () => begin(call, status, headers)),
+  writeHead: (status, headers) => toClient(call, () => begin(call, status, headers)),
   write: (chunk) => {
     const bytes = httpMessage.toBytes(chunk);
     call.buffered += bytes.length;
@@ -55,15 +55,15 @@
     if (chunk !== undefined) toClient(call, () => void call.chunks.push(httpMessage.toBytes(chunk)));
     toClient(call, () => complete(call));
   },
-  cut: () => {
+  abort: () => {
     call.isClientGone = true;
     toClient(call, () => {
       call.server.connections.delete(call.serverEnded);
       httpCallState.breakOff(call);
     });
   },
-  gone: () => call.isClientGone,
-  onGone: (run) => {
+  isClosed: () => call.isClientGone,
+  onClose: (run) => {
     if (call.isClientGone) run();
     else call.onClientGone.push(run);
   },
@@ -84,13 +84,13 @@
   network.loop.trace(`${request.method}${request.path}`);
   Promise.resolve()
     .then(() => handler(serverRequest, writer))
-    .catch(() => writer.cut());
+    .catch(() => writer.abort());
 };
 const start = (call: HttpCall): void => {
   const { network, request, client, server } = call;
   const { schedule } = network.loop;
   schedule(connectTimeout, client, () => httpCallState.failConnect(call, 'UND_ERR_CONNECT_TIMEOUT'));
-  schedule(request.timeLeft, client, () => httpCallState.expire(call));
+  schedule(request.headersTimeout, client, () => httpCallState.expire(call));
   client.connections.add(call.clientEnded);
   if (network.isPartitioned(client, server)) return;
   network.deliver(client, server, () => arrive(call));
--- a/tools/simulation/src/world/http-message.ts
+++ b/tools/simulation/src/world/http-message.ts
@@ -48,7 +48,7 @@
     rawHeaders,
     bytes,
     body: Buffer.from(bytes).toString('utf8'),
-    tooBig: false,
+    bodyTooLarge: false,
   };
 };
 
--- a/tools/simulation/src/world/world.ts
+++ b/tools/simulation/src/world/world.ts
@@ -79,7 +79,7 @@
 
 const clockOf = ({ loop }: Network, host: Host): Clock => ({
   now: loop.now,
-  wall: () => wallClockStart + loop.now() + host.skew,
+  wallTime: () => wallClockStart + loop.now() + host.skew,
   schedule: (after, run) => {
     let isCancelled = false;
     loop.schedule(after, host, () => {
@@ -92,17 +92,17 @@
 });
 
 const netOf = (network: Network, host: Host): Net => ({
-  frames: (...args) => openFrames(network, host, ...args),
-  serve: async (at, handler, limits) => {
+  openFrameTransport: (...args) => openFrames(network, host, ...args),
+  serveHttp: async (at, handler, limits) => {
     const idleFor = (): Microseconds =>
-      (typeof limits === 'number' ? undefined : limits.idleFor?.()) ?? usualIdleTimeout;
+      (typeof limits === 'number' ? undefined : limits.keepAliveTimeout?.()) ?? usualIdleTimeout;
     return listen(network, host, at, { handler, wire: handler, idleFor });
   },
-  call: async (request) => {
+  request: async (request) => {
     const response = await callHttp(network, host, request);
     return { ...response, body: httpMessage.toText(response.body) };
   },
-  connect: (at, options) => connect(network, host, at, options),
+  connectHttp: (at, options) => connect(network, host, at, options),
 });
 
 /** Over a connection of one's own a server can misbehave; over a plain call it can only break off. */
@@ -111,8 +111,8 @@
   (request, writer) =>
     handler(request, {
       ...writer,
-      garble: writer.cut,
-      reset: writer.cut,
+      garble: writer.abort,
+      reset: writer.abort,
       surplus: () => undefined,
       unframed: () => undefined,
       forget: () => undefined,
--- a/tools/simulation/test/api.test.ts
+++ b/tools/simulation/test/api.test.ts
@@ -253,11 +253,11 @@
   await f.world.run(f.world.now() + duration.ms(100));
   let left = false;
   void f.callerRuntime.net
-    .call({
+    .request({
       at,
       method: 'POST',
       path: '/v1/chat/completions',
-      timeLeft: duration.ms(300),
+      headersTimeout: duration.ms(300),
       headers: { ...head, 'content-type': 'application/json', 'x-thornsail-program': 'gone' },
       body: JSON.stringify(say),
     })
--- a/tools/simulation/test/input.test.ts
+++ b/tools/simulation/test/input.test.ts
@@ -57,7 +57,7 @@
       rawHeaders: Object.entries(h).flat(),
       bytes: Buffer.from(body, 'utf8'),
       body,
-      tooBig: false,
+      bodyTooLarge: false,
     };
     const p = plan.make(ask, c.value);
     if (p.kind !== 'reject') continue;
@@ -166,7 +166,7 @@
     const f = await fleet.open({ seed, shape: 'lautoka' });
     const r = f.world.rand;
     const runtime = f.world.runtime(f.hostOf('127.77.8.8'));
-    const frames = await runtime.net.frames('127.77.8.8:7101', () => true);
+    const frames = await runtime.net.openFrameTransport('127.77.8.8:7101', () => true);
     for (let i = 0; i < 1500; i++) {
       const t = pick(r, everyMessage);
       // A drain is a sibling's right; the rest has to be survived.
--- a/tools/simulation/test/keep.test.ts
+++ b/tools/simulation/test/keep.test.ts
@@ -149,14 +149,14 @@
   const keys: string[] = [];
   let recalls = 0;
   const place = '10.0.0.2:80';
-  await server.net.serve(
+  await server.net.serveHttp(
     place,
     async (ask, say) => {
       if (ask.method === 'POST') keys.push(String(ask.headers['idempotency-key']));
       else recalls += 1;
       // Nobody can say for 25 s, then it is known.
       const known = ask.method === 'GET' && w.now() > duration.s(25);
-      say.head(ask.method === 'POST' ? 409 : known ? 404 : 503, { 'content-type': 'application/json' });
+      say.writeHead(ask.method === 'POST' ? 409 : known ? 404 : 503, { 'content-type': 'application/json' });
       say.end(JSON.stringify({ error: ask.method === 'POST' ? 'outcome_unknown' : 'none', ran: 'unknown' }));
     },
     65_536,
--- a/tools/simulation/test/link.test.ts
+++ b/tools/simulation/test/link.test.ts
@@ -7,7 +7,7 @@
   real,
   time,
   duration,
-  type Connection,
+  type HttpConnection,
   type Runtime,
   type Address,
   type Microseconds,
@@ -15,20 +15,20 @@
 import { wire, type Wire, type WireHandler } from '@thornsail/test-harness';
 
 type Got = { status: number; id: string; body: string; how: 'end' | 'fail'; sent: boolean };
-const ask = (c: Connection, path: string, timeLeft?: { runtime: Runtime; left: Microseconds }): Promise<Got> =>
+const ask = (c: HttpConnection, path: string, timeLeft?: { runtime: Runtime; left: Microseconds }): Promise<Got> =>
   new Promise((done) => {
     const got: Got = { status: 0, id: '', body: '', how: 'end', sent: false };
     const control = c.exchange(
       { method: 'GET', target: path, headers: ['host', 'x'], body: null },
       {
-        sent: () => void (got.sent = true),
-        head: (status, headers) => Object.assign(got, { status, id: headers['x-path'] ?? '' }),
-        data: (b) => void (got.body += Buffer.from(b).toString('latin1')),
-        end: () => done(got),
-        fail: () => done({ ...got, how: 'fail' }),
+        onSent: () => void (got.sent = true),
+        onHead: (status, headers) => Object.assign(got, { status, id: headers['x-path'] ?? '' }),
+        onData: (b) => void (got.body += Buffer.from(b).toString('latin1')),
+        onEnd: () => done(got),
+        onError: () => done({ ...got, how: 'fail' }),
       },
     );
-    if (timeLeft) timeLeft.runtime.clock.schedule(timeLeft.left, control.cut);
+    if (timeLeft) timeLeft.runtime.clock.schedule(timeLeft.left, control.abort);
   });
 
 /** Does what the path says. */
@@ -38,7 +38,7 @@
     const { path } = request;
     const head = ['x-path', path, ...(path === '/close' ? ['connection', 'close'] : [])];
     if (path === '/reset') return say.reset();
-    if (path === '/lose') return say.cut();
+    if (path === '/lose') return say.abort();
     if (path === '/garble') return say.garble();
     if (path === '/hang') return;
     if (path === '/surplus') say.surplus(duration.ms(30), 200, ['x-path', 'surplus'], Buffer.from('more'));
@@ -46,11 +46,11 @@
     if (path === '/forget') say.forget();
     if (path === '/slow') await time.sleep(runtime.clock, duration.ms(150));
     const noLength = path === '/within' || path.startsWith('/unframed');
-    say.head(200, [...head, ...(noLength ? [] : ['content-length', '2'])]);
+    say.writeHead(200, [...head, ...(noLength ? [] : ['content-length', '2'])]);
     say.write(path === '/within' ? 'o' : 'ok');
     if (path === '/within') {
       await time.sleep(runtime.clock, duration.ms(20));
-      return say.cut();
+      return say.abort();
     }
     if (path === '/unframed-reset') {
       await time.sleep(runtime.clock, duration.ms(30));
@@ -63,7 +63,7 @@
   runtime: Runtime;
   at: Address;
   idleFor: Microseconds;
-  connect: (onClosed?: () => void) => Connection;
+  connect: (onClosed?: () => void) => HttpConnection;
   sleep: (t: Microseconds) => Promise<void>;
 };
 const limits = { idleFor: duration.s(1), connections: 4 };
@@ -73,9 +73,9 @@
 const onSockets: Bench = async (run) => {
   const runtime = real.runtime('/nonexistent');
   const server = await wire.real().serve('127.0.0.1:0', misbehaving(runtime), limits);
-  const open: Connection[] = [];
-  const connect = (onClosed?: () => void): Connection => {
-    const c = runtime.net.connect(server.at, { connectWithin, ...(onClosed ? { onClosed } : {}) });
+  const open: HttpConnection[] = [];
+  const connect = (onClosed?: () => void): HttpConnection => {
+    const c = runtime.net.connectHttp(server.at, { connectWithin, ...(onClosed ? { onClosed } : {}) });
     open.push(c);
     return c;
   };
@@ -102,7 +102,7 @@
     server,
     wire: w.wire(server),
     idleFor: limits.idleFor,
-    connect: (onClosed) => runtime.net.connect(at, { connectWithin, ...(onClosed ? { onClosed } : {}) }),
+    connect: (onClosed) => runtime.net.connectHttp(at, { connectWithin, ...(onClosed ? { onClosed } : {}) }),
     sleep: (t) => time.sleep(runtime.clock, t),
   }).then(
     () => void (done = true),
@@ -127,7 +127,7 @@
       for (const path of ['/a', '/b']) {
         const g = await ask(c, path);
         assert.equal(g, { status: 200, id: path, body: 'ok', how: 'end', sent: true });
-        assert.ok(c.open());
+        assert.ok(c.isOpen());
       }
     }));
   test(`${name}: an idle one is closed by the worker, and that is seen`, () =>
@@ -136,7 +136,7 @@
       const c = p.connect(() => (told += 1));
       await ask(c, '/a');
       await p.sleep(p.idleFor * 2);
-      assert.not.ok(c.open());
+      assert.not.ok(c.isOpen());
       assert.is(told, 1);
     }));
   test(`${name}: "close" in an answer ends it behind the answer`, () =>
@@ -144,7 +144,7 @@
       const c = p.connect();
       assert.is((await ask(c, '/close')).how, 'end');
       await p.sleep(duration.ms(50));
-      assert.not.ok(c.open());
+      assert.not.ok(c.isOpen());
     }));
   for (const path of ['/reset', '/lose', '/garble', '/within'])
     test(`${name}: ${path} fails what was sent, and the connection with it`, () =>
@@ -156,7 +156,7 @@
         assert.ok(g.sent);
         assert.is(g.status, path === '/within' ? 200 : 0);
         await p.sleep(duration.ms(50));
-        assert.not.ok(c.open());
+        assert.not.ok(c.isOpen());
       }));
   test(`${name}: a surplus answer comes in the place of the next one`, () =>
     bench(async (p) => {
@@ -166,21 +166,21 @@
       assert.equal(g, { status: 200, id: 'surplus', body: 'more', how: 'end', sent: true });
       // What was due comes when nobody waits: the connection is of no use any more.
       await p.sleep(duration.ms(300));
-      assert.not.ok(c.open());
+      assert.not.ok(c.isOpen());
     }));
   test(`${name}: a surplus answer on an idle connection ends it`, () =>
     bench(async (p) => {
       const c = p.connect();
       await ask(c, '/surplus');
       await p.sleep(duration.ms(120));
-      assert.not.ok(c.open());
+      assert.not.ok(c.isOpen());
     }));
   test(`${name}: an answer without a length ends with its connection, and a reset is no end`, () =>
     bench(async (p) => {
       const c = p.connect();
       assert.equal(await ask(c, '/unframed'), { status: 200, id: '/unframed', body: 'ok', how: 'end', sent: true });
       await p.sleep(duration.ms(50));
-      assert.not.ok(c.open());
+      assert.not.ok(c.isOpen());
       const g = await ask(p.connect(), '/unframed-reset');
       assert.equal(g, { status: 200, id: '/unframed-reset', body: 'ok', how: 'fail', sent: true });
     }));
@@ -189,17 +189,17 @@
       const c = p.connect();
       assert.is((await ask(c, '/forget')).how, 'end');
       await p.sleep(duration.ms(50));
-      assert.ok(c.open());
+      assert.ok(c.isOpen());
       const g = await ask(c, '/a');
       assert.equal(g, { status: 0, id: '', body: '', how: 'fail', sent: true });
       await p.sleep(duration.ms(50));
-      assert.not.ok(c.open());
+      assert.not.ok(c.isOpen());
     }));
   test(`${name}: one that was cut is not used again`, () =>
     bench(async (p) => {
       const c = p.connect();
       assert.is((await ask(c, '/hang', { runtime: p.runtime, left: duration.ms(50) })).how, 'fail');
-      assert.not.ok(c.open());
+      assert.not.ok(c.isOpen());
       const g = await ask(c, '/a');
       assert.is(g.how, 'fail');
       assert.not.ok(g.sent);
@@ -215,7 +215,7 @@
     }));
   test(`${name}: nothing is sent where nobody listens`, () =>
     bench(async (p) => {
-      const c = p.runtime.net.connect(`${p.at.split(':')[0]!}:1`, { connectWithin });
+      const c = p.runtime.net.connectHttp(`${p.at.split(':')[0]!}:1`, { connectWithin });
       const g = await ask(c, '/a');
       assert.is(g.how, 'fail');
       assert.not.ok(g.sent);
@@ -241,12 +241,12 @@
       '10.0.0.2:81',
       (_ask, say) => {
         ran += 1;
-        say.head(200, ['content-length', '0']);
+        say.writeHead(200, ['content-length', '0']);
         say.end();
       },
       limits,
     );
-    const d = p.runtime.net.connect('10.0.0.2:81', { connectWithin });
+    const d = p.runtime.net.connectHttp('10.0.0.2:81', { connectWithin });
     await ask(d, '/a');
     const heal = p.w.partitionOneWay([p.server], [p.client]);
     const got = ask(d, '/b');
@@ -278,7 +278,7 @@
     p.w.kill(p.server, 'process');
     assert.is((await hung).how, 'fail');
     await p.sleep(duration.ms(50));
-    assert.not.ok(d.open());
+    assert.not.ok(d.isOpen());
   }));
 test('a kept connection to a machine that was off meanwhile is reset when it is used', () =>
   simulated(6, async (p) => {
@@ -295,8 +295,8 @@
 test('a worker whose caller has gone is told', () =>
   simulated(7, async (p) => {
     let gone = false;
-    await p.wire.serve('10.0.0.2:81', (_ask, say) => say.onGone(() => (gone = true)), limits);
-    const c = p.runtime.net.connect('10.0.0.2:81', { connectWithin });
+    await p.wire.serve('10.0.0.2:81', (_ask, say) => say.onClose(() => (gone = true)), limits);
+    const c = p.runtime.net.connectHttp('10.0.0.2:81', { connectWithin });
     await ask(c, '/a', { runtime: p.runtime, left: duration.ms(50) });
     await p.sleep(duration.ms(50));
     assert.ok(gone);
@@ -305,7 +305,7 @@
   simulated(8, async (p) => {
     let held = false;
     const handler: WireHandler = async (_ask, say) => {
-      say.head(200, []);
+      say.writeHead(200, []);
       for (let i = 0; i < 20; i++)
         if (!say.write('x'.repeat(10_000))) {
           held = true;
@@ -314,16 +314,16 @@
       say.end();
     };
     await p.wire.serve('10.0.0.2:81', handler, limits);
-    const c = p.runtime.net.connect('10.0.0.2:81', { connectWithin });
+    const c = p.runtime.net.connectHttp('10.0.0.2:81', { connectWithin });
     let [size, over] = [0, false];
     const control = c.exchange(
       { method: 'GET', target: '/', headers: [], body: null },
       {
-        sent: () => undefined,
-        head: () => control.pause(),
-        data: (b) => void (size += b.length),
-        end: () => void (over = true),
-        fail: () => undefined,
+        onSent: () => undefined,
+        onHead: () => control.pause(),
+        onData: (b) => void (size += b.length),
+        onEnd: () => void (over = true),
+        onError: () => undefined,
       },
     );
     await p.sleep(duration.ms(100));
@@ -339,10 +339,10 @@
   let outcome = '';
   await simulated(1, async (p) => {
     const there = p.w.runtime(p.server);
-    await there.net.serve(
+    await there.net.serveHttp(
       '10.0.0.2:81',
       async (_, say) => {
-        say.head(200, {});
+        say.writeHead(200, {});
         say.write('whole');
         say.end();
         p.w.kill(p.server, how);
@@ -350,8 +350,14 @@
       1000,
     );
     try {
-      const call = { at: '10.0.0.2:81', method: 'GET', path: '/', timeLeft: duration.s(1), silence: duration.s(1) };
-      const r = await p.runtime.net.call(call);
+      const call = {
+        at: '10.0.0.2:81',
+        method: 'GET',
+        path: '/',
+        headersTimeout: duration.s(1),
+        bodyTimeout: duration.s(1),
+      };
+      const r = await p.runtime.net.request(call);
       for await (const piece of r.body) outcome += piece;
     } catch {
       outcome = 'failed';
--- a/tools/simulation/test/registers.test.ts
+++ b/tools/simulation/test/registers.test.ts
@@ -171,7 +171,7 @@
     });
   }
   // Reads of several keys, reservations some time before a change, and extensions in between.
-  const wall = w.runtime(w.host('127.0.8.8', 'z1')).clock.wall;
+  const wall = w.runtime(w.host('127.0.8.8', 'z1')).clock.wallTime;
   const all = Array.from({ length: keys }, (_, k) => `key${k}`);
   const look = (edge: Registers, some: string[]): void => {
     const from = w.now();
--- a/tools/simulation/test/streams.test.ts
+++ b/tools/simulation/test/streams.test.ts
@@ -16,15 +16,15 @@
   for (const x of f.layout.workers.filter((y) => y.kind === 'model')) {
     const host = x.at.split(':')[0]!;
     const runtime = f.world.runtime(f.hostOf(host));
-    await runtime.net.serve(
+    await runtime.net.serveHttp(
       x.at,
       (ask, say) => {
         if (ask.path === '/report') {
-          say.head(200, {});
+          say.writeHead(200, {});
           say.end('{"CacheTotal": 6000}');
           return;
         }
-        say.head(200, { 'content-type': 'text/event-stream' });
+        say.writeHead(200, { 'content-type': 'text/event-stream' });
         say.write('data: {"choices":[{"delta":{"content":"a "},"finish_reason":null}]}\n\n');
         say.end();
       },
@@ -34,13 +34,13 @@
   let text = '';
   let ended: 'clean' | 'cut' | null = null;
   const read = async (): Promise<void> => {
-    const r = await f.callerRuntime.net.call({
+    const r = await f.callerRuntime.net.request({
       at: f.process('gateway-edge1').options['http'] as Address,
       method: 'POST',
       path: '/v1/chat/completions',
       headers,
       body,
-      timeLeft: duration.s(3),
+      headersTimeout: duration.s(3),
     });
     try {
       for await (const p of r.body) text += p;
@@ -62,15 +62,15 @@
   let ended = false;
   for (const x of f.layout.workers.filter((y) => y.kind === 'model')) {
     const runtime = f.world.runtime(f.hostOf(x.at.split(':')[0]!));
-    await runtime.net.serve(
+    await runtime.net.serveHttp(
       x.at,
       async (ask, say) => {
         if (ask.path === '/report') {
-          say.head(200, {});
+          say.writeHead(200, {});
           say.end('{"CacheTotal": 6000}');
           return;
         }
-        say.head(200, { 'content-type': 'text/event-stream' });
+        say.writeHead(200, { 'content-type': 'text/event-stream' });
         for (let i = 0; i < 400; i++) {
           written += 1;
           if (!say.write(`data: {"choices":[{"delta":{"content":"${'z'.repeat(2000)}"},"finish_reason":null}]}\n\n`))
@@ -85,13 +85,13 @@
   }
   let r: HttpClientResponse | undefined;
   void f.callerRuntime.net
-    .call({
+    .request({
       at: f.process('gateway-edge1').options['http'] as Address,
       method: 'POST',
       path: '/v1/chat/completions',
       headers,
       body,
-      timeLeft: duration.s(3),
+      headersTimeout: duration.s(3),
     })
     .then((x) => {
       r = x;
@@ -118,7 +118,7 @@
     const read = async (): Promise<void> => {
       let text = '';
       try {
-        const r = await f.callerRuntime.net.call({
+        const r = await f.callerRuntime.net.request({
           at: f.process(name).options['http'] as Address,
           method: 'POST',
           path: '/v1/chat/completions',
@@ -128,7 +128,7 @@
             'x-thornsail-class': 'diagnose',
           },
           body,
-          timeLeft: duration.s(4),
+          headersTimeout: duration.s(4),
         });
         for await (const p of r.body) text += p;
         ended.set(name, text.includes('[DONE]') ? 'clean' : 'cut');
--- a/tools/simulation/test/upgrade-disks.test.ts
+++ b/tools/simulation/test/upgrade-disks.test.ts
@@ -34,7 +34,7 @@
   for (const machine of machines) {
     const host = simulated.host(machine.host, machine.zone);
     const runtime = simulated.runtime(host);
-    host.skew += recordedAt + duration.s(5) - runtime.clock.wall();
+    host.skew += recordedAt + duration.s(5) - runtime.clock.wallTime();
     for (const [file, text] of Object.entries(recorded.disks[machine.name]!)) host.files.set(file, text);
     const options = {
       name: machine.name,
@@ -53,7 +53,7 @@
 const answerOf = async (simulated: World, client: Runtime, path: string): Promise<Record<string, unknown>> => {
   let answer: Record<string, unknown> | undefined;
   void client.net
-    .call({ at: `${network}.2.1:7102`, method: 'GET', path: `/thornsail/v1/${path}`, timeLeft: duration.s(5) })
+    .request({ at: `${network}.2.1:7102`, method: 'GET', path: `/thornsail/v1/${path}`, headersTimeout: duration.s(5) })
     .then(async (response) => {
       answer = JSON.parse(await readText(response.body)) as Record<string, unknown>;
     });
--- a/tools/simulation/test/upgrade.test.ts
+++ b/tools/simulation/test/upgrade.test.ts
@@ -17,7 +17,10 @@
   const got: { k: string; n: string; b: unknown }[] = [];
   const frames = await w
     .runtime(w.host('127.0.0.2', 'z1'))
-    .net.frames('127.0.0.2:1', (_from, text) => got.push(parse(text) as { k: string; n: string; b: unknown }) > 0);
+    .net.openFrameTransport(
+      '127.0.0.2:1',
+      (_from, text) => got.push(parse(text) as { k: string; n: string; b: unknown }) > 0,
+    );
   frames.send('127.0.0.1:1', stringify({ p: protocol.current + 1, k: 'ask', t: 'echo', n: '1', b: 'new' }));
   frames.send('127.0.0.1:1', stringify({ p: protocol.oldest - 1, k: 'ask', t: 'echo', n: '2', b: 'old' }));
   frames.send('127.0.0.1:1', stringify({ p: protocol.current, k: 'ask', t: 'echo', n: '3', b: 'same' }));
--- a/tools/test-harness/src/callers/chat.ts
+++ b/tools/test-harness/src/callers/chat.ts
@@ -23,7 +23,7 @@
   const path = `/v1/conversations/${conversation}`;
   for (let i = 0; i < recallAttempts; i++) {
     try {
-      const response = await net.call({ at: account.gateway(), method: 'GET', path, timeLeft: recallTimeout });
+      const response = await net.request({ at: account.gateway(), method: 'GET', path, headersTimeout: recallTimeout });
       const text = await readText(response.body);
       if (response.status === 200) return (JSON.parse(text) as { messages: Message[] }).messages;
       if (response.status === 404) return 'missing';
--- a/tools/test-harness/src/callers/job.ts
+++ b/tools/test-harness/src/callers/job.ts
@@ -21,11 +21,11 @@
 
 type Attempt = Job & { at: Address; left: Microseconds };
 const send = ({ options }: Account, { at, urgent, once, key, left }: Attempt): Promise<HttpClientResponse> =>
-  options.runtime.net.call({
+  options.runtime.net.request({
     at,
     method: 'POST',
     path: '/v1/jobs',
-    timeLeft: Math.min(left, patience),
+    headersTimeout: Math.min(left, patience),
     headers: {
       'content-type': 'application/json',
       'x-thornsail-class': urgent ? options.classes.urgent : options.classes.ping,
--- a/tools/test-harness/src/callers/turn.ts
+++ b/tools/test-harness/src/callers/turn.ts
@@ -30,12 +30,12 @@
 const maxTokens = 48;
 
 const send = ({ options }: Account, request: TurnRequest): Promise<HttpClientResponse> =>
-  options.runtime.net.call({
+  options.runtime.net.request({
     at: request.at,
     method: 'POST',
     path: '/v1/chat/completions',
-    timeLeft: duration.ms(options.chatTimeLeft),
-    silence: patience,
+    headersTimeout: duration.ms(options.chatTimeLeft),
+    bodyTimeout: patience,
     headers: {
       'content-type': 'application/json',
       'x-thornsail-program': request.program,
--- a/tools/test-harness/src/fleet.ts
+++ b/tools/test-harness/src/fleet.ts
@@ -197,16 +197,17 @@
         if (sig === 'SIGKILL') await p.exit;
       },
       loseDisk: (name) => rmSync(f.proc(name).data, { recursive: true, force: true }),
-      get: async (at, p) => body(await runtime.net.call({ at, method: 'GET', path: p, timeLeft: duration.s(6) })),
+      get: async (at, p) =>
+        body(await runtime.net.request({ at, method: 'GET', path: p, headersTimeout: duration.s(6) })),
       put: async (at, p, method, b, headers) =>
         body(
-          await runtime.net.call({
+          await runtime.net.request({
             at,
             method,
             path: p,
             body: JSON.stringify(b),
             headers: { 'content-type': 'application/json', ...headers },
-            timeLeft: duration.s(8),
+            headersTimeout: duration.s(8),
           }),
         ),
       waitFor: async (what, ok, limitMs) => {
--- a/tools/test-harness/src/standins.ts
+++ b/tools/test-harness/src/standins.ts
@@ -90,7 +90,7 @@
         const me = { fits, go };
         line.push(me);
         // One whose caller has gone leaves the line; one that runs is finished.
-        say?.onGone(() => {
+        say?.onClose(() => {
           const i = line.indexOf(me);
           if (i >= 0) line.splice(i, 1);
           if (i >= 0) go(false);
@@ -143,7 +143,7 @@
 };
 
 const json = (say: HttpResponseWriter, status: number, body: unknown): void => {
-  say.head(status, { 'content-type': 'application/json' });
+  say.writeHead(status, { 'content-type': 'application/json' });
   say.end(JSON.stringify(body));
 };
 export const standTokens = (messages: unknown[]): number => Math.ceil(JSON.stringify(messages).length / 4);
@@ -219,12 +219,12 @@
         await time.sleep(runtime.clock, Math.round((o.firstToken + e.reprefilled * o.perPrefill) * faults.slow));
         if (o.rand.next() < faults.loseResult) {
           e.ended = true;
-          say.cut();
+          say.abort();
           return;
         }
-        say.head(200, { 'content-type': 'text/event-stream' });
+        say.writeHead(200, { 'content-type': 'text/event-stream' });
         if (!(await speak(words, say))) {
-          say.cut();
+          say.abort();
           return;
         }
         const last = String(b.messages[b.messages.length - 1]?.content ?? '').includes('[last]');
@@ -241,10 +241,10 @@
     const report = (say: HttpResponseWriter): void => {
       if (faults.report === 'ok') return json(say, 200, { CacheTotal: o.capacity, Running: seats.running() });
       if (faults.report === 'silent') return;
-      say.head(200, { 'content-type': 'application/json' });
+      say.writeHead(200, { 'content-type': 'application/json' });
       say.end(['{"CacheTotal":"much"}', '<html>', '', '[1,2', '{"CacheTotal":-5}'][o.rand.int(5)]);
     };
-    const s = await runtime.net.serve(
+    const s = await runtime.net.serveHttp(
       o.at,
       async (ask, say) => {
         if (ask.path === '/report') return report(say);
@@ -272,7 +272,7 @@
   ): Promise<StandIn> => {
     const faults = noFaults();
     const seats = places(o.places);
-    const s = await runtime.net.serve(
+    const s = await runtime.net.serveHttp(
       o.at,
       async (ask, say) => {
         if (ask.path !== '/jobs' || ask.method !== 'POST') return json(say, 404, { error: 'no such path' });
@@ -285,7 +285,7 @@
           await time.sleep(runtime.clock, Math.round(o.takes * faults.slow));
           e.ended = true;
           if (o.rand.next() < faults.loseResult) {
-            say.cut();
+            say.abort();
             return;
           }
           json(say, 200, { ok: true, by: o.id, said: JSON.parse(ask.body) as unknown });
@@ -302,7 +302,7 @@
     const leftAt = new Map<string, Microseconds>();
     const mood = { now: 'ok' as Mood };
     const clock: Clock = runtime.clock;
-    const s = await runtime.net.serve(
+    const s = await runtime.net.serveHttp(
       o.at,
       async (ask, say) => {
         if (ask.path !== '/workers') return json(say, 404, { error: 'no such path' });
--- a/tools/test-harness/test/embed.test.ts
+++ b/tools/test-harness/test/embed.test.ts
@@ -19,12 +19,12 @@
   let ended: { bad: string[] } | undefined;
   try {
     const call = async (method: string, path: string, headers = {}, body?: string): Promise<[number, string]> => {
-      const r = await f.runtime.net.call({
+      const r = await f.runtime.net.request({
         at,
         method,
         path,
         headers,
-        timeLeft: duration.s(8),
+        headersTimeout: duration.s(8),
         ...(body ? { body } : {}),
       });
       return [r.status, await readText(r.body)];
