--- a/eslint.config.js
+++ b/eslint.config.js
@@ -14,6 +14,8 @@
 /** Modules that map names of the release before to those of the code; they go with these names. */
 const mapsFormerNames = [
   '**/{deprecated-names,wire,*-codec,core-messages,decode-reply}.ts',
+  // The codes that clients get are words of the interface.
+  'packages/data-plane/src/errors.ts',
   '**/{upgrade*,former*,deprecated-names,state-codec}.test.ts',
 ];
 
--- a/packages/admin-api/src/index.ts
+++ b/packages/admin-api/src/index.ts
@@ -23,6 +23,7 @@
   type Push,
   type ReadResult,
 } from '@thornsail/consensus';
+import { fieldNames } from './field-names-codec.js';
 import { control, drainState } from './control.js';
 
 export type NewsResult = {
@@ -290,10 +291,10 @@
             view: value.term,
             order: seq,
             config: s.config.mark,
-            keepers: s.storeGroup.mark,
+            [fieldNames.stores]: s.storeGroup.mark,
             swept: s.storeGroup.swept,
           });
-        case 'keepers':
+        case fieldNames.stores:
           return json(say, 200, { ...s.storeGroup, group: s.storeGroup.mark, mark: seq });
         case 'programs': {
           const limit = Math.min(500, Math.max(1, Number(ask.query['limit'] ?? 100) || 100));
@@ -319,9 +320,9 @@
           return json(say, 200, {
             mark: seq,
             view: value.term,
-            towers: value.members.length,
+            [fieldNames.coordinators]: value.members.length,
             config: s.config.mark,
-            keepers: {
+            [fieldNames.stores]: {
               mark: s.storeGroup.mark,
               members: s.storeGroup.members.length,
               swept: s.storeGroup.swept === s.storeGroup.mark,
--- a/packages/config-schema/src/index.ts
+++ b/packages/config-schema/src/index.ts
@@ -287,7 +287,7 @@
     if (how === 'merge') return { ok: true, value: configSchema.merge(base, body) };
     if (!Array.isArray(body))
       return { ok: false, problems: [{ path: '(patch)', text: 'a list of operations is needed' }] };
-    let doc = structuredClone(base ?? {}) as object;
+    let doc = structuredClone<object>(base ?? {});
     for (const [i, op] of (structuredClone(body) as Operation[]).entries()) {
       try {
         doc = applyOperation(doc, op, true, false, true, i).newDocument;
@@ -315,7 +315,7 @@
     if (!c.ok) return c;
     return {
       ok: true,
-      steps: compare((base ?? {}) as object, next.value as object).map((o) => ({
+      steps: compare(base ?? {}, next.value as object).map((o) => ({
         op: o.op,
         path: o.path,
         ...(o.op === 'add' ? {} : { before: valueAt(base, o.path) }),
--- a/packages/consensus/src/driver.ts
+++ b/packages/consensus/src/driver.ts
@@ -245,8 +245,8 @@
   const io = openIo(options, codec, state, stored.fileMark, log);
   serve(io);
   const stops = [
-    time.every(runtime.clock, timing.heartbeat, async () => io.dispatch({ type: 'heartbeat-due' })),
-    time.every(runtime.clock, tickInterval, async () => io.dispatch({ type: 'tick' })),
+    time.every(runtime.clock, timing.heartbeat, () => io.dispatch({ type: 'heartbeat-due' })),
+    time.every(runtime.clock, tickInterval, () => io.dispatch({ type: 'tick' })),
   ];
   return {
     id: state.id,
--- a/packages/durable-files/src/recovery.ts
+++ b/packages/durable-files/src/recovery.ts
@@ -13,7 +13,7 @@
   durable: DurableStore,
   log: (text: string) => void,
   onDocument: (name: string, document: { version: number; value: unknown }) => void = () => undefined,
-  loadRest: () => Promise<boolean> = async () => true,
+  loadRest: () => Promise<boolean> = () => Promise.resolve(true),
 ): Promise<boolean> => {
   const names = durable.names();
   const wasErasing = names.includes(erasingMarker);
--- a/packages/load-balancer/src/worker-formats.ts
+++ b/packages/load-balancer/src/worker-formats.ts
@@ -50,8 +50,10 @@
   } catch {
     return { type: 'error', text: 'an event that is not JSON' };
   }
-  if (body['error'] !== undefined)
-    return { type: 'error', text: String(objectOf(body['error'])['message'] ?? 'worker error') };
+  if (body['error'] !== undefined) {
+    const { message } = objectOf(body['error']);
+    return { type: 'error', text: typeof message === 'string' ? message : 'worker error' };
+  }
   const delta = readDelta(data, body);
   if (body['usage'] === undefined || body['usage'] === null) return { type: 'delta', ...delta };
   const usage = objectOf(body['usage']);
--- a/packages/query-shell/src/index.ts
+++ b/packages/query-shell/src/index.ts
@@ -62,6 +62,9 @@
 };
 const ops = ['=', '!=', '<', '<=', '>', '>=', '~'];
 
+/** A value as text: objects as JSON, everything else as it prints. */
+const textOf = (value: unknown): string => (typeof value === 'string' ? value : (JSON.stringify(value) ?? ''));
+
 export const queryShell = {
   parse: (s: string, known: Tables = tables): Parsed => {
     const no = (text: string): Parsed => ({ ok: false, text });
@@ -126,8 +129,7 @@
   },
 
   run: (q: Query, rows: Row[]): Row[] => {
-    const text = (v: unknown): string =>
-      v === null || v === undefined ? '' : typeof v === 'object' ? JSON.stringify(v) : String(v);
+    const text = (v: unknown): string => (v === null || v === undefined ? '' : textOf(v));
     const cmp = (a: unknown, b: unknown): number => {
       const [x, y] = [Number(text(a)), Number(text(b))];
       return text(a) !== '' && text(b) !== '' && !Number.isNaN(x) && !Number.isNaN(y)
--- a/packages/rpc/src/sender.ts
+++ b/packages/rpc/src/sender.ts
@@ -44,7 +44,7 @@
 export const openSender = (options: SenderOptions): Sender => {
   const { self, handlers, pending, sendText } = options;
   const requestFromSelf = async <Result>(method: string, body: unknown): Promise<Result> => {
-    await undefined;
+    await Promise.resolve();
     const handler = handlers.find(method);
     if (!handler) throw rpcErrors.create('unknown-method', { step: method, peer: self });
     return (await handler(copyBody(body), self)) as Result;
--- a/packages/runtime/src/connection.ts
+++ b/packages/runtime/src/connection.ts
@@ -4,7 +4,9 @@
 import { Client, type Dispatcher } from 'undici';
 import { connector } from './connector.js';
 import { flatHeaders } from './headers.js';
-import { fault, type HttpConnection, type ExchangeEvents, type Net } from './index.js';
+import type { HttpConnection, ExchangeEvents } from './exchange.js';
+import { fault } from './fault.js';
+import type { Net } from './net.js';
 
 /** Names and values as they came, where the library still has them as bytes. */
 const rawOf = (c: Dispatcher.DispatchController, headers: Record<string, string | string[] | undefined>): string[] => {
@@ -84,7 +86,7 @@
       };
       client.dispatch(
         {
-          method: x.method as Dispatcher.HttpMethod,
+          method: x.method,
           path: x.target,
           headers: x.headers as string[],
           body: x.body && x.body.length ? Buffer.from(x.body.buffer, x.body.byteOffset, x.body.byteLength) : null,
--- a/packages/runtime/src/data-folder.ts
+++ b/packages/runtime/src/data-folder.ts
@@ -1,7 +1,8 @@
 // A folder of the system's as a `Disk` (§6.1).
 import { promises as fs } from 'node:fs';
 import path from 'node:path';
-import { fault, type Disk } from './index.js';
+import type { Disk } from './disk.js';
+import { fault } from './fault.js';
 
 /** The calls that a data folder needs; a test brings ones that fail. */
 export type FileCalls = Pick<typeof fs, 'open' | 'rename' | 'readFile' | 'readdir' | 'rm' | 'unlink' | 'mkdir'>;
--- a/packages/runtime/src/errors.ts
+++ b/packages/runtime/src/errors.ts
@@ -34,7 +34,7 @@
 };
 
 type Info = { catalogue?: string; code?: string; step?: string; sibling?: string };
-const infoOf = (error: unknown): Info => (error instanceof Error ? (VError.info(error) as Info) : {});
+const infoOf = (error: unknown): Info => (error instanceof Error ? VError.info(error) : {});
 
 /** Declares the errors of one package. `name` is the package's, and becomes the `name` of its errors. */
 export const errorCatalogue = <Code extends string>(
--- a/packages/runtime/src/frames.ts
+++ b/packages/runtime/src/frames.ts
@@ -3,7 +3,9 @@
  * of which names the sender.
  */
 import net from 'node:net';
-import { fault, address, type FrameTransport, type Net, type Address } from './index.js';
+import { address, type Address } from './address.js';
+import { fault } from './fault.js';
+import type { FrameTransport, Net } from './net.js';
 
 /** Bytes. A longer frame breaks its connection off. */
 const maxFrame = 16 << 20;
--- a/packages/runtime/src/http-client.ts
+++ b/packages/runtime/src/http-client.ts
@@ -2,7 +2,9 @@
 import { Agent, Client, request, type Dispatcher } from 'undici';
 import { connector } from './connector.js';
 import { flatHeaders } from './headers.js';
-import { fault, duration, type HttpClientRequest, type HttpClientResponse, type Microseconds } from './index.js';
+import { duration, type Microseconds } from './duration.js';
+import { fault } from './fault.js';
+import type { HttpClientRequest, HttpClientResponse } from './http.js';
 
 const neverSent = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'EADDRNOTAVAIL', 'UND_ERR_CONNECT_TIMEOUT']);
 const agent = new Agent({
@@ -67,7 +69,7 @@
   let response: Dispatcher.ResponseData;
   try {
     response = await request(`http://${options.at}${options.path}`, {
-      method: options.method as Dispatcher.HttpMethod,
+      method: options.method,
       headers: options.headers,
       body: options.body,
       signal: abort.signal,
--- a/packages/runtime/src/http-server.ts
+++ b/packages/runtime/src/http-server.ts
@@ -3,16 +3,11 @@
 import type net from 'node:net';
 import polka from 'polka';
 import { flatHeaders } from './headers.js';
-import {
-  fault,
-  address,
-  type HttpRequest,
-  type HttpHandler,
-  type HttpLimits,
-  type HttpResponseWriter,
-  type Net,
-  type Cancel,
-} from './index.js';
+import { address } from './address.js';
+import type { Cancel } from './clock.js';
+import { fault } from './fault.js';
+import type { HttpRequest, HttpHandler, HttpLimits, HttpResponseWriter } from './http.js';
+import type { Net } from './net.js';
 
 const closeListeners = new WeakMap<net.Socket, Set<() => void>>();
 /** One listener for each socket, however many requests its client has sent ahead. */
@@ -203,8 +198,8 @@
     const listen = listener(handler, bounds.maxBodyBytes);
     const app = polka({
       server,
-      onError: (_e, _req, res) => void (res as http.ServerResponse).destroy(),
-      onNoMatch: (req, res) => listen(req as unknown as http.IncomingMessage, res as http.ServerResponse),
+      onError: (_e, _req, res) => void res.destroy(),
+      onNoMatch: (req, res) => listen(req, res),
     });
     server.on('error', (cause) => fail(fault.make({ step: 'http.bind', sibling: at }, cause.message, cause)));
     app.listen(address.port(at), address.host(at), () => {
--- a/packages/runtime/src/real.ts
+++ b/packages/runtime/src/real.ts
@@ -6,7 +6,9 @@
 import { frames } from './frames.js';
 import { call } from './http-client.js';
 import { listener, serve } from './http-server.js';
-import { type Clock, type Runtime, type Random } from './index.js';
+import type { Clock } from './clock.js';
+import type { Random } from './random.js';
+import type { Runtime } from './runtime.js';
 
 const clock: Clock = {
   now: () => Number(process.hrtime.bigint() / 1000n),
@@ -55,6 +57,6 @@
   }),
   /** What a daemon says unless DEBUG says otherwise: all parts but the one that speaks for each program. */
   logsByDefault: (): void => {
-    if (process.env['DEBUG'] === undefined) debug.enable('thornsail:*,-thornsail:admission scheduler');
+    if (process.env['DEBUG'] === undefined) debug.enable('thornsail:*,-thornsail:admission');
   },
 };
--- a/packages/runtime/src/seeded.ts
+++ b/packages/runtime/src/seeded.ts
@@ -1,25 +1,32 @@
-import type { Random } from './index.js';
+/** A random source that can be repeated (§9.2). */
+import type { Random } from './random.js';
 
-/** A seeded random source (sfc32). The same seed gives the same run (§9.2). */
-export const seeded = (seed: number): Random => {
-  let a = 0x9e3779b9 ^ seed,
-    b = 0x243f6a88,
-    c = 0xb7e15162,
-    d = seed | 1;
-  const raw = (): number => {
-    const t = (((a + b) | 0) + d) | 0;
-    d = (d + 1) | 0;
-    a = b ^ (b >>> 9);
-    b = (c + (c << 3)) | 0;
-    c = (c << 21) | (c >>> 11);
-    c = (c + t) | 0;
-    return t >>> 0;
+const warmUpRounds = 12;
+const toUnit = 4_294_967_296;
+
+/** Small Fast Counter (sfc32). The same seed gives the same values. */
+const sfc32 = (seed: number): (() => number) => {
+  const state = { a: 0x9e3779b9 ^ seed, b: 0x243f6a88, chaos: 0xb7e15162, counter: seed | 1 };
+  return () => {
+    const result = (((state.a + state.b) | 0) + state.counter) | 0;
+    state.counter = (state.counter + 1) | 0;
+    state.a = state.b ^ (state.b >>> 9);
+    state.b = (state.chaos + (state.chaos << 3)) | 0;
+    state.chaos = (state.chaos << 21) | (state.chaos >>> 11);
+    state.chaos = (state.chaos + result) | 0;
+    return result >>> 0;
   };
-  for (let i = 0; i < 12; i++) raw();
-  const next = (): number => raw() / 4_294_967_296;
+};
+
+/** A seeded random source. The same seed gives the same run. */
+export const seeded = (seed: number): Random => {
+  const raw = sfc32(seed);
+  for (let i = 0; i < warmUpRounds; i++) raw();
+  const next = (): number => raw() / toUnit;
+  const word = (): string => raw().toString(36).padStart(7, '0');
   return {
     next,
     int: (below) => Math.floor(next() * below),
-    id: () => raw().toString(36).padStart(7, '0') + raw().toString(36).padStart(7, '0'),
+    id: () => word() + word(),
   };
 };
--- a/programs/thornsail/src/bin.ts
+++ b/programs/thornsail/src/bin.ts
@@ -163,7 +163,7 @@
   }
 };
 const checkBase = (a: Record<string, unknown>): void => {
-  if (a['base'] !== undefined && !/^\d+$/.test(String(a['base']))) wrongUse('--base: a whole number is needed');
+  if (a['base'] !== undefined && !/^\d+$/.test(a['base'] as string)) wrongUse('--base: a whole number is needed');
 };
 const pushed =
   (how: 'PUT' | 'PATCH') =>
@@ -279,8 +279,8 @@
   },
 });
 
-const resolve = async (argv: string[]): Promise<CommandDef> => {
-  let cmd: CommandDef = main as CommandDef;
+const resolve = (argv: string[]): CommandDef => {
+  let cmd: CommandDef = main;
   for (const w of argv) {
     const subs = cmd.subCommands as Record<string, CommandDef> | undefined;
     if (!subs || w.startsWith('-') || !Object.hasOwn(subs, w)) break;
@@ -292,7 +292,7 @@
   const { args: argv, warnings } = currentCommandLine(process.argv.slice(2));
   for (const warning of warnings) err(warning);
   if (argv.includes('--help') || argv.includes('-h')) {
-    out(await renderUsage(await resolve(argv)));
+    out(await renderUsage(resolve(argv)));
     return;
   }
   if (argv[0] === '--version' || argv[0] === '-v') {
--- a/programs/thornsail/src/embed.ts
+++ b/programs/thornsail/src/embed.ts
@@ -37,9 +37,9 @@
     const c = configSchema.options('gateway', settings);
     if (!c.ok) throw fault.make({ step: 'embed' }, c.problems.map((p) => `${p.path}: ${p.text}`).join('; '));
     const given: { handler?: HttpHandler } = {};
-    const serve: Runtime['net']['serveHttp'] = async (at, handler) => {
+    const serve: Runtime['net']['serveHttp'] = (at, handler) => {
       given.handler = handler;
-      return { at, close: async () => undefined };
+      return Promise.resolve({ at, close: () => Promise.resolve() });
     };
     const node = await roles.gateway({ ...runtime, net: { ...runtime.net, serveHttp: serve } }, c.value);
     return {
--- a/programs/thornsail/src/operator.ts
+++ b/programs/thornsail/src/operator.ts
@@ -30,11 +30,13 @@
   drain: (at: string, node: string, cancel: boolean, wait: boolean, json: boolean) => Promise<number>;
 };
 
+/** A value as text: strings as they are, everything else as JSON. */
+const textOf = (value: unknown): string => (typeof value === 'string' ? value : (JSON.stringify(value) ?? ''));
+
 export const table = (rows: Record<string, unknown>[]): string => {
   if (rows.length === 0) return '(none)';
   const cols = [...new Set(rows.flatMap((r) => Object.keys(r)))];
-  const cell = (v: unknown): string =>
-    v === null || v === undefined ? '-' : typeof v === 'object' ? JSON.stringify(v) : String(v);
+  const cell = (v: unknown): string => (v === null || v === undefined ? '-' : textOf(v));
   const width = cols.map((c) => Math.max(c.length, ...rows.map((r) => cell(r[c]).length)));
   const line = (f: (c: string) => string): string =>
     cols
@@ -79,7 +81,7 @@
     };
     const failed = (r: Reply, json: boolean): number => {
       if (json) out(JSON.stringify(r.body));
-      err(`${String(r.body['error'] ?? r.status)}${r.body['message'] ? `: ${String(r.body['message'])}` : ''}`);
+      err(`${textOf(r.body['error'] ?? r.status)}${r.body['message'] ? `: ${textOf(r.body['message'])}` : ''}`);
       for (const p of (r.body['problems'] as { path: string; text: string }[] | undefined) ?? [])
         err(`${p.path}: ${p.text}`);
       return codeOf(r.status);
@@ -105,7 +107,7 @@
                 ? Object.entries(x as object)
                     .map(([a, y]) => `${a} ${String(y)}`)
                     .join(', ')
-                : String(x)
+                : textOf(x)
             }`,
         )
         .join('\n');
@@ -293,7 +295,7 @@
                     `${String(r.body['node'])}: ${String(r.body['state'])}`,
                     ...(r.body['mark'] === undefined
                       ? []
-                      : [`(group mark ${String(r.body['mark'])}, swept ${String(r.body['swept'])})`]),
+                      : [`(group mark ${textOf(r.body['mark'])}, swept ${textOf(r.body['swept'])})`]),
                   ].join(' '),
             );
             if (done) return 0;
--- a/programs/thornsail/src/roles.ts
+++ b/programs/thornsail/src/roles.ts
@@ -239,7 +239,7 @@
         syncs: durable.counts().syncs,
         torn: durable.counts().torn,
       }),
-      drain: async () => undefined,
+      drain: () => Promise.resolve(),
       replaced: () => untilReplaced(runtime, m, 'coordinator', () => m.snapshot()?.members ?? []),
       stop: () => c.close(),
       onFailed: disk.onFailed,
@@ -302,7 +302,7 @@
         syncs: durable.counts().syncs,
         torn: durable.counts().torn,
       }),
-      drain: async () => undefined,
+      drain: () => Promise.resolve(),
       replaced: () => untilReplaced(runtime, m, 'store', () => m.state()?.storeGroup.members ?? []),
       stop: stopSweep,
       onFailed: disk.onFailed,
@@ -367,8 +367,9 @@
         return { ok: why.length === 0, why };
       },
       counts: () => ({ ...commonCounts(p, m), workers: workersOf(m.dissemination, runtime.clock.now()).length }),
-      drain: async () => {
+      drain: () => {
         leaving = true;
+        return Promise.resolve();
       },
       stop: () => h.close(),
     });
--- a/programs/thornsail/src/sweep-duty.ts
+++ b/programs/thornsail/src/sweep-duty.ts
@@ -19,12 +19,12 @@
 
 /** The group of stores as the newest agreed state known here has it; undefined before one is formed. */
 export const groupOf = (membership: Membership): Group | undefined => {
-  const keepers = membership.state()?.storeGroup;
-  return keepers && keepers.mark > 0 ? { version: keepers.mark, members: keepers.members } : undefined;
+  const group = membership.state()?.storeGroup;
+  return group && group.mark > 0 ? { version: group.mark, members: group.members } : undefined;
 };
-/** The member that sweeps after a change: the first that the roster has alive. */
-const firstMember = ({ storeGroup: keepers, nodes: roster }: AgreedState): string | undefined =>
-  keepers.members.find(({ id }) => roster[id] !== undefined && roster[id].status !== 'dead')?.id;
+/** The member that sweeps after a change: the first that the agreed state has alive. */
+const firstMember = ({ storeGroup, nodes }: AgreedState): string | undefined =>
+  storeGroup.members.find(({ id }) => nodes[id] !== undefined && nodes[id].status !== 'dead')?.id;
 
 type SweepDutyOptions = {
   runtime: Runtime;
