--- a/tools/simulation/src/measurement/hollow.ts
+++ b/tools/simulation/src/measurement/hollow.ts
@@ -88,16 +88,16 @@
 /** Settings as a deployment's files would have them: three seeds, three founders. */
 const optionsOf = (s: Spec, all: Spec[]): Record<string, unknown> => {
   const at = (x: Spec): Address => `${x.ip}:${port}`;
-  const towers = all.filter((x) => x.role === 'coordinator').map(at);
+  const coordinators = all.filter((x) => x.role === 'coordinator').map(at);
   const disk = s.role === 'coordinator' || s.role === 'store' ? { data: 'data' } : {};
   return {
     name: s.name,
     zone: s.zone,
     place: at(s),
     http: `${s.ip}:7102`,
-    seeds: [towers[0], at(all.find((x) => x.role === 'store')!), at(all.find((x) => x.role === 'agent')!)],
+    seeds: [coordinators[0], at(all.find((x) => x.role === 'store')!), at(all.find((x) => x.role === 'agent')!)],
     ...disk,
-    ...(s.role === 'coordinator' ? { founders: towers } : {}),
+    ...(s.role === 'coordinator' ? { founders: coordinators } : {}),
     ...(s.role === 'agent' ? { platform: '127.0.0.9:7400' } : {}),
     ...(s.role === 'gateway' ? { agent: at(all.find((x) => x.name === s.name.replace('gateway', 'agent'))!) } : {}),
   };
--- a/tools/simulation/src/repair-plans.ts
+++ b/tools/simulation/src/repair-plans.ts
@@ -3,14 +3,14 @@
 import type { Loss, RepairPlan } from './repair-stage.js';
 
 const small = {
-  towers: 5,
-  keepers: 3,
+  coordinators: 5,
+  stores: 3,
   tolerates: 1,
   diskTime: duration.ms(2),
   registers: 300,
   settleFor: duration.s(8),
 };
-const grown = { ...small, towers: 8, keepers: 8, tolerates: 2, diskTime: duration.ms(12) };
+const grown = { ...small, coordinators: 8, stores: 8, tolerates: 2, diskTime: duration.ms(12) };
 /** Two losses: the second one comes when the first has had its time to catch up, to the millisecond. */
 const twice = (first: Omit<Loss, 'at'>, catchUp: Microseconds, second: Partial<Loss> = {}): Loss[] => [
   { ...first, at: duration.s(1) },
@@ -31,7 +31,7 @@
     name: 'three coordinators: one is replaced as planned, then the oldest loses its disk',
     plan: {
       ...small,
-      towers: 3,
+      coordinators: 3,
       losses: twice({ ...handover, role: 'coordinator' }, duration.s(1.5), {
         how: 'disk',
         backAfter: duration.ms(600),
@@ -40,11 +40,15 @@
   },
   {
     name: 'three coordinators: one loses its disk, right after its catch-up the oldest does',
-    plan: { ...small, towers: 3, losses: twice({ ...wiped, role: 'coordinator' }, duration.s(4)) },
+    plan: { ...small, coordinators: 3, losses: twice({ ...wiped, role: 'coordinator' }, duration.s(4)) },
   },
   {
     name: 'three coordinators: the leader loses its disk, then the oldest',
-    plan: { ...small, towers: 3, losses: twice({ ...wiped, role: 'coordinator', which: 'leader' }, duration.s(4)) },
+    plan: {
+      ...small,
+      coordinators: 3,
+      losses: twice({ ...wiped, role: 'coordinator', which: 'leader' }, duration.s(4)),
+    },
   },
   {
     name: 'five coordinators: one loses its disk, then the oldest',
--- a/tools/simulation/src/repair-stage.ts
+++ b/tools/simulation/src/repair-stage.ts
@@ -24,8 +24,8 @@
 /** One run: sizes of the groups, disks, and the losses. */
 export type RepairPlan = {
   seed: number;
-  towers: number;
-  keepers: number;
+  coordinators: number;
+  stores: number;
   /** How many losses at once the groups bear. */
   tolerates: number;
   /** Microseconds for a usual sync, and how many times slower the disks are. */
@@ -138,7 +138,7 @@
   const leader = (): Process | undefined =>
     live('coordinator').find((process) => process.node?.counts()['leads'] === 1);
   const size = {
-    coordinator: Math.min(plan.towers, Math.max(5, 2 * plan.tolerates + 1)),
+    coordinator: Math.min(plan.coordinators, Math.max(5, 2 * plan.tolerates + 1)),
     store: 2 * plan.tolerates + 1,
   };
   const full: RepairStage['full'] = (role) => {
@@ -153,8 +153,8 @@
       members.every((member) => live(role).some((process) => process.node?.id === member.id))
     );
   };
-  for (let i = 0; i < plan.towers; i++) add('coordinator');
-  for (let i = 0; i < plan.keepers; i++) add('store');
+  for (let i = 0; i < plan.coordinators; i++) add('coordinator');
+  for (let i = 0; i < plan.stores; i++) add('store');
   return { world: simulated, processes, live, leader, start, add, full };
 };
 
--- a/tools/simulation/src/scenarios/budget.ts
+++ b/tools/simulation/src/scenarios/budget.ts
@@ -1,7 +1,7 @@
 // Scenario `budget` (§9.4).
 import { duration } from '@thornsail/runtime';
 import { fleet } from '../fleet/index.js';
-import { type Scenario, finish, gatewayAt, gateways, keepers, ofLive, patch, pause, run, sum } from '../scene.js';
+import { type Scenario, finish, gatewayAt, gateways, stores, ofLive, patch, pause, run, sum } from '../scene.js';
 
 /** A few programs driven from several edges at once, while gateways and stores fail. */
 export const budget: Scenario = {
@@ -42,7 +42,7 @@
         } else if (k === 1 && f.process(e).host.alive && !f.process(e).host.frozen)
           f.freeze(e, duration.ms(800 + r.int(3000)));
         else if (k === 2) {
-          const n = keepers[r.int(3)]!;
+          const n = stores[r.int(3)]!;
           if (f.process(n).host.alive && ofLive(f, 'store').length === 3) {
             f.kill(n, 'power');
             f.world.scheduleAt(f.world.now() + duration.ms(500 + r.int(1500)), () => f.start(n));
--- a/tools/simulation/src/scenarios/burst.ts
+++ b/tools/simulation/src/scenarios/burst.ts
@@ -3,7 +3,7 @@
 import { classNames } from '@thornsail/test-harness';
 import { fleet } from '../fleet/index.js';
 import { later } from '../operator-calls.js';
-import { type Scenario, finish, gatewayAt, keepers, run, settleLoad } from '../scene.js';
+import { type Scenario, finish, gatewayAt, stores, run, settleLoad } from '../scene.js';
 
 /** Urgent jobs at all edges in one instant, among crowds of ordinary ones. */
 export const burst: Scenario = {
@@ -12,7 +12,7 @@
     const f = await fleet.open({ seed, shape, log });
     const r = f.world.rand;
     for (const a of f.apps) a.faults.slow = 10;
-    for (const k of keepers) f.process(k).host.disk.slow = 4;
+    for (const k of stores) f.process(k).host.disk.slow = 4;
     const names = classNames[shape];
     const limit = shape === 'lautoka' ? 2000 : 1500;
     const l = f.load({ chats: 160, kept: 10, jobs: 0, over: duration.s(6) });
--- a/tools/simulation/src/scenarios/clocks.ts
+++ b/tools/simulation/src/scenarios/clocks.ts
@@ -2,7 +2,17 @@
 import { duration } from '@thornsail/runtime';
 import { fleet } from '../fleet/index.js';
 import { type Pushed, later, operator } from '../operator-calls.js';
-import { type Scenario, finish, gatewayAt, gateways, keepers, run, serving, settleLoad, towers } from '../scene.js';
+import {
+  type Scenario,
+  finish,
+  gatewayAt,
+  gateways,
+  stores,
+  run,
+  serving,
+  settleLoad,
+  coordinators,
+} from '../scene.js';
 
 /** Wall clocks that jump by up to 400 days in either direction. */
 export const clocks: Scenario = {
@@ -20,10 +30,10 @@
       for (const p of f.processes) if (p.role === role && role !== 'gateway') p.host.skew = 0;
       f.process(name).host.skew = (r.int(2) ? 1 : -1) * r.int(400) * day;
     };
-    const all = [...keepers, ...keepers, ...towers, ...gateways];
+    const all = [...stores, ...stores, ...coordinators, ...gateways];
     for (let i = 0; i < 24; i++) later(f, r.int(duration.s(16)), () => jump(all[r.int(all.length)]!));
-    later(f, duration.s(3), () => f.kill(keepers[r.int(3)]!, 'power'));
-    later(f, duration.s(5), () => keepers.forEach((k) => f.process(k).host.alive || f.start(k)));
+    later(f, duration.s(3), () => f.kill(stores[r.int(3)]!, 'power'));
+    later(f, duration.s(5), () => stores.forEach((k) => f.process(k).host.alive || f.start(k)));
     later(f, duration.s(6), () => f.kill(gateways[r.int(7)]!));
     const acked: Pushed[] = [];
     const push = operator(f, acked);
--- a/tools/simulation/src/scenarios/closing.ts
+++ b/tools/simulation/src/scenarios/closing.ts
@@ -1,7 +1,7 @@
 // Scenario `closing` (§9.4).
 import { type Microseconds, duration } from '@thornsail/runtime';
 import { fleet } from '../fleet/index.js';
-import { type Scenario, finish, keepers, run, serving, settleLoad, towers } from '../scene.js';
+import { type Scenario, finish, stores, run, serving, settleLoad, coordinators } from '../scene.js';
 
 /** The faults that end a day, one after another; each is timed until all gateways serve again. */
 export const closing: Scenario = {
@@ -20,16 +20,16 @@
     await time(
       'towers_restarted',
       () => {
-        for (const t of towers) f.kill(t);
-        return () => towers.forEach((t) => f.start(t));
+        for (const t of coordinators) f.kill(t);
+        return () => coordinators.forEach((t) => f.start(t));
       },
       duration.s(1),
     );
     await time(
       'stores_power_cycled',
       () => {
-        for (const k of keepers) f.kill(k, 'power');
-        return () => keepers.forEach((k) => f.start(k));
+        for (const k of stores) f.kill(k, 'power');
+        return () => stores.forEach((k) => f.start(k));
       },
       duration.s(1),
     );
@@ -38,7 +38,7 @@
       'core_cut_off',
       () =>
         f.partition(
-          towers,
+          coordinators,
           f.processes.filter((p) => p.role !== 'coordinator').map((p) => p.name),
         ),
       duration.s(5),
--- a/tools/simulation/src/scenarios/config.ts
+++ b/tools/simulation/src/scenarios/config.ts
@@ -2,7 +2,7 @@
 import { root } from '@thornsail/admin-api';
 import { type Address, type Microseconds, duration } from '@thornsail/runtime';
 import { fleet } from '../fleet/index.js';
-import { type Scenario, finish, gateways, ofLive, run, towers } from '../scene.js';
+import { type Scenario, finish, gateways, ofLive, run, coordinators } from '../scene.js';
 
 /** Two operators that change the configuration at once, some of it invalid, while nodes fail. */
 export const config: Scenario = {
@@ -62,7 +62,7 @@
     });
     later(duration.s(5) + r.int(duration.s(1)), () => {
       const t = head();
-      const heal = f.partition([t], [...towers.filter((x) => x !== t)]);
+      const heal = f.partition([t], [...coordinators.filter((x) => x !== t)]);
       later(duration.s(2), heal);
     });
     later(duration.s(4), () => {
--- a/tools/simulation/src/scenarios/disk.ts
+++ b/tools/simulation/src/scenarios/disk.ts
@@ -2,7 +2,7 @@
 import { duration } from '@thornsail/runtime';
 import { type Fleet, fleet } from '../fleet/index.js';
 import { type Pushed, headOf, later, operator, read } from '../operator-calls.js';
-import { type Scenario, finish, gatewayAt, keepers, run, serving, settleLoad } from '../scene.js';
+import { type Scenario, finish, gatewayAt, stores, run, serving, settleLoad } from '../scene.js';
 
 /** Disks that are full, slow or fail at a write, a sync, a rename or a read. */
 export const disk: Scenario = {
@@ -16,7 +16,7 @@
     for (let i = 0; i < 14; i++)
       later(f, duration.ms(300) + r.int(duration.s(18)), () => void push(gatewayAt(f, r.int(7))));
     const disk = (name: string): Fleet['processes'][number]['host']['disk'] => f.process(name).host.disk;
-    const [a, b, c] = r.int(2) ? keepers : [...keepers].reverse();
+    const [a, b, c] = r.int(2) ? stores : [...stores].reverse();
     disk(c!).slow = 30;
     later(f, duration.s(1), () => (disk(a!).full = true));
     later(f, duration.s(4), () => (disk(a!).full = false));
--- a/tools/simulation/src/scenarios/hold.ts
+++ b/tools/simulation/src/scenarios/hold.ts
@@ -1,7 +1,7 @@
 // Scenario `hold` (§9.4).
 import { duration } from '@thornsail/runtime';
 import { fleet } from '../fleet/index.js';
-import { type Scenario, finish, gateways, keepers, settleLoad, sum } from '../scene.js';
+import { type Scenario, finish, gateways, stores, settleLoad, sum } from '../scene.js';
 
 /** Workers with too little cache: turns are held at tool boundaries while news between edges goes missing. */
 export const hold: Scenario = {
@@ -20,8 +20,8 @@
     const l = f.load({ chats: 150, kept: 20, jobs: 20, over: duration.s(12) });
     // On every third seed the stores' disks are slow, and one store is lost on top of that.
     if (seed % 3 === 0) {
-      for (const k of keepers) f.process(k).host.disk.slow = 25;
-      f.world.scheduleAt(f.world.now() + duration.s(5), () => f.kill(keepers[f.world.rand.int(3)]!, 'power'));
+      for (const k of stores) f.process(k).host.disk.slow = 25;
+      f.world.scheduleAt(f.world.now() + duration.s(5), () => f.kill(stores[f.world.rand.int(3)]!, 'power'));
     }
     // The news between edges goes missing for a while.
     f.world.scheduleAt(f.world.now() + duration.s(3), () => {
--- a/tools/simulation/src/scenarios/kept.ts
+++ b/tools/simulation/src/scenarios/kept.ts
@@ -1,7 +1,7 @@
 // Scenario `kept` (§9.4).
 import { type Address, type Microseconds, duration } from '@thornsail/runtime';
 import { fleet } from '../fleet/index.js';
-import { type Scenario, finish, gateways, keepers, ofLive, settleLoad } from '../scene.js';
+import { type Scenario, finish, gateways, stores, ofLive, settleLoad } from '../scene.js';
 
 /** Kept conversations, while stores are replaced and their clocks are wrong. */
 export const kept: Scenario = {
@@ -11,8 +11,8 @@
     const r = f.world.rand;
     const l = f.load({ chats: 5, kept: 16, jobs: 0, over: duration.s(4) });
     const later = (at: Microseconds, fn: () => void): void => f.world.scheduleAt(f.world.now() + at, fn);
-    const k = keepers[r.int(3)]!;
-    const other = keepers.find((x) => x !== k)!;
+    const k = stores[r.int(3)]!;
+    const other = stores.find((x) => x !== k)!;
     later(duration.s(2), () => {
       f.process(other).host.skew = (r.int(2) === 0 ? 1 : -1) * duration.s(400 * 86_400);
     });
--- a/tools/simulation/src/scenarios/leaving.ts
+++ b/tools/simulation/src/scenarios/leaving.ts
@@ -1,7 +1,7 @@
 // Scenario `leaving` (§9.4).
 import { type Microseconds, duration } from '@thornsail/runtime';
 import { fleet } from '../fleet/index.js';
-import { type Scenario, edges, finish, gateways, keepers, settleLoad, towers } from '../scene.js';
+import { type Scenario, edges, finish, gateways, stores, settleLoad, coordinators } from '../scene.js';
 
 /** Workers that leave while the coordinators are cut off and a gateway is frozen. */
 export const leaving: Scenario = {
@@ -13,7 +13,7 @@
     const later = (at: Microseconds, fn: () => void): void => f.world.scheduleAt(f.world.now() + at, fn);
     const heal: (() => void)[] = [];
     later(duration.s(1), () =>
-      heal.push(f.partition(towers, [...gateways, ...edges.map((e) => `agent-${e}`), ...keepers])),
+      heal.push(f.partition(coordinators, [...gateways, ...edges.map((e) => `agent-${e}`), ...stores])),
     );
     later(duration.s(1.5), () => f.kill(`agent-edge${1 + r.int(7)}`));
     for (let i = 0; i < 4; i++) later(duration.s(2 + i), () => f.platform.leave(f.layout.workers[i * 2]!.id));
--- a/tools/simulation/src/scenarios/random.ts
+++ b/tools/simulation/src/scenarios/random.ts
@@ -1,7 +1,17 @@
 // Scenario `random` (§9.4).
 import { duration } from '@thornsail/runtime';
 import { fleet } from '../fleet/index.js';
-import { type Scenario, finish, gatewayAt, keepers, oneToLeave, run, serving, settleLoad, towers } from '../scene.js';
+import {
+  type Scenario,
+  finish,
+  gatewayAt,
+  stores,
+  oneToLeave,
+  run,
+  serving,
+  settleLoad,
+  coordinators,
+} from '../scene.js';
 
 /** Two or three faults of any kind in one run. */
 export const random: Scenario = {
@@ -32,7 +42,7 @@
         f.world.scheduleAt(f.world.now() + r.int(duration.s(4)), heal);
       },
       () => {
-        const k = [...keepers, ...towers][r.int(6)]!;
+        const k = [...stores, ...coordinators][r.int(6)]!;
         if (disks.size === 0 && f.process(k).host.alive) {
           disks.add(k);
           f.kill(k, 'disk');
--- a/tools/simulation/src/scenarios/split.ts
+++ b/tools/simulation/src/scenarios/split.ts
@@ -8,11 +8,11 @@
   finish,
   gatewayAt,
   gateways,
-  keepers,
+  stores,
   run,
   serving,
   settleLoad,
-  towers,
+  coordinators,
 } from '../scene.js';
 
 /** The fleet cut in two at random, while operators change the configuration on both sides. */
@@ -36,8 +36,8 @@
     for (; rounds < 4; rounds++) {
       // A machine is on one side or the other; an edge's two processes share it.
       const machine = (name: string): string => name.replace(/^(gateway|agent)-/, '');
-      const side = new Map([...edges, ...keepers, ...towers].map((m) => [m, r.int(2)]));
-      if (rounds === 0) for (const t of towers) side.set(t, 1);
+      const side = new Map([...edges, ...stores, ...coordinators].map((m) => [m, r.int(2)]));
+      if (rounds === 0) for (const t of coordinators) side.set(t, 1);
       const names = f.processes.map((p) => p.name);
       const [a, b] = [0, 1].map((k) => names.filter((n) => side.get(machine(n)) === k));
       const heal = f.partition(a!, b!);
--- a/tools/simulation/src/scene.ts
+++ b/tools/simulation/src/scene.ts
@@ -12,8 +12,8 @@
 
 export const edges = ['edge1', 'edge2', 'edge3', 'edge4', 'edge5', 'edge6', 'edge7'];
 export const gateways = edges.map((e) => `gateway-${e}`);
-export const keepers = ['store1', 'store2', 'store3'];
-export const towers = ['coordinator1', 'coordinator2', 'coordinator3'];
+export const stores = ['store1', 'store2', 'store3'];
+export const coordinators = ['coordinator1', 'coordinator2', 'coordinator3'];
 export const gatewayAt = (f: Fleet, i: number): Address => f.process(gateways[i % 7]!).options['http'] as Address;
 export const sum = (f: Fleet, k: string): number =>
   f.processes.filter((p) => p.role === 'gateway').reduce((a, p) => a + (p.node?.counts()[k] ?? 0), 0);
--- a/tools/simulation/test/config.test.ts
+++ b/tools/simulation/test/config.test.ts
@@ -5,7 +5,7 @@
 import { fleet, type Fleet } from '@thornsail/simulation';
 
 const edges = [1, 2, 3, 4, 5, 6, 7];
-const towers = ['coordinator1', 'coordinator2', 'coordinator3'];
+const coordinators = ['coordinator1', 'coordinator2', 'coordinator3'];
 const at = (f: Fleet, name: string): Address => f.process(name).options['http'] as Address;
 /** The configuration in which a class of this name stands, and no other test class. */
 const only = (f: Fleet, name: string): unknown => ({
@@ -50,7 +50,7 @@
   test(`${shape}: a core cut off from every edge acknowledges nothing, and the edges serve on`, async () => {
     const f = await start(shape);
     const heal = f.partition(
-      towers,
+      coordinators,
       f.processes.filter((p) => p.role !== 'coordinator').map((p) => p.name),
     );
     const r = await settled(
--- a/tools/simulation/test/registers.test.ts
+++ b/tools/simulation/test/registers.test.ts
@@ -93,13 +93,13 @@
   const lag = [0, 1, 2].map((e) => (e === 0 || !o.regroup ? 0 : w.rand.int(duration.s(3))));
   const edges: Registers[] = [];
   const hosts: Host[] = [];
-  const pipes: Rpc[] = [];
+  const rpcs: Rpc[] = [];
   for (let e = 0; e < 3; e++) {
     const h = w.host(`127.0.1.${e}`, `z${e + 1}`);
     hosts.push(h);
     const runtime = w.runtime(h);
     void rpc.open(runtime, `127.0.1.${e}:7101`).then((p) => {
-      pipes[e] = p;
+      rpcs[e] = p;
       const near = (id: string): number => (o.mixed && id === `k${e + 1}` ? 0 : 1);
       edges[e] = registers.open({
         runtime,
@@ -219,7 +219,7 @@
       });
   const { clock } = w.runtime(w.host('127.0.8.9', 'z1'));
   const pass = (all: boolean): Promise<SweepResult> =>
-    sweep.pass({ clock, rpc: pipes[0]!, registers: edges[0]!, group, all, pause: 0, shouldContinue: () => true });
+    sweep.pass({ clock, rpc: rpcs[0]!, registers: edges[0]!, group, all, pause: 0, shouldContinue: () => true });
   if (o.fresh) {
     // The group is swept, filled and then changed again: 4 joins, 1 leaves, comes back with its old disk, 2 leaves.
     const groups = o.regroup
--- a/tools/simulation/test/views.test.ts
+++ b/tools/simulation/test/views.test.ts
@@ -15,7 +15,7 @@
 ): Promise<{
   acked: string[];
   refused: Set<string>;
-  towers: Coordinator[];
+  coordinators: Coordinator[];
   marks: Map<number, string>;
   problems: string[];
   now: number;
@@ -25,7 +25,7 @@
   const at = [1, 2, 3].map((i) => `127.0.3.${i}:7101`);
   const marks = new Map<number, string>();
   const problems: string[] = [];
-  const towers: Coordinator[] = at.map((a, i) => ({
+  const coordinators: Coordinator[] = at.map((a, i) => ({
     at: a,
     host: w.host(`127.0.3.${i + 1}`, `z${i + 1}`),
     v: null,
@@ -53,14 +53,14 @@
     });
     if (t.host.incarnation === inc) t.v = v;
   };
-  for (const t of towers) void boot(t);
+  for (const t of coordinators) void boot(t);
   await w.run(duration.s(3));
   const r = w.rand;
   const acked: string[] = [];
   const refused = new Set<string>();
   for (let i = 0; i < 80; i++)
     w.scheduleAt(duration.s(3) + r.int(duration.s(12)), () => {
-      const t = towers[r.int(3)]!;
+      const t = coordinators[r.int(3)]!;
       if (!t.host.alive || !t.v) return;
       const id = `x${i}`;
       t.v
@@ -79,7 +79,7 @@
   if (faults === 'any')
     for (let i = 0; i < 6; i++)
       w.scheduleAt(duration.s(3) + r.int(duration.s(11)), () => {
-        const t = towers[r.int(3)]!;
+        const t = coordinators[r.int(3)]!;
         const k = r.int(3);
         if (k === 0 && t.host.alive) {
           w.kill(t.host, 'power');
@@ -94,16 +94,16 @@
         } else {
           const heal = w.partition(
             [t.host],
-            towers.filter((x) => x !== t).map((x) => x.host),
+            coordinators.filter((x) => x !== t).map((x) => x.host),
           );
           w.scheduleAt(w.now() + r.int(duration.s(3)), heal);
         }
       });
   await w.run(duration.s(24));
-  return { acked, refused, towers, marks, problems: [...problems, ...invariant.breaches()], now: w.now() };
+  return { acked, refused, coordinators, marks, problems: [...problems, ...invariant.breaches()], now: w.now() };
 };
-const final = (towers: Coordinator[]): string[] =>
-  towers
+const final = (coordinators: Coordinator[]): string[] =>
+  coordinators
     .map((t) => t.v?.committed())
     .filter((x): x is Snapshot<List> => x !== undefined)
     .sort((a, b) => b.index - a.index)[0]!.state.list;
@@ -112,9 +112,9 @@
   for (let s = 1; s <= 10; s++) {
     const x = await run(s, 'none');
     assert.equal(x.problems, [], `seed ${s}`);
-    assert.is(x.towers.filter((t) => t.v?.role() === 'leader').length, 1);
-    assert.equal([...final(x.towers)].sort(), [...x.acked].sort());
-    assert.is(new Set(x.towers.map((t) => t.v!.committed()!.index)).size, 1);
+    assert.is(x.coordinators.filter((t) => t.v?.role() === 'leader').length, 1);
+    assert.equal([...final(x.coordinators)].sort(), [...x.acked].sort());
+    assert.is(new Set(x.coordinators.map((t) => t.v!.committed()!.index)).size, 1);
   }
 });
 test('power loss, freezes, cuts: what was acknowledged stays, what was refused never shows, one order', async () => {
@@ -122,11 +122,11 @@
   for (let s = 1; s <= 40; s++) {
     const x = await run(s, 'any');
     assert.equal(x.problems, [], `seed ${s}`);
-    const f = final(x.towers);
+    const f = final(x.coordinators);
     for (const id of x.acked) assert.ok(f.includes(id), `seed ${s}: acknowledged ${id} is lost`);
     for (const id of x.refused) assert.not.ok(f.includes(id), `seed ${s}: ${id} was not taken, yet it is there`);
     assert.is(new Set(f).size, f.length);
-    assert.is(x.towers.filter((t) => t.v?.role() === 'leader').length, 1, `seed ${s}: no single head in the end`);
+    assert.is(x.coordinators.filter((t) => t.v?.role() === 'leader').length, 1, `seed ${s}: no single head in the end`);
     acked += x.acked.length;
   }
   assert.ok(acked > 200, `only ${acked} acknowledged`);
