--- a/packages/admin-api/test/former-json.test.ts
+++ b/packages/admin-api/test/former-json.test.ts
@@ -50,7 +50,7 @@
   const node = {
     runtime: { clock, rand: { id: () => 'r1' } },
     rpc: { at: '10.0.4.1:7101', request: () => Promise.resolve(undefined) },
-    membership: { core, id: 'front-4', mark: () => 47, inRoster: () => true, stale: () => false },
+    membership: { core, id: 'front-4', index: () => 47, isMember: () => true, stale: () => false },
     registers: {},
     role: 'gateway',
     name: 'front4',
