--- a/packages/failure-detector/test/wire.test.ts
+++ b/packages/failure-detector/test/wire.test.ts
@@ -1,4 +1,5 @@
-// The bytes of a heartbeat (§3.2). The literal was written by the release before.
+// The bytes of a heartbeat (§3.2). The literal is the body that the code of the release before, run with this peer,
+// gave to its rpc, in the encoding of the rpc.
 import { stringify } from 'devalue';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
