--- a/tools/test-harness/src/shapes.ts
+++ b/tools/test-harness/src/shapes.ts
@@ -1,7 +1,12 @@
 // The two deployments' shapes, small enough for one machine: thirteen machines in three zones, their workers and loads.
 import { duration, type Address, type Microseconds } from '@thornsail/runtime';
 
+/** The names of the two deployments. */
 export type ShapeName = 'lautoka' | 'granite';
+/**
+ * The form of a deployment: delays one way, in microseconds; `capacity` in tokens a worker; `chatTimeLeft` and
+ * `pushTimeLeft` in milliseconds; `config` is the document that is pushed at its start.
+ */
 export type Shape = {
   name: ShapeName;
   zoneDelay: Microseconds;
@@ -16,6 +21,7 @@
   pushTimeLeft: number;
   config: Record<string, unknown>;
 };
+/** The two deployments by their names. */
 export const shapes: Record<ShapeName, Shape> = {
   lautoka: {
     name: 'lautoka',
@@ -78,12 +84,15 @@
     },
   },
 };
+/** What each deployment calls its class of turns, of kept turns, of urgent calls, and of short calls. */
 export const classNames: Record<ShapeName, { chat: string; kept: string; urgent: string; ping: string }> = {
   lautoka: { chat: 'chat', kept: 'tutor', urgent: 'push', ping: 'lobby' },
   granite: { chat: 'diagnose', kept: 'repair', urgent: 'alarm', ping: 'status' },
 };
 
+/** A machine, and the single process of the serving tier that it runs. */
 export type Machine = { name: string; kind: 'edge' | 'store' | 'coordinator'; host: string; zone: string };
+/** Where everything of a deployment listens: processes, the platform, workers and callers. */
 export type Layout = {
   machines: Machine[];
   platform: Address;
@@ -96,9 +105,11 @@
 const http = 7102;
 const gatewaySibling = 7201;
 const gatewayHttp = 7202;
+/** The ports of the processes: stores and coordinators, and the gateways of edge machines. */
 export const ports = { sibling, http, gatewaySibling, gatewayHttp };
 
-export const layout = (s: Shape, net = '127.77'): Layout => {
+/** The machines of a deployment in the network that begins with the two numbers `net`. */
+export const layout = (shape: Shape, net = '127.77'): Layout => {
   const machines: Machine[] = [];
   for (let i = 0; i < 7; i++)
     machines.push({ name: `edge${i + 1}`, kind: 'edge', host: `${net}.1.${i + 1}`, zone: `z${(i % 3) + 1}` });
@@ -107,16 +118,16 @@
   for (let i = 0; i < 3; i++)
     machines.push({ name: `coordinator${i + 1}`, kind: 'coordinator', host: `${net}.3.${i + 1}`, zone: `z${i + 1}` });
   const workers: Layout['workers'] = [];
-  for (let i = 0; i < s.models; i++)
+  for (let i = 0; i < shape.models; i++)
     workers.push({ id: `model-${i + 1}`, at: `${net}.4.${i + 1}:7300`, kind: 'model' });
-  for (let i = 0; i < s.apps; i++)
-    workers.push({ id: `${s.appKind}-${i + 1}`, at: `${net}.5.${i + 1}:7300`, kind: 'app' });
+  for (let i = 0; i < shape.apps; i++)
+    workers.push({ id: `${shape.appKind}-${i + 1}`, at: `${net}.5.${i + 1}:7300`, kind: 'app' });
   return {
     machines,
     workers,
     platform: `${net}.6.1:7400`,
     callers: `${net}.9.1`,
     seeds: [`${net}.1.1:${sibling}`, `${net}.2.1:${sibling}`, `${net}.3.1:${sibling}`],
-    founders: machines.filter((m) => m.kind === 'coordinator').map((m) => `${m.host}:${sibling}`),
+    founders: machines.filter(({ kind }) => kind === 'coordinator').map(({ host }) => `${host}:${sibling}`),
   };
 };
--- a/tools/test-harness/src/wire.ts
+++ b/tools/test-harness/src/wire.ts
@@ -13,6 +13,7 @@
   type Microseconds,
 } from '@thornsail/runtime';
 
+/** The writer of a response, with what only a misbehaving server does to the connection. */
 export type WireSay = HttpResponseWriter & {
   /** Bytes that are no answer, and then nothing. */
   garble: () => void;
@@ -25,12 +26,16 @@
   /** Behind this answer the connection is forgotten without a word: the next thing sent on it is reset. */
   forget: () => void;
 };
+/** Answers a request; it may misbehave by means of the writer. */
 export type WireHandler = (ask: HttpRequest, say: WireSay) => void | Promise<void>;
 /** `idleFor`: an idle connection is closed after it; `connections`: more than these are reset. */
 export type WireLimits = { idleFor: Microseconds; connections: number };
-export type Wire = { serve: (at: Address, handler: WireHandler, o: WireLimits) => Promise<HttpServer> };
+/** Serves HTTP at an address by a handler that may misbehave; rejects when the address cannot be bound. */
+export type Wire = { serve: (at: Address, handler: WireHandler, limits: WireLimits) => Promise<HttpServer> };
 
+/** Bytes that no HTTP client takes for a response: the start of a TLS record, and text. */
 export const noise = Buffer.from('\x16\x03\x01\x02 this is no answer \xff\r\n\r\n', 'latin1');
+/** The largest request body that is read, in bytes. */
 const largest = 16 << 20;
 
 const answerOf = (status: number, headers: readonly string[], body: Uint8Array): Buffer => {
@@ -59,9 +64,10 @@
   forget: () => void forgotten.add(socket),
 });
 
+/** A `Wire` on real sockets. */
 export const wire = {
   real: (): Wire => ({
-    serve: (at, handler, o) =>
+    serve: (at, handler, limits) =>
       new Promise((done, fail) => {
         const sockets = new Set<net.Socket>();
         const forgotten = new WeakSet<net.Socket>();
@@ -71,18 +77,18 @@
           if (forgotten.has(socket)) return void socket.resetAndDestroy();
           real.listener((ask, say) => handler(ask, wireSay(say, res, socket, forgotten)), largest)(req, res);
         });
-        server.keepAliveTimeout = o.idleFor / duration.ms(1);
-        server.on('connection', (s: net.Socket) => {
-          if (sockets.size >= o.connections) return void s.resetAndDestroy();
-          sockets.add(s);
-          s.on('close', () => sockets.delete(s));
+        server.keepAliveTimeout = limits.idleFor / duration.ms(1);
+        server.on('connection', (accepted: net.Socket) => {
+          if (sockets.size >= limits.connections) return void accepted.resetAndDestroy();
+          sockets.add(accepted);
+          accepted.on('close', () => sockets.delete(accepted));
         });
         server.on('error', fail);
         server.listen(address.port(at), address.host(at), () => {
           const a = server.address() as net.AddressInfo;
           const close = (): Promise<void> =>
             new Promise((fin) => {
-              for (const s of sockets) s.destroy();
+              for (const open of sockets) open.destroy();
               server.close(() => fin());
             });
           done({ at: `${a.address}:${a.port}`, close });
