--- a/tools/simulation/test/sizes.test.ts
+++ b/tools/simulation/test/sizes.test.ts
@@ -43,7 +43,7 @@
     const copy = {
       promised: [1, 'e'],
       accepted: [1, 'e'],
-      stored: { value: 1, expiresAt: 9e15, ops: ['e.1'] },
+      held: { value: 1, until: 9e15, ops: ['e.1'] },
       touched: 1,
     };
     await durable.write('identity', 1, { id: 'k1' });
--- a/tools/test-harness/test/limits.test.ts
+++ b/tools/test-harness/test/limits.test.ts
@@ -13,10 +13,10 @@
 
 /** How many files may be over each limit. These numbers only go down, with the list. */
 const most: Record<string, number> = {
-  'max-lines': 12,
-  'max-lines-per-function': 48,
-  'id-length': 130,
-  'jsdoc/require-jsdoc': 103,
+  'max-lines': 3,
+  'max-lines-per-function': 30,
+  'id-length': 82,
+  'jsdoc/require-jsdoc': 57,
 };
 
 test('the list of files over a limit only shrinks', () => {
