--- a/packages/admission-scheduler/src/index.ts
+++ b/packages/admission-scheduler/src/index.ts
@@ -1,3 +1,4 @@
+/** Admission scheduler: decides when the turns of agent programs are sent to model workers. */
 export { admissionScheduler, type SchedulerLoad } from './scheduler.js';
 export type { SchedulerOptions } from './options.js';
 export type {
--- a/packages/admission-scheduler/src/options.ts
+++ b/packages/admission-scheduler/src/options.ts
@@ -1,39 +1,42 @@
-/** The scheduler's parameters and their defaults (§4.1); those of the source have its values. */
+/** The scheduler's parameters and their defaults (§4.1). Parameters taken from ThunderAgent have its default values. */
 import { duration, type Microseconds } from '@thornsail/runtime';
 
-/** Utilization is tokens over capacity; times are in microseconds. */
+/** Scheduler parameters. Utilization is tokens divided by KV cache capacity; times are in microseconds. */
 export type SchedulerOptions = {
-  /** Utilization of a worker from which programs are paused. */
+  /** Utilization of a worker at and above which its programs are paused. */
   pauseThreshold: number;
-  /** Utilization that a pause drains a worker to. */
+  /** Utilization to which pausing reduces a worker. */
   pauseTarget: number;
-  /** How far below `pauseThreshold` the utilization must be before programs are resumed. */
+  /** How far utilization must be below `pauseThreshold` before programs are resumed. */
   resumeHysteresis: number;
-  /** The source's limit on a hold; after it the turn is released by force. */
+  /** ThunderAgent's limit on how long a turn is held; the turn is force-released afterwards. */
   resumeTimeout: Microseconds;
-  /** How long an idle program is retained. */
+  /** How long an idle program stays in the program table. */
   idleRetention: Microseconds;
-  /** Time between two ticks; the caller's timer keeps it. */
+  /** Interval between ticks; the caller runs the timer. */
   tickInterval: Microseconds;
-  /** Weight of the tokens of ACTING programs in the utilization that pauses go by. */
+  /** Weight of the tokens of ACTING programs in utilization. */
   actingTokenWeight: number;
-  /** Half-life of the tokens of ACTING programs when a turn is placed by force. */
+  /** Half-life by which the tokens of ACTING programs decay when a forced release chooses a worker. */
   actingHalfLife: Microseconds;
-  /** Tokens that a resume reserves for each active program to grow. */
+  /** Tokens reserved for the growth of each active program's context when programs are resumed. */
   headroomTokens: number;
-  /** Limit on held and running turns together. */
+  /** Maximum number of held and running turns together. */
   maxTurns: number;
-  /** Limit on programs in the table. */
+  /** Maximum number of programs in the table. */
   maxPrograms: number;
-  /** Ours: the longest hold that keeps a client from giving up (§4.3). */
+  /** Not in ThunderAgent: the maximum time a turn is held, short enough that clients do not time out (§4.3). */
   holdLimit: Microseconds;
-  /** Ours: also resume when a turn ends or capacity appears, not at the tick alone (§4.3). */
+  /** Not in ThunderAgent: resume also when a turn ends or capacity becomes available, not only on a tick (§4.3). */
   resumeOnRoom: boolean;
-  /** Ours: by how much utilization a worker of the gateway's zone may be fuller and still be chosen (§4.3). */
+  /**
+   * Not in ThunderAgent: a worker in the gateway's zone is preferred while its utilization exceeds that of another
+   * worker by less than this (§4.3).
+   */
   localPreference: number;
 };
 
-/** The defaults of §4.1. */
+/** The default parameters (§4.1). */
 export const defaultOptions = (): SchedulerOptions => ({
   pauseThreshold: 0.95,
   pauseTarget: 0.8,
--- a/packages/admission-scheduler/src/program-table.ts
+++ b/packages/admission-scheduler/src/program-table.ts
@@ -1,10 +1,13 @@
-/** The program table (the source's ProgramTable, §4.2): entries are created by arrivals and dropped when over. */
+/**
+ * The program table (ThunderAgent's ProgramTable, §4.2): an entry is created when a program's first turn arrives and
+ * removed when the program ends, expires, is evicted or moves to another gateway.
+ */
 import type { Microseconds } from '@thornsail/runtime';
 import { oldestHeldTurn, oldestHeldTurns } from './held-turns.js';
 import type { Program, SchedulerEffect, SchedulerState, TurnArrival } from './types.js';
 
-/** Order of pauses and resumes: the smallest first, by id among equals. */
-export const bySize = (a: Program, b: Program): number => a.tokens - b.tokens || (a.id < b.id ? -1 : 1);
+/** Sort order in which programs are paused and resumed: by tokens, then by id. */
+export const compareBySize = (a: Program, b: Program): number => a.tokens - b.tokens || (a.id < b.id ? -1 : 1);
 
 const newProgram = (arrival: TurnArrival, now: Microseconds): Program => ({
   id: arrival.program,
@@ -19,12 +22,12 @@
   expectedEndAt: Infinity,
 });
 
-/** Drops the program that has been idle for longest; undefined if none is idle. */
-const evictIdle = (state: SchedulerState): SchedulerEffect | undefined => {
+/** Removes the program that has been idle longest; returns undefined if none is idle. */
+const evictIdleProgram = (state: SchedulerState): SchedulerEffect | undefined => {
   let longestIdle: Program | undefined;
-  const held = oldestHeldTurns(state);
+  const heldTurns = oldestHeldTurns(state);
   for (const program of state.programs.values()) {
-    if (program.runningTurn !== null || held.has(program.id)) continue;
+    if (program.runningTurn !== null || heldTurns.has(program.id)) continue;
     if (!longestIdle || program.lastActiveAt < longestIdle.lastActiveAt) longestIdle = program;
   }
   if (!longestIdle) return undefined;
@@ -33,7 +36,10 @@
   return { type: 'program-ended', program: longestIdle.id, reason: 'evicted' };
 };
 
-/** A new entry for an arrival's program; at the limit an idle program makes way for it, or there is no entry. */
+/**
+ * Adds an entry for an arrival's program. If the table is full, the longest idle program is evicted; if none is idle,
+ * no entry is added and `program` is undefined.
+ */
 export const addProgram = (
   state: SchedulerState,
   arrival: TurnArrival,
@@ -41,7 +47,7 @@
 ): { program: Program | undefined; effects: SchedulerEffect[] } => {
   const effects: SchedulerEffect[] = [];
   if (state.programs.size >= state.options.maxPrograms) {
-    const evicted = evictIdle(state);
+    const evicted = evictIdleProgram(state);
     if (!evicted) return { program: undefined, effects };
     effects.push(evicted);
   }
@@ -50,12 +56,12 @@
   return { program, effects };
 };
 
-/** Drops idle programs whose retention has passed, or that are over according to their caller (§4.2, §4.3). */
-export const expireIdle = (state: SchedulerState, now: Microseconds): SchedulerEffect[] => {
+/** Removes idle programs whose retention time or announced end time has passed (§4.2, §4.3). */
+export const expireIdlePrograms = (state: SchedulerState, now: Microseconds): SchedulerEffect[] => {
   const effects: SchedulerEffect[] = [];
-  const held = oldestHeldTurns(state);
+  const heldTurns = oldestHeldTurns(state);
   for (const program of state.programs.values()) {
-    if (program.runningTurn !== null || held.has(program.id)) continue;
+    if (program.runningTurn !== null || heldTurns.has(program.id)) continue;
     if (now - program.lastActiveAt < state.options.idleRetention && now < program.expectedEndAt) continue;
     state.programs.delete(program.id);
     state.counts.expired += 1;
@@ -64,8 +70,11 @@
   return effects;
 };
 
-/** Drops an idle program that another gateway has taken over by its register: it no longer counts here (§4.4). */
-export const dropMoved = (state: SchedulerState, id: string): SchedulerEffect[] => {
+/**
+ * Removes an idle program that another gateway has taken over through the program's register, so that its tokens are
+ * no longer counted here (§4.4).
+ */
+export const removeMovedProgram = (state: SchedulerState, id: string): SchedulerEffect[] => {
   const program = state.programs.get(id);
   if (!program || program.runningTurn !== null || oldestHeldTurn(state, id)) return [];
   state.programs.delete(id);
--- a/packages/admission-scheduler/src/release.ts
+++ b/packages/admission-scheduler/src/release.ts
@@ -1,9 +1,9 @@
-/** Release of a turn to its program's worker; every admission ends here, whatever its reason (§4.2). */
+/** Release of a turn to its program's worker, for every release reason (§4.2). */
 import { invariant, type Microseconds } from '@thornsail/runtime';
 import { leastUtilizedWorker } from './capacity.js';
 import type { HeldTurn, Program, ReleaseReason, SchedulerEffect, SchedulerState } from './types.js';
 
-/** A program stays with its worker; one without a worker, or whose worker drains or has gone, gets another. */
+/** Keeps a program on its worker if that is still eligible; otherwise assigns the least utilized worker. */
 const assignWorker = (state: SchedulerState, program: Program): void => {
   if (program.assignedWorker !== null && state.workers.get(program.assignedWorker)?.eligible) return;
   if (program.assignedWorker !== null) state.counts.repacked += 1;
@@ -11,8 +11,8 @@
 };
 
 /**
- * Releases a turn of an ACTIVE program with no running turn; the program is REASONING from then on.
- * @param waited how long the turn was held, microseconds
+ * Releases a turn of an ACTIVE program without a running turn; the program becomes REASONING.
+ * @param release the turn, the release reason, and how long the turn was held (microseconds)
  */
 export const releaseTurn = (
   state: SchedulerState,
@@ -20,8 +20,8 @@
   release: { turn: string; reason: ReleaseReason; waited: Microseconds },
   now: Microseconds,
 ): SchedulerEffect => {
-  invariant.hold(program.status === 'active', `released a turn of a paused program ${program.id}`);
-  invariant.hold(program.runningTurn === null, `two turns of ${program.id} at once`);
+  invariant.hold(program.status === 'active', `released a turn of the paused program ${program.id}`);
+  invariant.hold(program.runningTurn === null, `released a second concurrent turn of program ${program.id}`);
   program.runningTurn = release.turn;
   program.phase = 'reasoning';
   program.lastActiveAt = now;
--- a/packages/admission-scheduler/src/resume.ts
+++ b/packages/admission-scheduler/src/resume.ts
@@ -1,19 +1,19 @@
 /**
- * The resume phase (the source's `_greedy_resume`, §4.2): the smallest paused programs first, each packed best fit into
- * the worker with the least free capacity that still holds it and its headroom.
+ * The resume phase (ThunderAgent's `_greedy_resume`, §4.2): paused programs are resumed smallest first. Each is placed
+ * best fit, on the worker with the least free capacity that still has room for the program and its headroom.
  */
 import type { Microseconds } from '@thornsail/runtime';
 import { eligibleWorkers, occupiesWorker, ownTokensByWorker, peerTokens, utilization } from './capacity.js';
 import { oldestHeldTurns } from './held-turns.js';
-import { bySize } from './program-table.js';
+import { compareBySize } from './program-table.js';
 import { releaseHeldTurn } from './release.js';
 import type { Program, SchedulerEffect, SchedulerState } from './types.js';
 
-/** What a worker has free below `pauseThreshold`, in tokens, headroom of its active programs taken off. */
+/** Free tokens of a worker below `pauseThreshold`, after subtracting the headroom of its active programs. */
 type FreeCapacity = {
   worker: string;
   free: number;
-  /** This gateway's share of it among the gateways that have paused programs. */
+  /** This gateway's equal share of `free` among the gateways that have paused programs. */
   ownShare: number;
 };
 
@@ -24,7 +24,7 @@
   return programs;
 };
 
-/** Free capacity of each eligible worker whose utilization is `resumeHysteresis` or more below the threshold. */
+/** Free capacity of each eligible worker whose utilization is at least `resumeHysteresis` below `pauseThreshold`. */
 const freeCapacities = (state: SchedulerState): FreeCapacity[] => {
   const { pauseThreshold, resumeHysteresis, headroomTokens } = state.options;
   const ownTokens = ownTokensByWorker(state);
@@ -41,24 +41,27 @@
 };
 
 /**
- * Smallest first holds over all gateways: the one with the smallest paused program may use all that is free. For larger
- * programs, as for the other gateways, there is one share among those that have paused programs (§4.4).
+ * Whether a program may use all free capacity instead of this gateway's share. Smallest first applies across gateways:
+ * only a program smaller than every other gateway's smallest paused program may use all of it (§4.4).
  */
-const mayUseAll = (state: SchedulerState, program: Program): boolean =>
+const mayUseAllCapacity = (state: SchedulerState, program: Program): boolean =>
   program.tokens < state.peers.smallestPausedTokens;
 
-/** Takes a program's tokens and headroom from the tightest fit; undefined if it fits nowhere. */
-const pack = (state: SchedulerState, program: Program, capacities: FreeCapacity[]): string | undefined => {
+/**
+ * Allocates a program's tokens and headroom on the worker with the least free capacity that fits them. Returns the
+ * worker's id; undefined if no worker fits.
+ */
+const allocateBestFit = (state: SchedulerState, program: Program, capacities: FreeCapacity[]): string | undefined => {
   const needed = program.tokens + state.options.headroomTokens;
-  const all = mayUseAll(state, program);
+  const usesAll = mayUseAllCapacity(state, program);
   let best: FreeCapacity | undefined;
   for (const capacity of capacities) {
-    const fits = (all ? capacity.free : capacity.ownShare) >= needed;
+    const fits = (usesAll ? capacity.free : capacity.ownShare) >= needed;
     if (fits && (best === undefined || capacity.free < best.free)) best = capacity;
   }
   if (!best) return undefined;
   best.free -= needed;
-  best.ownShare = Math.min(best.ownShare - (all ? 0 : needed), best.free);
+  best.ownShare = Math.min(best.ownShare - (usesAll ? 0 : needed), best.free);
   return best.worker;
 };
 
@@ -71,8 +74,8 @@
 };
 
 /**
- * Resumes paused programs while they fit, and releases their held turns.
- * @param justPaused ids of programs that the same pass has paused: they stay paused
+ * Resumes paused programs, smallest first, until one does not fit, and releases the oldest held turn of each.
+ * @param justPaused ids of programs paused while handling the same event; they stay paused
  */
 export const greedyResume = (
   state: SchedulerState,
@@ -81,13 +84,13 @@
 ): SchedulerEffect[] => {
   const paused = [...state.programs.values()]
     .filter((program) => program.status === 'paused' && !justPaused.has(program.id))
-    .sort(bySize);
+    .sort(compareBySize);
   if (paused.length === 0) return [];
   const capacities = freeCapacities(state);
   const heldTurns = oldestHeldTurns(state);
   const effects: SchedulerEffect[] = [];
   for (const program of paused) {
-    const worker = pack(state, program, capacities);
+    const worker = allocateBestFit(state, program, capacities);
     if (worker === undefined) break;
     effects.push(resumeProgram(state, program, worker, now));
     const held = heldTurns.get(program.id);
--- a/packages/admission-scheduler/src/scheduler.ts
+++ b/packages/admission-scheduler/src/scheduler.ts
@@ -1,24 +1,24 @@
 /**
- * The ThunderAgent program scheduler (§4) as a pure function of state, event and time. The state that is handed in is
- * changed and handed back; there is no clock, random source, input or output.
+ * The ThunderAgent program scheduler (§4) as a function of state, event and time, without clock, random source or I/O.
+ * The given state is modified in place and returned.
  */
 import type { Microseconds } from '@thornsail/runtime';
 import { ownTokensByWorker } from './capacity.js';
-import { releaseOverdue } from './forced-release.js';
+import { releaseOverdueTurns } from './forced-release.js';
 import { checkInvariants } from './invariants.js';
 import { defaultOptions, type SchedulerOptions } from './options.js';
-import { dropMoved, expireIdle } from './program-table.js';
+import { expireIdlePrograms, removeMovedProgram } from './program-table.js';
 import { greedyResume } from './resume.js';
 import { tick } from './tick.js';
 import { contextGrew, turnAbandoned, turnArrived, turnEnded } from './turns.js';
 import type { PeerLoad, SchedulerEffect, SchedulerEvent, SchedulerState, Worker } from './types.js';
 
-/** What the other gateways are told of this one (§4.4). */
+/** The load that this gateway reports to the other gateways (§4.4). */
 export type SchedulerLoad = {
-  /** Weighted tokens of its active programs by worker. */
+  /** Weighted tokens of this gateway's active programs by worker. */
   tokensByWorker: Record<string, number>;
   pausedPrograms: number;
-  /** Tokens of its smallest paused program; null if none is paused. */
+  /** Tokens of this gateway's smallest paused program; null if none is paused. */
   smallestPausedTokens: number | null;
 };
 
@@ -45,22 +45,22 @@
   },
 });
 
-/** Resumes outside the tick, where that is configured (§4.3). */
-const resumeEarly = (state: SchedulerState, now: Microseconds): SchedulerEffect[] =>
+/** Resumes programs outside a tick if `resumeOnRoom` is set (§4.3). */
+const resumeOutsideTick = (state: SchedulerState, now: Microseconds): SchedulerEffect[] =>
   state.options.resumeOnRoom ? greedyResume(state, now) : [];
 
 const workersChanged = (state: SchedulerState, workers: Worker[], now: Microseconds): SchedulerEffect[] => {
   state.workers = new Map(workers.map((worker) => [worker.id, worker]));
-  // Programs that are over according to their caller free their tokens now, not at the next tick alone (§4.3).
-  return [...expireIdle(state, now), ...resumeEarly(state, now)];
+  // Programs whose announced end time has passed free their tokens now rather than at the next tick (§4.3).
+  return [...expireIdlePrograms(state, now), ...resumeOutsideTick(state, now)];
 };
 
 const peersChanged = (state: SchedulerState, peers: PeerLoad, now: Microseconds): SchedulerEffect[] => {
   state.peers = peers;
-  return resumeEarly(state, now);
+  return resumeOutsideTick(state, now);
 };
 
-const handle = (state: SchedulerState, event: SchedulerEvent, now: Microseconds): SchedulerEffect[] => {
+const applyEvent = (state: SchedulerState, event: SchedulerEvent, now: Microseconds): SchedulerEffect[] => {
   switch (event.type) {
     case 'turn-arrived':
       return turnArrived(state, event, now);
@@ -72,9 +72,9 @@
     case 'turn-abandoned':
       return turnAbandoned(state, event.turn, now);
     case 'forced-release-due':
-      return releaseOverdue(state, now);
+      return releaseOverdueTurns(state, now);
     case 'program-moved':
-      return dropMoved(state, event.program);
+      return removeMovedProgram(state, event.program);
     case 'tick':
       return tick(state, now);
     case 'workers-changed':
@@ -94,7 +94,7 @@
   return next;
 };
 
-const loadOf = (state: SchedulerState): SchedulerLoad => {
+const schedulerLoad = (state: SchedulerState): SchedulerLoad => {
   let pausedPrograms = 0;
   let smallestPausedTokens: number | null = null;
   for (const { status, tokens } of state.programs.values()) {
@@ -105,19 +105,19 @@
   return { tokensByWorker: Object.fromEntries(ownTokensByWorker(state)), pausedPrograms, smallestPausedTokens };
 };
 
-/** The scheduler's functions; all are pure but for the state that they are handed. */
+/** The scheduler's operations. They have no side effects other than modifying the given state. */
 export const admissionScheduler = {
   defaults: defaultOptions,
-  /** An empty state. */
+  /** Creates an empty state. */
   open: openState,
-  /** Applies one event at `now` and returns the changed state with what the caller is to carry out, in this order. */
+  /** Applies an event at time `now`. Returns the modified state and the effects, which the caller executes in order. */
   step: (
     state: SchedulerState,
     event: SchedulerEvent,
     now: Microseconds,
-  ): { state: SchedulerState; effects: SchedulerEffect[] } => ({ state, effects: handle(state, event, now) }),
-  /** When `forced-release-due` is next to be sent; undefined while no turn is held. */
+  ): { state: SchedulerState; effects: SchedulerEffect[] } => ({ state, effects: applyEvent(state, event, now) }),
+  /** The time at which the caller next has to send `forced-release-due`; undefined while no turn is held. */
   nextForcedRelease,
-  load: loadOf,
+  load: schedulerLoad,
   checkInvariants,
 };
--- a/packages/admission-scheduler/src/tick.ts
+++ b/packages/admission-scheduler/src/tick.ts
@@ -1,15 +1,15 @@
-/** The periodic pass over all programs and workers (the source's scheduler tick, §4.2). */
+/** The periodic pass over all programs and workers (ThunderAgent's scheduler tick, §4.2). */
 import type { Microseconds } from '@thornsail/runtime';
-import { releaseOverdue } from './forced-release.js';
+import { releaseOverdueTurns } from './forced-release.js';
 import { pauseUntilSafe } from './pause.js';
-import { expireIdle } from './program-table.js';
+import { expireIdlePrograms } from './program-table.js';
 import { greedyResume } from './resume.js';
 import type { SchedulerEffect, SchedulerState } from './types.js';
 
-/** Resume comes before pause, as in the source: what is paused in a tick cannot be resumed in the same one. */
+/** Runs one tick. Resume precedes pause, as in ThunderAgent, so that no program is paused and resumed in one tick. */
 export const tick = (state: SchedulerState, now: Microseconds): SchedulerEffect[] => [
-  ...expireIdle(state, now),
-  ...releaseOverdue(state, now),
+  ...expireIdlePrograms(state, now),
+  ...releaseOverdueTurns(state, now),
   ...greedyResume(state, now),
   ...pauseUntilSafe(state),
 ];
--- a/packages/admission-scheduler/src/types.ts
+++ b/packages/admission-scheduler/src/types.ts
@@ -1,54 +1,54 @@
 /**
- * The scheduler's state, the events that change it and the effects that its caller carries out (§4). Times are in
+ * The scheduler's state, the events that change it and the effects that its caller executes (§4). Times are in
  * microseconds of the caller's monotonic clock, sizes in tokens of context.
  */
 import type { Microseconds } from '@thornsail/runtime';
 import type { SchedulerOptions } from './options.js';
 
-/** REASONING while a turn of the program is at a worker, ACTING between turns (the tool boundary of the source). */
+/** REASONING while a turn of the program runs on a worker; ACTING between turns (ThunderAgent's tool boundary). */
 export type ProgramPhase = 'reasoning' | 'acting';
-/** ACTIVE programs are admitted and count towards utilization; turns of PAUSED ones are held. */
+/** Turns of ACTIVE programs are admitted and their tokens count towards utilization; turns of PAUSED ones are held. */
 export type ProgramStatus = 'active' | 'paused';
 /** An entry of the program table. */
 export type Program = {
   id: string;
   phase: ProgramPhase;
   status: ProgramStatus;
-  /** Prompt and completion tokens of its latest turn: the size of its context. */
+  /** Size of the program's context: prompt and completion tokens of its latest turn. */
   tokens: number;
-  /** The worker that holds its context, as far as is known; null before its first placement. */
+  /** The worker that is assumed to have the context in its KV cache; null before the first placement. */
   assignedWorker: string | null;
-  /** A REASONING program that is paused when its running turn ends. */
+  /** Whether a REASONING program is to be paused when its running turn ends. */
   markedForPause: boolean;
-  /** The turn that is at a worker; at most one. */
+  /** The turn that is running on a worker; null if there is none. */
   runningTurn: string | null;
   lastActiveAt: Microseconds;
   actingSince: Microseconds;
-  /** When it is over according to its caller, if no turn is running then; Infinity if nothing was said. */
+  /** When the program ends according to its caller, unless a turn is running then; Infinity if not announced. */
   expectedEndAt: Microseconds;
 };
-/** A turn that waits for its program to be resumed, or for the program's running turn to end. */
+/** A turn waiting for its program to be resumed or for the program's running turn to end. */
 export type HeldTurn = { turn: string; program: string; heldSince: Microseconds; forceReleaseAt: Microseconds };
 /** A model worker. */
 export type Worker = {
   id: string;
-  /** Tokens that its KV cache holds; 0 if that is unknown. */
+  /** Capacity of the KV cache in tokens; 0 if unknown. */
   capacity: number;
-  /** Whether it takes new programs: false while it drains. */
+  /** Whether the worker accepts new programs; false while it drains. */
   eligible: boolean;
-  /** In the zone of this gateway. */
+  /** Whether the worker is in this gateway's zone. */
   near?: boolean;
 };
-/** What the other gateways report (§4.4). */
+/** Combined load of the other gateways, from their reports (§4.4). */
 export type PeerLoad = {
-  /** Tokens of their active programs by worker. */
+  /** Tokens of the other gateways' active programs by worker. */
   tokensByWorker: Map<string, number>;
-  /** How many of them have paused programs. */
+  /** How many of the other gateways have paused programs. */
   gatewaysWithPaused: number;
-  /** Tokens of the smallest paused program of any of them; Infinity if they have none. */
+  /** Tokens of the smallest paused program of the other gateways; Infinity if there is none. */
   smallestPausedTokens: number;
 };
-/** Running totals since the start; the names are those of the metrics. */
+/** Counters since the start; the field names are used in the metrics. */
 export type SchedulerCounts = {
   arrived: number;
   released: number;
@@ -63,47 +63,47 @@
   moved: number;
   repacked: number;
 };
-/** Everything the scheduler knows; each event changes it in place. */
+/** The complete state of the scheduler; events modify it in place. */
 export type SchedulerState = {
   options: SchedulerOptions;
   /** The program table, by program id. */
   programs: Map<string, Program>;
   /** Held turns by turn id, oldest first. */
   heldTurns: Map<string, HeldTurn>;
-  /** The program of each turn that is at a worker, by turn id. */
+  /** The program id of each running turn, by turn id. */
   runningTurns: Map<string, string>;
   workers: Map<string, Worker>;
   peers: PeerLoad;
   counts: SchedulerCounts;
 };
 
-/** A turn that asks to be admitted. */
+/** A turn to be admitted. */
 export type TurnArrival = {
   turn: string;
   program: string;
-  /** Its context as estimated before it runs. */
+  /** Estimated size of the context before the turn runs. */
   tokens: number;
-  /** Until the caller's deadline. */
+  /** Time until the caller's deadline. */
   timeLeft: Microseconds;
-  /** Expected service time; `timeLeft` less this bounds a hold. */
+  /** Expected service time; the turn is held for `timeLeft` minus this at most. */
   expectedService: Microseconds;
-  /** How long the caller waits for a first event at most; bounds a hold too (§4.3). */
+  /** How long the caller waits for a first event; the turn is held no longer than this (§4.3). */
   patience: Microseconds;
-  /** Until the program should be over; with no running turn it counts as ended then (§4.3). */
+  /** Time until the caller expects the program to end; without a running turn it then counts as ended (§4.3). */
   programTimeLeft?: Microseconds;
-  /** What the program's record says, where another gateway served it before (§4.4). */
+  /** Context size and worker from the program's shared record, if another gateway served the program before (§4.4). */
   known?: { tokens: number; worker: string | null };
 };
-/** What a finished turn reports. */
+/** The outcome of a turn that has ended. */
 export type TurnCompletion = {
-  /** The context after the turn; null if no usage was reported. */
+  /** Size of the context after the turn; null if no usage was reported. */
   tokens: number | null;
   /** Whether it was the program's last turn. */
   final: boolean;
-  /** The worker that served it; null if that is unknown or none did. */
+  /** The worker that served the turn; null if unknown or not served. */
   worker: string | null;
 };
-/** What has happened. */
+/** An event that the caller passes to the scheduler. */
 export type SchedulerEvent =
   | ({ type: 'turn-arrived' } & TurnArrival)
   | { type: 'context-grew'; program: string; tokens: number }
@@ -116,11 +116,14 @@
   | { type: 'peers-changed'; peers: PeerLoad }
   | { type: 'options-changed'; options: SchedulerOptions };
 
-/** Why a turn was released: at once or after its program's previous turn, by a resume, or at the limit of its hold. */
+/**
+ * Why a turn was released. `ordinary`: immediately or after the program's previous turn; `resumed`: because its program
+ * was resumed; `forced`: because it had been held up to its limit.
+ */
 export type ReleaseReason = 'ordinary' | 'resumed' | 'forced';
-/** Why a turn was rejected: a limit on tracked turns or programs, or another running turn of its program. */
+/** Why a turn was rejected: the limit on turns or on programs, or another running turn of the same program. */
 export type RejectionReason = 'turn-limit' | 'program-limit' | 'program-busy';
-/** What the caller is to carry out, in this order. */
+/** An effect that the caller has to execute. */
 export type SchedulerEffect =
   | {
       type: 'turn-released';
--- a/packages/admission-scheduler/test/options.test.ts
+++ b/packages/admission-scheduler/test/options.test.ts
@@ -3,7 +3,7 @@
 import { duration } from '@thornsail/runtime';
 import { admissionScheduler } from '@thornsail/admission-scheduler';
 
-test("defaults are the design page's", () => {
+test('the defaults are the documented ones', () => {
   const options = admissionScheduler.defaults();
   assert.equal(
     [
--- a/packages/admission-scheduler/test/random-load.test.ts
+++ b/packages/admission-scheduler/test/random-load.test.ts
@@ -15,40 +15,44 @@
   const running: string[] = [];
   let now = 0;
   let turns = 0;
-  const see = (effects: SchedulerEffect[]): void => {
+  const checkEffects = (effects: SchedulerEffect[]): void => {
     for (const effect of effects) {
       if (effect.type === 'turn-released') {
-        assert.ok(unanswered.has(effect.turn), 'released a turn twice');
-        assert.ok(now - unanswered.get(effect.turn)! <= duration.ms(1500) + duration.ms(50), 'held too long');
+        assert.ok(unanswered.has(effect.turn), 'turn released twice or after its rejection');
+        assert.ok(
+          now - unanswered.get(effect.turn)! <= duration.ms(1500) + duration.ms(50),
+          'turn held beyond its limit',
+        );
         unanswered.delete(effect.turn);
         running.push(effect.turn);
       }
-      if (effect.type === 'turn-rejected') assert.ok(unanswered.delete(effect.turn), 'rejected a turn twice');
+      if (effect.type === 'turn-rejected')
+        assert.ok(unanswered.delete(effect.turn), 'turn rejected twice or after its release');
     }
     admissionScheduler.checkInvariants(state);
   };
   const arriveAny = (): void => {
     const turn = `t${turns++}`;
     unanswered.set(turn, now);
-    see(arrive(state, turn, `p${random.int(60)}`, 20 + random.int(400), now));
+    checkEffects(arrive(state, turn, `p${random.int(60)}`, 20 + random.int(400), now));
   };
   const endAny = (): void => {
     const turn = running.splice(random.int(running.length), 1)[0]!;
-    see(end(state, turn, 50 + random.int(500), now, random.next() < 0.2));
+    checkEffects(end(state, turn, 50 + random.int(500), now, random.next() < 0.2));
   };
   const abandonAny = (): void => {
     const turn = [...unanswered.keys()][random.int(unanswered.size)]!;
     unanswered.delete(turn);
-    see(step(state, { type: 'turn-abandoned', turn }, now));
+    checkEffects(step(state, { type: 'turn-abandoned', turn }, now));
   };
   const changePeers = (): void => {
     const tokensByWorker = new Map([['a', random.int(2500)]]);
     const peers = { tokensByWorker, gatewaysWithPaused: random.int(3), smallestPausedTokens: random.int(500) };
-    see(step(state, { type: 'peers-changed', peers }, now));
+    checkEffects(step(state, { type: 'peers-changed', peers }, now));
   };
   const changeWorkers = (): void => {
     const changed = workers.map((worker) => ({ ...worker, eligible: random.next() < 0.8 }));
-    see(step(state, { type: 'workers-changed', workers: changed }, now));
+    checkEffects(step(state, { type: 'workers-changed', workers: changed }, now));
   };
   for (let i = 0; i < 1500; i++) {
     now += random.int(duration.ms(50));
@@ -56,16 +60,16 @@
     if (draw < 0.4) arriveAny();
     else if (draw < 0.75 && running.length) endAny();
     else if (draw < 0.8 && unanswered.size) abandonAny();
-    else if (draw < 0.85) see(tick(state, now));
+    else if (draw < 0.85) checkEffects(tick(state, now));
     else if (draw < 0.9) changePeers();
     else if (draw < 0.93) changeWorkers();
-    see(step(state, { type: 'forced-release-due' }, now));
+    checkEffects(step(state, { type: 'forced-release-due' }, now));
   }
   const { held, forced, resumed } = state.counts;
-  assert.ok(held > 0 && forced + resumed > 0, `seed ${seed} held nothing`);
+  assert.ok(held > 0 && forced + resumed > 0, `seed ${seed}: no turn was held and then released`);
 };
 
-test('under random load every arrival is answered once, holds end in time, and the invariants hold', () => {
+test('under random load every arrival is answered once, within the hold limit, and the invariants hold', () => {
   for (let seed = 1; seed <= 40; seed++) runRandomLoad(seed);
 });
 
--- a/packages/data-plane/src/admission/worker-capacity.ts
+++ b/packages/data-plane/src/admission/worker-capacity.ts
@@ -1,6 +1,6 @@
 /** KV-cache capacities of the model workers: as listed, or as the workers report them (§4.2, §5.2). */
 import type { Worker } from '@thornsail/admission-scheduler';
-import { formats, type WorkerEntry } from '@thornsail/load-balancer';
+import { workerProtocol, type WorkerEntry } from '@thornsail/load-balancer';
 import { duration, readText, type Runtime } from '@thornsail/runtime';
 
 /** Known capacities. */
@@ -25,11 +25,11 @@
         const response = await runtime.net.request({
           at: worker.at,
           method: 'GET',
-          path: formats.report.path,
+          path: workerProtocol.report.path,
           headersTimeout: reportLimit,
           bodyTimeout: reportLimit,
         });
-        const capacity = formats.report.capacity(await readText(response.body));
+        const capacity = workerProtocol.report.capacity(await readText(response.body));
         if (capacity !== undefined) capacities.set(worker.id, capacity);
       } catch {
         /* The last known capacity stands. */
--- a/packages/data-plane/src/chat.ts
+++ b/packages/data-plane/src/chat.ts
@@ -1,5 +1,5 @@
 /** Serves a turn of a program (§5.1), a function for each step: claim, context, admission, slot, charge, send. */
-import { formats, type WorkerEntry } from '@thornsail/load-balancer';
+import { workerProtocol, type WorkerEntry } from '@thornsail/load-balancer';
 import { duration, fault, invariant, type HttpResponseWriter, type Microseconds } from '@thornsail/runtime';
 import type { Released } from './admission.js';
 import {
@@ -153,8 +153,8 @@
   turn.timeline.sentTo(to.id, turn.preferred === null ? null : turn.preferred === to.id);
   const sentAt = gateway.runtime.clock.now();
   const reply = await worker.send(gateway.runtime, to, {
-    path: formats.chat.path,
-    body: formats.chat.body({ messages: context.messages, maxTokens: plan.maxTokens, rest: plan.rest }),
+    path: workerProtocol.chat.path,
+    body: workerProtocol.chat.body({ messages: context.messages, maxTokens: plan.maxTokens, rest: plan.rest }),
     timeLeft: streamTimeout,
     headers: {
       accept: 'text/event-stream',
--- a/packages/data-plane/src/job.ts
+++ b/packages/data-plane/src/job.ts
@@ -1,5 +1,5 @@
 /** Serves a job (§5.1), a function for each step: claim, slot, send, result. */
-import { formats, type WorkerEntry } from '@thornsail/load-balancer';
+import { workerProtocol, type WorkerEntry } from '@thornsail/load-balancer';
 import {
   duration,
   fault,
@@ -152,7 +152,7 @@
     job.timeline.sentTo(checked.id, null);
     const sentAt = gateway.runtime.clock.now();
     const reply = await worker.send(gateway.runtime, checked, {
-      path: formats.job.path,
+      path: workerProtocol.job.path,
       body: plan.body,
       headers: plan.key === null ? {} : { 'idempotency-key': plan.key },
       timeLeft: Math.max(minimumJobTime, plan.timeLeft - elapsed(job)),
--- a/packages/data-plane/src/records/budget-accounts.ts
+++ b/packages/data-plane/src/records/budget-accounts.ts
@@ -105,7 +105,7 @@
     settle: (account, turn, usage, timeout) =>
       changeRecord(account, (current) => tokenBudget.settle(current, { turn, ...usage }), timeout),
     refund: (account, turn) =>
-      changeRecord(account, (current) => tokenBudget.giveBack(current, turn), refundTimeout).catch(() => undefined),
+      changeRecord(account, (current) => tokenBudget.refund(current, turn), refundTimeout).catch(() => undefined),
   };
 };
 
--- a/packages/data-plane/src/relay.ts
+++ b/packages/data-plane/src/relay.ts
@@ -1,5 +1,5 @@
 /** Relays a worker's stream to its caller (§5.6): counted, numbered, ended or visibly cut. */
-import { formats, type StreamEvent } from '@thornsail/load-balancer';
+import { workerProtocol, type StreamEvent } from '@thornsail/load-balancer';
 import { fault, type HttpClientResponse, type Microseconds } from '@thornsail/runtime';
 import type { ChatTurn } from './chat-turn.js';
 import { internalErrors } from './errors.js';
@@ -149,7 +149,7 @@
   sentAt: Microseconds,
 ): Promise<RelayOutcome> => {
   const { gateway, plan, phases } = turn;
-  const split = formats.chat.reader();
+  const split = workerProtocol.chat.reader();
   const progress: Progress = {
     written: 0,
     headSent: false,
--- a/packages/load-balancer/src/class-shares.ts
+++ b/packages/load-balancer/src/class-shares.ts
@@ -1,7 +1,7 @@
 /**
- * Weighted shares of the classes of a service (§5.2). A class may borrow what others leave idle; it gives way while
- * another one below its share waits. A reserve is never lent: a running turn is not cut, so an urgent class must not
- * have to wait for one to end.
+ * Weighted fair sharing of a service's slots among its classes (§5.2). A class may borrow slots that other classes
+ * leave idle, and yields while another class below its share has waiting turns. A reserve is never lent: running turns
+ * are not interrupted, and an urgent class must not have to wait for one to end.
  */
 import { serviceOf } from '@thornsail/config-schema';
 import {
@@ -22,7 +22,7 @@
     0,
   );
 
-/** Slots that a class may use while every other class wants its own, 1 at least; 0 if it is not configured. */
+/** Slots that a class is entitled to while all classes have demand, at least 1; 0 if the class is not configured. */
 export const fairShare = (state: BalancerState, className: string): number => {
   const settings = state.config?.classes[className];
   if (!settings) return 0;
@@ -30,8 +30,11 @@
   return Math.max(1, (totalSlots(state, service) * settings.weight) / totalWeight(state, service));
 };
 
-/** A class above its share gives way while another one below its own is waiting: what was borrowed goes back first. */
-export const mustGiveWay = (state: BalancerState, className: string, service: string): boolean => {
+/**
+ * Whether a class at or above its share must take no further slot because another class below its share has waiting
+ * turns: borrowed slots are returned first.
+ */
+export const mustYield = (state: BalancerState, className: string, service: string): boolean => {
   if (runningOf(state, className) < fairShare(state, className)) return false;
   return classesOfService(state, service).some(
     ([other]) =>
@@ -39,19 +42,19 @@
   );
 };
 
-/** Slots of a class's reserve at a worker that it does not use itself. */
+/** Slots of a class's reserve on a worker that the class is not using. */
 const unusedReserve = ({ slots, byClass }: Occupancy, className: string, reserve: number): number =>
   Math.ceil(reserve * slots) - (byClass.get(className) ?? 0);
 
-/** Whether another class of the service has a reserve that this one has to leave free. */
+/** Whether another class of the service has a reserve, which this class must leave free. */
 export const mustLeaveReserve = (state: BalancerState, className: string, service: string): boolean =>
   classesOfService(state, service).some(([other, { reserve }]) => other !== className && reserve > 0);
 
-/** Slots of a worker that a class may take: those free, less what other classes have reserved and do not use. */
+/** Slots of a worker that a class may take: the free slots minus the unused reserves of other classes. */
 export const freeSlots = (state: BalancerState, occupancy: Occupancy, className: string, service: string): number => {
   let free = occupancy.slots - occupancy.running;
   const ownReserve = state.config?.classes[className]?.reserve ?? 0;
-  // Its own reserve is there for it even when forced turns have overfilled the worker.
+  // The class can use its own reserve even if forced turns have overcommitted the worker.
   if (ownReserve > 0) free = Math.max(free, unusedReserve(occupancy, className, ownReserve));
   for (const [other, { reserve }] of classesOfService(state, service))
     if (other !== className && reserve > 0) free -= Math.max(0, unusedReserve(occupancy, other, reserve));
--- a/packages/load-balancer/src/load-balancer.ts
+++ b/packages/load-balancer/src/load-balancer.ts
@@ -1,4 +1,4 @@
-/** The load balancer of one gateway (§5.2): keeps its state, and selects workers by it. */
+/** The load balancer of one gateway (§5.2): tracks the load of the workers and selects workers by it. */
 import type { Microseconds } from '@thornsail/runtime';
 import { fairShare } from './class-shares.js';
 import { sumLoads } from './load-totals.js';
@@ -6,7 +6,7 @@
 import { addRunning, changeWaiting, removeRunning } from './own-load.js';
 import { reportDelay } from './report-delay.js';
 import { selector } from './selection.js';
-import { slotDealer } from './slot-dealer.js';
+import { slotAllocator } from './slot-allocator.js';
 import { emptyState, occupancyOf, serviceOfWorker, waitingOf, type BalancerState } from './state.js';
 import type { Load, LoadBalancer, WorkerEntry } from './types.js';
 
@@ -38,29 +38,29 @@
 /** Opens a load balancer. */
 export const loadBalancer = {
   /**
-   * @param options.now the monotonic clock, microseconds
-   * @param options.self this gateway's id
-   * @param options.rotation counts up in step at all gateways, as far as their clocks agree: it says whose slots come
-   *   first at a worker
+   * @param options.now monotonic clock, in microseconds
+   * @param options.self id of this gateway
+   * @param options.rotation counter that advances simultaneously on all gateways, within the skew of their clocks; it
+   *   rotates which gateway comes first when a worker's free slots are allocated
    */
   open: (options: { now: () => Microseconds; self?: string; rotation?: () => number }): LoadBalancer => {
     const { now, self = '', rotation = () => 0 } = options;
     const state = emptyState(self);
     const detector = outlierDetection.open(now);
-    const dealer = slotDealer.open({ self, now, reportDelay });
+    const allocator = slotAllocator.open({ self, now, reportDelay });
     return {
       setWorkers: (workers) => setWorkers(state, detector, workers),
       setConfig: (config) => {
         state.config = config;
       },
       setPeerLoads: (peers) => setPeerLoads(state, self, peers),
-      select: selector.open({ state, dealer, detector, self, now, rotation }),
+      select: selector.open({ state, allocator, detector, self, now, rotation }),
       acquire: (worker, className) => {
         addRunning(state.own, worker, className);
-        dealer.acquired(worker, className);
+        allocator.acquired(worker, className);
       },
       release: (worker, className) => {
-        dealer.released(worker, className);
+        allocator.released(worker, className);
         removeRunning(state.own, worker, className);
       },
       enqueue: (className) => changeWaiting(state.own, className, 1),
--- a/packages/load-balancer/src/load-totals.ts
+++ b/packages/load-balancer/src/load-totals.ts
@@ -1,17 +1,17 @@
-/** Sums of several gateways' loads: added up once for each report of them, not for each turn that is placed. */
+/** Sums of several gateways' loads, computed once per load report instead of for each selection. */
 import type { Load } from './types.js';
 
-/** Running turns at one worker. */
+/** Running turns on one worker, in total and by class. */
 export type WorkerTotals = { running: number; byClass: Map<string, number> };
-/** What several gateways run and want together. */
+/** Running and waiting turns of several gateways together. */
 export type LoadTotals = {
   byWorker: Map<string, WorkerTotals>;
-  /** Running turns by class, at all workers. */
+  /** Running turns by class, on all workers. */
   runningByClass: Map<string, number>;
   waitingByClass: Map<string, number>;
 };
 
-const addTo = (counts: Map<string, number>, name: string, n: number): void =>
+const increment = (counts: Map<string, number>, name: string, n: number): void =>
   void counts.set(name, (counts.get(name) ?? 0) + n);
 
 const addRunning = (totals: LoadTotals, worker: string, byClass: Record<string, number>): void => {
@@ -19,16 +19,16 @@
   totals.byWorker.set(worker, atWorker);
   for (const [className, n] of Object.entries(byClass)) {
     atWorker.running += n;
-    addTo(atWorker.byClass, className, n);
-    addTo(totals.runningByClass, className, n);
+    increment(atWorker.byClass, className, n);
+    increment(totals.runningByClass, className, n);
   }
 };
 
-/** Adds loads up. */
+/** Adds up the loads of several gateways. */
 export const sumLoads = (loads: Load[]): LoadTotals => {
   const totals: LoadTotals = { byWorker: new Map(), runningByClass: new Map(), waitingByClass: new Map() };
   for (const { running, waiting } of loads) {
-    for (const [className, n] of Object.entries(waiting)) addTo(totals.waitingByClass, className, n);
+    for (const [className, n] of Object.entries(waiting)) increment(totals.waitingByClass, className, n);
     for (const [worker, byClass] of Object.entries(running)) addRunning(totals, worker, byClass);
   }
   return totals;
--- a/packages/load-balancer/src/report-delay.ts
+++ b/packages/load-balancer/src/report-delay.ts
@@ -1,5 +1,5 @@
-/** The age of what gateways know of each other. */
+/** Maximum age of the load reports that gateways exchange. */
 import { duration } from '@thornsail/runtime';
 
-/** How old a gateway's knowledge of the other gateways' turns may be, microseconds (§5.2). */
+/** Maximum age of a gateway's view of the other gateways' turns, in microseconds (§5.2). */
 export const reportDelay = duration.ms(250);
--- a/packages/load-balancer/src/types.ts
+++ b/packages/load-balancer/src/types.ts
@@ -1,79 +1,78 @@
-/** Workers as the service catalog lists them, the load that gateways report, and the balancer itself (§5.2). */
+/** Types of the workers listed by the service catalog, the load that gateways report, and the load balancer (§5.2). */
 import type { Config } from '@thornsail/config-schema';
 import type { Address, Microseconds } from '@thornsail/runtime';
 import type { ExchangeReport } from './outlier-detection.js';
 
 /** A model worker generates tokens; an application worker runs jobs. */
 export type WorkerKind = 'model' | 'app';
-/** One worker, in the form that agents report it in. */
+/** A worker, in the format in which agents report it. */
 export type WorkerEntry = {
   id: string;
+  /** Network address of the worker. */
   at: Address;
   kind: WorkerKind;
-  /** It drains: it finishes what it has, and gets nothing new. */
+  /** Whether the worker is draining: it finishes its running requests and gets no new ones. */
   leaving: boolean;
-  /** The service it belongs to; left out: that of all workers of its kind. */
+  /** The service that the worker belongs to; if absent, the service named after its kind. */
   service?: string;
-  /** Requests that it serves at once; left out: what the configuration says for its kind. */
+  /** Maximum number of concurrent requests; if absent, the number configured for its kind. */
   slots?: number;
-  /** Capacity of its KV cache in tokens, where whoever lists it knows that already. */
+  /** Capacity of the KV cache in tokens, if the list of workers contains it. */
   cacheTokens?: number;
   zone?: string;
 };
-/** Turns of one gateway, in the form that gateways report them in: running by worker and class, waiting by class. */
+/** Turns of one gateway, in the format in which gateways report them: running by worker and class, waiting by class. */
 export type Load = { running: Record<string, Record<string, number>>; waiting: Record<string, number> };
-/** What a turn asks of its worker. */
+/** The requirements of a turn on its worker. */
 export type SelectionRequest = {
-  /** The worker to take if it may take the turn. */
+  /** The worker to select if it may take the turn. */
   preferred?: string | null;
-  /** Whether the preferred worker has the turn's context in its KV cache: any other would have to prefill all of it. */
+  /** Whether the preferred worker has the turn's context in its KV cache; any other would have to prefill all of it. */
   preferredHasContext?: boolean;
-  /** Workers that have failed for this turn. */
+  /** Workers that have already failed this turn. */
   excluded?: ReadonlySet<string>;
-  /** Select a worker whatever the shares, slots and reserves say. */
+  /** Select a worker regardless of shares, slots and reserves. */
   force?: boolean;
-  /** For how long turns of the class have been waiting at this gateway. */
+  /** How long turns of the class have been waiting at this gateway. */
   waitedFor?: Microseconds;
-  /** Another service than the class's own, for a route that is split. */
+  /** The service to use instead of the class's own, for routes that split traffic between services. */
   service?: string;
 };
-/**
- * The slots of all workers as one gateway sees them. Nothing here waits or throws, except on a breached invariant.
- */
+/** A gateway's view of the slots of all workers. No method blocks; they throw only if an invariant is violated. */
 export type LoadBalancer = {
   setWorkers: (workers: WorkerEntry[]) => void;
   setConfig: (config: Config) => void;
-  /** Replaces what is known of the other gateways. */
+  /** Replaces the loads of the other gateways. */
   setPeerLoads: (peers: { id: string; load: Load }[]) => void;
-  /** A worker for a turn of a class; null if none may take it now. Nothing is acquired yet. */
+  /** Selects a worker for a turn of a class, without acquiring a slot; null if no worker may take the turn now. */
   select: (className: string, request: SelectionRequest) => WorkerEntry | null;
-  /** A turn of a class takes a slot. */
+  /** Acquires a slot of a worker for a turn of a class. */
   acquire: (worker: string, className: string) => void;
-  /** A turn of a class gives its slot back. */
+  /** Releases the slot of a turn of a class. */
   release: (worker: string, className: string) => void;
-  /** A turn of a class begins to wait at this gateway. */
+  /** Counts a turn of a class that starts waiting at this gateway. */
   enqueue: (className: string) => void;
-  /** A turn of a class waits no longer. */
+  /** Removes a turn of a class that stops waiting from the count. */
   dequeue: (className: string) => void;
   /** A copy of this gateway's own load. */
   load: () => Load;
   worker: (id: string) => WorkerEntry | undefined;
-  /** All workers by id. */
+  /** All workers, sorted by id. */
   workers: () => WorkerEntry[];
-  /** Slots that a class may use while every other class wants its own; 0 for a class that is not configured. */
+  /** Slots that a class is entitled to while all classes have demand; 0 if the class is not configured. */
   fairShare: (className: string) => number;
-  /** Waiting turns of a class, at all gateways. */
+  /** Waiting turns of a class, on all gateways. */
   waiting: (className: string) => number;
-  /** Running turns at a worker, of this gateway and, as far as it has heard, of the others. */
+  /** Running turns on a worker, including the turns reported by other gateways. */
   runningAt: (worker: string) => number;
-  /** Takes in what became of an exchange with a worker; one that fails more than the others do is passed by. */
+  /** Records the outcome of an exchange with a worker; a worker that fails more than the others is ejected. */
   recordExchange: (worker: string, succeeded: boolean) => void;
-  /** Replaces what the other gateways report of their exchanges. */
+  /** Replaces the other gateways' reports on their exchanges. */
   setPeerExchanges: (reports: ExchangeReport[]) => void;
-  /** This gateway's counts of the workers that have failed a request anywhere lately. */
+  /** This gateway's counts for the workers that have recently failed a request of any gateway. */
   exchanges: () => ExchangeReport;
-  /** Workers that are passed by now because they fail more than the others do. */
+  /** Ids of the workers that are currently ejected because they fail more than the others. */
   ejected: () => string[];
-  /** A worker is not selected before `until`. */
+  /** Excludes a worker from selection until the time `until`. */
   markUnhealthy: (worker: string, until: Microseconds) => void;
 };
--- a/packages/service-catalog/src/index.ts
+++ b/packages/service-catalog/src/index.ts
@@ -1,4 +1,4 @@
-// service catalog: the platform that lists the workers and marks those that are leaving (§3.8).
+/** Client of the platform's service catalog, which lists the workers and marks those that are leaving (§3.8). */
 import {
   fault,
   address,
@@ -10,95 +10,116 @@
   type Microseconds,
 } from '@thornsail/runtime';
 
-/** What is left out is not known from the list: the configuration says it, or the worker itself. */
+/** A worker as listed by the platform. Optional fields that are absent come from the configuration or the worker. */
 export type PlatformWorker = {
   id: string;
+  /** Network address of the worker. */
   at: Address;
   kind: 'model' | 'app';
+  /** Whether the worker is draining and gets no new requests. */
   leaving: boolean;
+  /** The service that the worker belongs to. */
   service?: string;
+  /** Maximum number of concurrent requests. */
   slots?: number;
+  /** Capacity of the KV cache in tokens. */
   cacheTokens?: number;
   zone?: string;
 };
 
-/** How long an empty list has to stand before it is believed. */
-const emptyFor = duration.s(30);
+/** How long after the last non-empty list an empty one is rejected. */
+const emptyListGracePeriod = duration.s(30);
 
-/** Application workers may go by a deployment's own name for them (table, intake). */
-const parse = (raw: string): PlatformWorker[] => {
-  const j = JSON.parse(raw) as { workers?: unknown };
-  const list = Array.isArray(j) ? j : j.workers;
-  if (!Array.isArray(list)) throw new Error('no list of workers');
-  return list.flatMap((u: unknown) => {
-    const w = u as Record<string, unknown>;
-    if (typeof u !== 'object' || u === null) return [];
-    const at = typeof w['address'] === 'string' ? w['address'].replace(/^http:\/\//, '').replace(/\/$/, '') : '';
-    if (typeof w['id'] !== 'string' || w['id'] === '' || !address.ok(at)) return [];
+/**
+ * Parses a list of workers and skips invalid entries. Every kind other than `model` is an application worker, because
+ * deployments may use their own names for these (table, intake).
+ */
+const parseWorkers = (text: string): PlatformWorker[] => {
+  const body = JSON.parse(text) as { workers?: unknown };
+  const list = Array.isArray(body) ? body : body.workers;
+  if (!Array.isArray(list)) throw new Error('the response contains no list of workers');
+  return list.flatMap((item: unknown) => {
+    const entry = item as Record<string, unknown>;
+    if (typeof item !== 'object' || item === null) return [];
+    const at =
+      typeof entry['address'] === 'string' ? entry['address'].replace(/^http:\/\//, '').replace(/\/$/, '') : '';
+    if (typeof entry['id'] !== 'string' || entry['id'] === '' || !address.ok(at)) return [];
     return [
       {
-        id: w['id'],
+        id: entry['id'],
         at,
-        kind: w['kind'] === 'model' ? ('model' as const) : ('app' as const),
-        leaving: w['leaving'] === true,
+        kind: entry['kind'] === 'model' ? ('model' as const) : ('app' as const),
+        leaving: entry['leaving'] === true,
       },
     ];
   });
 };
 
-const ownFormat = async (runtime: Runtime, platform: Address): Promise<PlatformWorker[]> => {
-  const limit = duration.ms(700);
-  const r = await runtime.net.request({
+/** Reads the list in this project's own format by `GET /workers`. Throws on a status other than 200 or no list. */
+const fetchWorkers = async (runtime: Runtime, platform: Address): Promise<PlatformWorker[]> => {
+  const timeout = duration.ms(700);
+  const response = await runtime.net.request({
     at: platform,
     method: 'GET',
     path: '/workers',
-    headersTimeout: limit,
-    bodyTimeout: limit,
+    headersTimeout: timeout,
+    bodyTimeout: timeout,
   });
-  const list = parse(await readText(r.body));
-  if (r.status !== 200) throw new Error(`status ${r.status}`);
+  const list = parseWorkers(await readText(response.body));
+  if (response.status !== 200) throw new Error(`unexpected status ${response.status}`);
   return list;
 };
 
+/** Reads the list of workers periodically. */
 export const serviceCatalog = {
-  open: (o: {
+  /** Starts polling. Returns the time of the last successful read, undefined before it, and a function to stop. */
+  open: (options: {
     runtime: Runtime;
-    /** How the list is read; left out: by our own format, at `platform`. */
+    /** Reads the list; if absent, it is read from `platform` in this project's own format. */
     read?: () => Promise<PlatformWorker[]>;
+    /** Address of the platform; required if `read` is absent. */
     platform?: Address;
+    /** Interval between polls; 500 ms if absent. */
     every?: Microseconds;
-    /** Whether the list is to be read now: one reader of many is enough (§3.8). */
+    /** Whether this agent is to read the list now: one of several agents is enough (§3.8). */
     due?: () => boolean;
+    /** Called with each list that was read and accepted. */
     onList: (list: PlatformWorker[]) => void;
-  }): { okAt: () => Microseconds | undefined; close: () => void } => {
-    const log = o.runtime.log('service catalog');
-    let okAt: Microseconds | undefined;
+  }): { lastReadAt: () => Microseconds | undefined; close: () => void } => {
+    const log = options.runtime.log('service catalog');
+    let lastReadAt: Microseconds | undefined;
     let failed = false;
-    let lastNamed = -Infinity;
-    let notBefore = -Infinity;
-    /** A platform that names nobody all at once is more likely ill than right: for a while the last list stands. */
-    const doubt = (list: PlatformWorker[]): void => {
-      const now = o.runtime.clock.now();
-      if (list.length > 0) lastNamed = now;
-      else if (now - lastNamed < emptyFor) throw new Error('the list is empty all at once');
+    let lastNonEmptyAt = -Infinity;
+    let retryAt = -Infinity;
+    /**
+     * Rejects a list that is suddenly empty: it is more likely a fault of the platform than correct, so the previous
+     * list stays in use for a grace period.
+     */
+    const checkNotSuddenlyEmpty = (list: PlatformWorker[]): void => {
+      const now = options.runtime.clock.now();
+      if (list.length > 0) lastNonEmptyAt = now;
+      else if (now - lastNonEmptyAt < emptyListGracePeriod) throw new Error('the list of workers is suddenly empty');
     };
     const poll = async (): Promise<void> => {
       try {
-        if (o.due && (!o.due() || o.runtime.clock.now() < notBefore)) return;
-        const list = await (o.read ? o.read() : ownFormat(o.runtime, o.platform!));
-        doubt(list);
-        okAt = o.runtime.clock.now();
-        if (failed) log('the platform is back.');
+        if (options.due && (!options.due() || options.runtime.clock.now() < retryAt)) return;
+        const list = await (options.read ? options.read() : fetchWorkers(options.runtime, options.platform!));
+        checkNotSuddenlyEmpty(list);
+        lastReadAt = options.runtime.clock.now();
+        if (failed) log('reading the list of workers succeeds again.');
         failed = false;
-        o.onList(list);
-      } catch (e) {
-        // An ill platform is not asked by everybody all the time.
-        notBefore = o.runtime.clock.now() + duration.ms(400 + o.runtime.rand.int(400));
-        if (!failed) log(`no list of workers: ${fault.text(e)}.`);
+        options.onList(list);
+      } catch (error) {
+        // A random delay keeps the agents from polling a faulty platform all at once.
+        retryAt = options.runtime.clock.now() + duration.ms(400 + options.runtime.rand.int(400));
+        if (!failed) log(`cannot read the list of workers: ${fault.text(error)}.`);
         failed = true;
       }
     };
     void poll();
-    return { okAt: () => okAt, close: time.every(o.runtime.clock, o.every ?? duration.ms(500), poll) };
+    return {
+      lastReadAt: () => lastReadAt,
+      close: time.every(options.runtime.clock, options.every ?? duration.ms(500), poll),
+    };
   },
 };
--- a/packages/token-budget/src/record.ts
+++ b/packages/token-budget/src/record.ts
@@ -1,39 +1,40 @@
 /**
- * A program's budget record (§5.3): the value of its register, shared by all gateways. The field names are those in the
- * registers, and so is the order of the fields.
+ * A program's budget record (§5.3): the value of its register, shared by all gateways. Names and order of the fields
+ * are part of the stored format.
  */
 import type { Microseconds } from '@thornsail/runtime';
 
-/** A turn that was charged and is not settled yet. */
+/** A turn that has been charged and not yet settled. */
 export type OpenTurn = {
   turn: string;
-  /** The gateway that serves it. */
+  /** Id of the gateway that serves the turn. */
   by: string;
-  /** Tokens that it was charged: the most that it may use. */
+  /** Tokens charged for the turn: the maximum that it may use. */
   reserved: number;
-  /** When it was charged, by the stores' clocks. */
+  /** Time of the charge, by the stores' clocks. */
   at: Microseconds;
 };
-/** Tokens of one program, over all classes and gateways. */
+/** Token budget and usage of one program, over all classes and gateways. */
 export type BudgetRecord = {
-  /** The budget of the class of its latest turn. */
+  /** Budget of the class of the program's latest turn, in tokens. */
   budget: number;
-  /** Tokens charged: those of settled turns and the reservations of open ones. */
+  /** Tokens charged: the usage of settled turns and the reservations of open and lost ones. */
   spent: number;
-  /** Open turns; each one's reservation is in `spent`. */
+  /** Open turns; their reservations are included in `spent`. */
   opens: OpenTurn[];
-  /** As the release before this one kept its single open turn; read, and never written again (§3.4). */
+  /** The single open turn in the format of the previous release; read, but only ever written as null (§3.4). */
   open?: OpenTurn | null;
-  /** Size of its context in tokens and the worker that has it, so that any gateway can take the program over. */
+  /** Size of the context in tokens; with `worker` it allows any gateway to take over the program. */
   tokens: number;
+  /** The worker that has the context in its KV cache; null if there is none. */
   worker: string | null;
-  /** Turns that were charged and not given back. */
+  /** Number of turns charged and not refunded. */
   turns: number;
-  /** Turns whose outcome is not known; what they were charged stays spent. */
+  /** Number of turns whose outcome is unknown; their reservations stay in `spent`. */
   lost: number;
 };
 
-/** The record of a program that has had no turn. */
+/** The record of a program without any turns. */
 export const newRecord = (budget: number): BudgetRecord => ({
   budget,
   spent: 0,
@@ -44,12 +45,12 @@
   lost: 0,
 });
 
-/** Open turns, whichever release wrote them. */
+/** The open turns of a record, in the current format and in that of the previous release. */
 export const openTurnsOf = (record: BudgetRecord): OpenTurn[] => [
   ...(record.opens ?? []),
   ...(record.open ? [record.open] : []),
 ];
-/** Tokens that open turns have reserved. */
+/** Tokens reserved by open turns. */
 export const reservedTokens = (openTurns: OpenTurn[]): number =>
   openTurns.reduce((sum, { reserved }) => sum + reserved, 0);
 /** Tokens that are neither spent nor reserved. */
--- a/packages/token-budget/src/settle.ts
+++ b/packages/token-budget/src/settle.ts
@@ -1,37 +1,38 @@
-/** The end of an open turn (§5.3): settled by what it used, or given back where nothing was sent. */
+/** The end of an open turn (§5.3): it is settled with its actual usage, or refunded if it was never sent. */
 import { invariant } from '@thornsail/runtime';
 import { openTurnsOf, type BudgetRecord, type OpenTurn } from './record.js';
 
-/** What a turn used. */
+/** The actual usage of a turn. */
 export type Settlement = {
   turn: string;
-  /** Tokens that the worker counted, prompt and completion. */
+  /** Tokens used according to the worker, prompt and completion. */
   actual: number;
-  /** The program's context after the turn, in tokens. */
+  /** Size of the program's context after the turn, in tokens. */
   tokens: number;
+  /** The worker that served the turn; null if unknown. */
   worker: string | null;
 };
 
-/** The open turn of that name with the open turns beside it; undefined if it is not open. */
-const takeOpenTurn = (record: BudgetRecord, turn: string): { taken: OpenTurn; others: OpenTurn[] } | undefined => {
-  const open = openTurnsOf(record);
-  const taken = open.find((openTurn) => openTurn.turn === turn);
-  return taken && { taken, others: open.filter((openTurn) => openTurn !== taken) };
+/** The open turn with the given id, and the other open turns; undefined if the turn is not open. */
+const findOpenTurn = (record: BudgetRecord, turn: string): { openTurn: OpenTurn; others: OpenTurn[] } | undefined => {
+  const openTurns = openTurnsOf(record);
+  const openTurn = openTurns.find((candidate) => candidate.turn === turn);
+  return openTurn && { openTurn, others: openTurns.filter((candidate) => candidate !== openTurn) };
 };
 
-/** Replaces a turn's reservation by what it used. One that was taken for lost meanwhile stays as it was charged. */
+/** Replaces a turn's reservation with its actual usage. A turn that was dropped as lost meanwhile stays charged. */
 export const settle = (record: BudgetRecord | undefined, settlement: Settlement): BudgetRecord | undefined => {
-  const found = record && takeOpenTurn(record, settlement.turn);
+  const found = record && findOpenTurn(record, settlement.turn);
   if (!record || !found) return record;
-  const spent = record.spent - found.taken.reserved + settlement.actual;
-  invariant.hold(spent >= 0, 'spent fell below zero');
+  const spent = record.spent - found.openTurn.reserved + settlement.actual;
+  invariant.hold(spent >= 0, 'spent must not become negative');
   return { ...record, spent, opens: found.others, open: null, tokens: settlement.tokens, worker: settlement.worker };
 };
 
-/** Undoes the charge of a turn of which nothing was sent and nothing can be. */
-export const giveBack = (record: BudgetRecord | undefined, turn: string): BudgetRecord | undefined => {
-  const found = record && takeOpenTurn(record, turn);
+/** Reverses the charge of a turn that was not sent and can no longer be sent. */
+export const refund = (record: BudgetRecord | undefined, turn: string): BudgetRecord | undefined => {
+  const found = record && findOpenTurn(record, turn);
   if (!record || !found) return record;
-  const spent = record.spent - found.taken.reserved;
+  const spent = record.spent - found.openTurn.reserved;
   return { ...record, spent, opens: found.others, open: null, turns: record.turns - 1 };
 };
--- a/packages/token-budget/src/token-budget.ts
+++ b/packages/token-budget/src/token-budget.ts
@@ -1,9 +1,9 @@
-/** A program's token budget across all gateways (§5.3), as pure changes of its record. */
+/** A program's token budget across all gateways (§5.3), as pure functions on its record. */
 import { charge, isExhausted, isReserved } from './charge.js';
 import { newRecord, openTurnsOf, remainingTokens } from './record.js';
-import { giveBack, settle } from './settle.js';
+import { refund, settle } from './settle.js';
 
-/** Changes and reads budget records; a record that is handed in is never changed. */
+/** Operations on budget records; the given records are never modified. */
 export const tokenBudget = {
   newRecord,
   remainingTokens,
@@ -12,5 +12,5 @@
   isReserved,
   charge,
   settle,
-  giveBack,
+  refund,
 };
--- a/programs/thornsail/src/roles.ts
+++ b/programs/thornsail/src/roles.ts
@@ -362,7 +362,7 @@
         const why = [
           ...(leaving ? ['leaving'] : []),
           ...(m.state() ? [] : ['no agreed state']),
-          ...(h.okAt() === undefined ? ['no list of workers'] : []),
+          ...(h.lastReadAt() === undefined ? ['no list of workers'] : []),
         ];
         return { ok: why.length === 0, why };
       },
--- a/tools/simulation/src/guards/admission-scheduler.ts
+++ b/tools/simulation/src/guards/admission-scheduler.ts
@@ -1,10 +1,10 @@
-// Guards of the lines of `admission-scheduler` that keep a rule.
+// Guards of the lines in `admission-scheduler` that enforce a rule.
 import { guard, type Guard } from './guard.js';
 
 /** Guards of `admission-scheduler`. */
 export const admissionSchedulerGuards: readonly Guard[] = [
   guard({
-    name: 'a hold ends before the silence limit',
+    name: 'a held turn is released before its client stops waiting',
     rule: '2 hold',
     file: 'admission-scheduler/src/forced-release.js',
     find: 'Math.min(resumeTimeout, holdLimit, untilDeadline, arrival.patience)',
--- a/tools/simulation/src/guards/load-balancer.ts
+++ b/tools/simulation/src/guards/load-balancer.ts
@@ -1,10 +1,10 @@
-// Guards of the lines of `load-balancer` that keep a rule.
+// Guards of the lines in `load-balancer` that enforce a rule.
 import { guard, type Guard } from './guard.js';
 
 /** Guards of `load-balancer`. */
 export const loadBalancerGuards: readonly Guard[] = [
   guard({
-    name: 'a leaving worker is not picked',
+    name: 'a leaving worker is not selected',
     rule: '7 leaving',
     file: 'load-balancer/src/selection.js',
     find: '!worker.leaving && !excluded?.has(worker.id)',
@@ -12,7 +12,7 @@
     noticedBy: { test: 'load-balancer/test/selection.test.js' },
   }),
   guard({
-    name: 'a leaving worker is neither picked nor sent to',
+    name: 'a leaving worker is neither selected nor sent requests',
     rule: '7 leaving',
     file: 'load-balancer/src/selection.js',
     find: '!worker.leaving && !excluded?.has(worker.id)',
@@ -27,7 +27,7 @@
     ],
   }),
   guard({
-    name: 'a worker that fails more than the others do is passed by',
+    name: 'a worker that fails more than the others is ejected',
     rule: 'workers',
     file: 'load-balancer/src/selection.js',
     find: 'available.filter(({ id }) => !detector.isEjected(id))',
@@ -35,31 +35,31 @@
     noticedBy: { test: 'load-balancer/test/selection.test.js' },
   }),
   guard({
-    name: 'where all workers fail alike none is passed by',
+    name: 'no worker is ejected if all fail alike',
     rule: 'workers',
     file: 'load-balancer/src/outlier-detection.js',
-    find: 'Math.max(leastExpectedRate, medianRate(state, others))',
-    replacement: 'leastExpectedRate',
+    find: 'Math.max(minExpectedRate, medianRate(state, others))',
+    replacement: 'minExpectedRate',
     noticedBy: { test: 'load-balancer/test/outlier-detection.test.js' },
   }),
   guard({
-    name: 'a part of a slot that is new waits for the news of the one before',
+    name: 'a larger share of free slots is used only after reports of the previous rotation have arrived',
     rule: '11 urgent',
     file: 'load-balancer/src/selection.js',
-    find: 'Math.min(part(offset), part(offset - 1))',
-    replacement: 'part(offset)',
-    noticedBy: { test: 'load-balancer/test/slot-dealing.test.js' },
+    find: 'Math.min(shareAt(offset), shareAt(offset - 1))',
+    replacement: 'shareAt(offset)',
+    noticedBy: { test: 'load-balancer/test/slot-allocation.test.js' },
   }),
   guard({
-    name: 'free slots are dealt out over the edges',
+    name: 'free slots are divided among the gateways',
     rule: '11 urgent',
     file: 'load-balancer/src/selection.js',
-    find: 'return recent < Math.max(dealt, state.config?.limits.leastPart ?? 0);',
+    find: 'return recent < Math.max(allocated, state.config?.limits.leastPart ?? 0);',
     replacement: 'return true;',
-    noticedBy: { test: 'load-balancer/test/slot-dealing.test.js' },
+    noticedBy: { test: 'load-balancer/test/slot-allocation.test.js' },
   }),
   guard({
-    name: 'the reserve is not lent',
+    name: 'a class reserve is not lent',
     rule: '11 urgent',
     file: 'load-balancer/src/class-shares.js',
     find: 'free -= Math.max(0, unusedReserve(occupancy, other, reserve));',
@@ -67,18 +67,18 @@
     noticedBy: { test: 'load-balancer/test/class-shares.test.js' },
   }),
   guard({
-    name: 'borrowed shares go back first',
+    name: 'borrowed slots are returned first',
     rule: '11 urgent',
     file: 'load-balancer/src/selection.js',
-    find: 'if (!force && mustGiveWay(state, className, ownService))',
+    find: 'if (!force && mustYield(state, className, ownService))',
     replacement: 'if (false)',
     noticedBy: { test: 'load-balancer/test/class-shares.test.js' },
   }),
   guard({
-    name: 'urgent classes have a reserve, priority and their share back',
+    name: 'urgent classes have a reserve, priority and get their share back',
     rule: '11 urgent',
     file: 'load-balancer/src/selection.js',
-    find: 'if (!force && mustGiveWay(state, className, ownService))',
+    find: 'if (!force && mustYield(state, className, ownService))',
     replacement: 'if (false)',
     noticedBy: { scenario: 'urgent' },
     also: [
--- a/tools/simulation/src/guards/token-budget.ts
+++ b/tools/simulation/src/guards/token-budget.ts
@@ -1,10 +1,10 @@
-// Guards of the lines of `token-budget` that keep a rule.
+// Guards of the lines in `token-budget` that enforce a rule.
 import { guard, type Guard } from './guard.js';
 
 /** Guards of `token-budget`. */
 export const tokenBudgetGuards: readonly Guard[] = [
   guard({
-    name: 'spent is checked',
+    name: 'a turn is charged only while budget remains',
     rule: '1 budget',
     file: 'token-budget/src/charge.js',
     find: 'if (isReserved(record, budget))',
--- a/tools/simulation/test/input.test.ts
+++ b/tools/simulation/test/input.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { stringify } from 'devalue';
-import { formats } from '@thornsail/load-balancer';
+import { workerProtocol } from '@thornsail/load-balancer';
 import { configSchema } from '@thornsail/config-schema';
 import { plan } from '@thornsail/data-plane';
 import { seeded, duration, type HttpRequest, type Address, type Random } from '@thornsail/runtime';
@@ -69,14 +69,14 @@
 test('workers: any stream is read as events or errors', () => {
   for (let seed = 1; seed <= 2000; seed++) {
     const r = seeded(seed);
-    const read = formats.chat.reader();
+    const read = workerProtocol.chat.reader();
     for (let i = 0; i < 5; i++) {
       const data = r.int(3)
         ? JSON.stringify({ choices: value(r), usage: value(r), error: r.int(5) ? undefined : value(r) })
         : text(r);
       for (const p of read(`data: ${data}\n\n`)) assert.ok(['delta', 'usage', 'done', 'error'].includes(p.type));
     }
-    formats.report.capacity(text(r));
+    workerProtocol.report.capacity(text(r));
   }
 });
 
