--- a/packages/admin-api/src/index.ts
+++ b/packages/admin-api/src/index.ts
@@ -367,7 +367,7 @@
             id: n.membership.id,
             name: n.name,
             role: roleCodec.encode(n.role),
-            place: n.rpc.at,
+            place: n.rpc.address,
             mark: n.membership.index(),
             inRoster: n.membership.isMember(),
             stale: n.membership.stale(),
--- a/packages/consensus/src/driver.ts
+++ b/packages/consensus/src/driver.ts
@@ -195,7 +195,7 @@
 ): ReplicaState<S> =>
   replica.create<S>({
     id: stored.id,
-    at: rpc.at,
+    at: rpc.address,
     founders,
     initial,
     timing,
--- a/packages/data-plane/src/cluster-view.ts
+++ b/packages/data-plane/src/cluster-view.ts
@@ -53,7 +53,8 @@
   Object.values(nodes).filter((node) => node.role === 'gateway' && node.status === 'live');
 const isInContact = (now: Microseconds, membership: GatewayMembership, reports: LoadReport): boolean => {
   const state = membership.state();
-  if (!state || now - (membership.dissemination.get('core')?.at ?? -contactTimeout) < contactTimeout) return true;
+  if (!state || now - (membership.dissemination.get('core')?.receivedAt ?? -contactTimeout) < contactTimeout)
+    return true;
   const gateways = liveGateways(state);
   const isHeard = (id: string): boolean => id === membership.id || now - reports.lastHeardOf(id) < contactTimeout;
   return gateways.filter((node) => isHeard(node.id)).length * 2 > gateways.length;
--- a/packages/data-plane/src/load-report.ts
+++ b/packages/data-plane/src/load-report.ts
@@ -66,8 +66,12 @@
   now: Microseconds,
 ): Map<string, ReceivedLoad> => {
   const newest = new Map<string, ReceivedLoad>();
-  for (const { name, item } of dissemination.all(newsPrefix))
-    newest.set(name.slice(newsPrefix.length), { mark: item.version, at: item.at, load: item.value as EdgeLoad });
+  for (const { name, item } of dissemination.withPrefix(newsPrefix))
+    newest.set(name.slice(newsPrefix.length), {
+      mark: item.version,
+      at: item.receivedAt,
+      load: item.value as EdgeLoad,
+    });
   const live = liveIds();
   for (const [id, one] of received)
     if (!live.has(id) || now - one.at > forgetAfter) received.delete(id);
@@ -136,7 +140,7 @@
       lastHeardOf: (gateway) =>
         Math.max(
           exchange.received.get(gateway)?.at ?? -Infinity,
-          dissemination.get(`${newsPrefix}${gateway}`)?.at ?? -Infinity,
+          dissemination.get(`${newsPrefix}${gateway}`)?.receivedAt ?? -Infinity,
         ),
       tick: () => {
         // What is gathered is taken in by itself; this is for what has aged.
--- a/packages/data-plane/src/warm-up/cluster.ts
+++ b/packages/data-plane/src/warm-up/cluster.ts
@@ -47,10 +47,18 @@
   );
 
 const stateOf = (stores: { id: string; rpc: Rpc }[], gateway: Rpc): AgreedState => {
-  const members = stores.map(({ id, rpc: { at } }) => ({ id, at }));
+  const members = stores.map(({ id, rpc: { address: at } }) => ({ id, at }));
   const joined = agreedState.join(
     agreedState.initial(),
-    { id: gatewayId, name: gatewayId, role: 'gateway', place: gateway.at, http: gateway.at, zone: '', incarnation: 1 },
+    {
+      id: gatewayId,
+      name: gatewayId,
+      role: 'gateway',
+      place: gateway.address,
+      http: gateway.address,
+      zone: '',
+      incarnation: 1,
+    },
     0,
   ).state;
   return {
@@ -62,15 +70,15 @@
 
 /** News that never change, but for the time at which they came. */
 const openNews = (now: () => number, workers: WorkerEntry[]): Dissemination => {
-  const item = (): { version: number; at: number; value: unknown } => ({
+  const item = (): { version: number; receivedAt: number; value: unknown } => ({
     version: 1,
-    at: now(),
+    receivedAt: now(),
     value: { list: workers },
   });
   return {
     put: () => undefined,
     get: () => undefined,
-    all: (prefix) => (prefix === 'workers/' ? [{ name: 'workers/warm-up', item: item() }] : []),
+    withPrefix: (prefix) => (prefix === 'workers/' ? [{ name: 'workers/warm-up', item: item() }] : []),
     retain: () => undefined,
     onUpdate: () => undefined,
     hasLeaves: () => false,
--- a/packages/data-plane/src/workers.ts
+++ b/packages/data-plane/src/workers.ts
@@ -12,8 +12,12 @@
 /** The workers at `now`: the newest list, and leaving wherever any fresh list says so (§3.8). */
 export const workersOf = (dissemination: Dissemination, now: Microseconds): WorkerEntry[] => {
   const lists = dissemination
-    .all('workers/')
-    .map((update) => ({ name: update.name, at: update.item.at, list: (update.item.value as WorkersNews).list }));
+    .withPrefix('workers/')
+    .map((update) => ({
+      name: update.name,
+      at: update.item.receivedAt,
+      list: (update.item.value as WorkersNews).list,
+    }));
   if (lists.length === 0) return [];
   const fresh = lists.filter((entry) => now - entry.at < freshFor);
   const newest = [...lists].sort((a, b) => b.at - a.at)[0]!;
--- a/packages/dissemination/src/anti-entropy.ts
+++ b/packages/dissemination/src/anti-entropy.ts
@@ -1,6 +1,6 @@
 /**
- * Anti-entropy (§3.5): two nodes compare what they have, and send each other what is missing. It makes up for relays
- * that are dead and not yet known to be.
+ * Anti-entropy (§3.5): two nodes compare their items and send each other the missing updates. It delivers updates past
+ * relays that have failed and are not yet known to be dead.
  */
 import { type Address, type Microseconds, type Random } from '@thornsail/runtime';
 import type { Rpc } from '@thornsail/rpc';
@@ -8,22 +8,22 @@
 import type { Relay, Update } from './types.js';
 import * as wire from './wire.js';
 
-/** What comparing works with. */
+/** The dependencies of anti-entropy. */
 export type AntiEntropyOptions = {
   rpc: Rpc;
   store: ItemStore;
   isLeaf: boolean;
-  /** A peer took part in an exchange just now. */
+  /** Called each time a peer has taken part in an exchange. */
   onContact: () => void;
-  /** A peer that compared says that it is a leaf of this node. */
+  /** Called when a peer that compares with this node identifies itself as a leaf. */
   onLeaf: (leaf: Address) => void;
-  /** Updates came by a comparison. */
+  /** Called with the updates that a comparison has returned. */
   onPulled: (updates: Update[], from: Address) => void;
 };
-/** Compares with a peer; false if it did not take part. Never rejects. */
-export type Compare = (peer: Address, timeout: Microseconds) => Promise<boolean>;
+/** Compares with a peer; resolves to false if the peer did not respond. `timeout` is per request. Never rejects. */
+export type CompareWithPeer = (peer: Address, timeout: Microseconds) => Promise<boolean>;
 
-const answerPeers = ({ rpc, store, onContact, onLeaf }: AntiEntropyOptions): void => {
+const registerHandlers = ({ rpc, store, onContact, onLeaf }: AntiEntropyOptions): void => {
   rpc.on(wire.messageNames.checksum, wire.isChecksumRequest, (body, from) => {
     const { checksum, isLeaf } = wire.decodeChecksumRequest(body);
     if (isLeaf) onLeaf(from);
@@ -38,10 +38,10 @@
   });
 };
 
-/** Answers the comparisons of peers from now on, and gives the function that compares with one. */
-export const openAntiEntropy = (options: AntiEntropyOptions): Compare => {
+/** Registers the handlers of comparison requests, and returns the function that compares with a peer. */
+export const openAntiEntropy = (options: AntiEntropyOptions): CompareWithPeer => {
   const { rpc, store, isLeaf, onContact, onPulled } = options;
-  answerPeers(options);
+  registerHandlers(options);
   const exchangeDigests = async (peer: Address, timeout: Microseconds): Promise<void> => {
     const body = wire.encodeDigestRequest({ digest: store.digest(), isLeaf });
     const reply = await rpc.request<unknown>(peer, wire.messageNames.digest, body, timeout);
@@ -64,23 +64,24 @@
   };
 };
 
-/** With whom to compare next. */
+/** The inputs of the choice of a peer to compare with. */
 export type PeerChoice = {
+  /** The id of this node. */
   self: string;
   relays: () => Relay[];
   /** Addresses outside the list of relays. */
   fallbacks: () => Address[];
   rand: Random;
 };
-/** One comparison in so many may be with an address outside the list of relays: the list may be out of date. */
-const fallbackOneIn = 8;
+/** On average, one in this many choices includes addresses outside the relay list, which may be out of date. */
+const choicesPerFallback = 8;
 
-/** A random peer to compare with; undefined if none is known. */
+/** Returns a random peer to compare with; undefined if no other address is known. */
 export const choosePeer = ({ self, relays, fallbacks, rand }: PeerChoice): Address | undefined => {
   const others = relays()
     .filter(({ id }) => id !== self)
     .map(({ address }) => address);
-  const withFallbacks = others.length === 0 || rand.int(fallbackOneIn) === 0;
+  const withFallbacks = others.length === 0 || rand.int(choicesPerFallback) === 0;
   const peers = withFallbacks ? [...others, ...fallbacks()] : others;
   return peers.length ? peers[rand.int(peers.length)] : undefined;
 };
--- a/packages/dissemination/src/dissemination.ts
+++ b/packages/dissemination/src/dissemination.ts
@@ -1,9 +1,9 @@
 /**
- * Dissemination (§3.5): updates go down a tree of relays that all nodes compute alike, and anti-entropy with random
- * peers makes up for what the tree loses.
+ * Dissemination (§3.5): updates are forwarded along a tree of relays, which each node computes from the same list, and
+ * anti-entropy with random peers recovers updates that were lost in the tree.
  */
 import { time, duration, type Address } from '@thornsail/runtime';
-import { choosePeer, openAntiEntropy, type Compare } from './anti-entropy.js';
+import { choosePeer, openAntiEntropy, type CompareWithPeer } from './anti-entropy.js';
 import { openForwarding, type Forward, type ForwardingOptions } from './forwarding.js';
 import { openItemStore, type ItemStore } from './item-store.js';
 import { openLeaves, type Leaves } from './leaves.js';
@@ -18,20 +18,20 @@
   exchangeTimeout: duration.ms(250),
   batchDelay: duration.ms(200),
 };
-/** A leaf that missed this many comparisons is no longer attached. */
+/** A leaf without a comparison for this many attach intervals is detached. */
 const leafExpiryIntervals = 4;
 
-/** Where a node passes updates on to: a relay to its neighbours in the tree and its leaves, a leaf to its relay. */
+/** Returns where a node forwards updates: a relay to its tree neighbours and leaves, a leaf to its parent relay. */
 const openNeighbours = (
   { self, isLeaf, relays, parent }: DisseminationOptions,
   arity: number,
   leaves: () => Address[],
 ): (() => Address[]) => {
-  const inTree = openNeighbourAddresses(relays, self, arity);
-  const ofLeaf = (): Address[] => [parent()].filter((address) => address !== undefined);
+  const treeNeighbours = openNeighbourAddresses(relays, self, arity);
+  const parentOfLeaf = (): Address[] => [parent()].filter((address) => address !== undefined);
   return () => {
     const attached = leaves();
-    return [...new Set([...(isLeaf ? ofLeaf() : inTree()), ...attached])];
+    return [...new Set([...(isLeaf ? parentOfLeaf() : treeNeighbours()), ...attached])];
   };
 };
 
@@ -42,7 +42,7 @@
     isVolatile: isVolatile ?? (() => false),
   });
 
-const openForwardingOf = (
+const createForwarding = (
   options: DisseminationOptions,
   { arity, batchDelay }: DisseminationTiming,
   leaves: Leaves,
@@ -57,11 +57,11 @@
     send,
   });
 
-/** A leaf compares with its relay, or with a random peer where that fails; a relay with a random peer. */
-const compareRegularly = (
+/** Compares periodically: a relay with a random peer, a leaf with its parent relay or, if that fails, a random peer. */
+const startComparisons = (
   options: DisseminationOptions,
   { digestInterval, attachInterval, exchangeTimeout }: DisseminationTiming,
-  compare: Compare,
+  compare: CompareWithPeer,
 ): (() => void) => {
   const { rpc, isLeaf } = options;
   const { clock, rand } = options.runtime;
@@ -69,13 +69,13 @@
     const parent = isLeaf ? options.parent() : undefined;
     if (parent && (await compare(parent, exchangeTimeout))) return;
     const peer = choosePeer({ ...options, rand });
-    if (peer && peer !== rpc.at) await compare(peer, exchangeTimeout);
+    if (peer && peer !== rpc.address) await compare(peer, exchangeTimeout);
   });
 };
 
-/** Opens nodes of dissemination. */
+/** Factory of dissemination nodes. */
 export const dissemination = {
-  /** Takes part from now on. */
+  /** Starts to exchange updates with other nodes. */
   open: (options: DisseminationOptions): Dissemination => {
     const { rpc, isLeaf } = options;
     const { clock } = options.runtime;
@@ -91,30 +91,30 @@
       counts.relayed += peers.length;
       rpc.notifyAll(peers, messageNames.updates, encodeUpdates(updates));
     };
-    const forward = openForwardingOf(options, timing, leaves, send);
-    const take = (updates: Update[], from: Address | undefined): void => {
-      const fresh = updates.filter(store.accept);
-      if (fresh.length === 0) return;
-      forward(fresh, from);
-      for (const update of fresh) for (const listener of listeners) listener(update);
+    const forward = createForwarding(options, timing, leaves, send);
+    const applyUpdates = (updates: Update[], from: Address | undefined): void => {
+      const newUpdates = updates.filter(store.accept);
+      if (newUpdates.length === 0) return;
+      forward(newUpdates, from);
+      for (const update of newUpdates) for (const listener of listeners) listener(update);
     };
     rpc.on(messageNames.updates, isUpdates, (body, from) => {
       const updates = decodeUpdates(body);
       onContact();
       counts.pushed += updates.length;
-      take(updates, from);
+      applyUpdates(updates, from);
     });
     const onPulled = (updates: Update[], from: Address): void => {
       counts.pulled += updates.length;
-      take(updates, from);
+      applyUpdates(updates, from);
     };
     const compare = openAntiEntropy({ rpc, store, isLeaf, onContact, onLeaf: leaves.attach, onPulled });
-    const close = compareRegularly(options, timing, compare);
+    const close = startComparisons(options, timing, compare);
 
     return {
-      put: (name, version, value) => take([{ name, version, value }], undefined),
+      put: (name, version, value) => applyUpdates([{ name, version, value }], undefined),
       get: store.get,
-      all: store.withPrefix,
+      withPrefix: store.withPrefix,
       retain: store.retain,
       onUpdate: (listener) => void listeners.push(listener),
       hasLeaves: () => leaves.addresses().length > 0,
--- a/packages/dissemination/src/forwarding.ts
+++ b/packages/dissemination/src/forwarding.ts
@@ -1,32 +1,32 @@
 /**
- * Passing updates on to the neighbours of this node (§3.5): at once, or, for items that many nodes send often, in
- * batches.
+ * Forwards updates to the neighbours of this node (§3.5): immediately, or in batches for items that many nodes update
+ * often.
  */
 import type { Address, Clock, Microseconds } from '@thornsail/runtime';
 import type { Update } from './types.js';
 
-/** With fewer relays each update is passed on by itself, at once: a batch would only be late. */
-const batchFromRelays = 24;
+/** With fewer relays, updates are forwarded immediately, since a batch would only add delay. */
+const minRelaysForBatching = 24;
 
-/** What passing on works with. */
+/** The dependencies and settings of forwarding. */
 export type ForwardingOptions = {
   clock: Clock;
-  /** To whom updates are passed on now. */
+  /** Returns the current neighbours, to which updates are forwarded. */
   neighbours: () => Address[];
   relayCount: () => number;
   isBatched: (name: string) => boolean;
-  /** For how long updates are collected. */
+  /** The time for which updates are collected into a batch. */
   batchDelay: Microseconds;
-  /** Sends one message with all the updates to each of the peers. */
+  /** Sends all the updates in one message to each of the peers. */
   send: (peers: Address[], updates: Update[]) => void;
 };
-/** Passes updates on to all neighbours but the one that they came from (undefined: from this node itself). */
+/** Forwards updates to all neighbours except their sender; `from` is undefined for updates of this node. */
 export type Forward = (updates: Update[], from: Address | undefined) => void;
 
-/** The newest update of each item that waits for the next batch, and where it came from. */
+/** The newest pending update of each item, by item name, and its sender. */
 type Batch = Map<string, { update: Update; from: Address | undefined }>;
 
-/** Passes updates on for one node. */
+/** Creates the forwarding function of one node. */
 export const openForwarding = (options: ForwardingOptions): Forward => {
   const { clock, neighbours, send } = options;
   const batch: Batch = new Map();
@@ -44,11 +44,11 @@
     for (const update of updates) batch.set(update.name, { update, from });
   };
   return (updates, from) => {
-    const goesInBatch = ({ name }: Update): boolean =>
-      options.isBatched(name) && options.relayCount() >= batchFromRelays;
-    const urgent = updates.filter((update) => !goesInBatch(update));
+    const isBatchedNow = ({ name }: Update): boolean =>
+      options.isBatched(name) && options.relayCount() >= minRelaysForBatching;
+    const immediate = updates.filter((update) => !isBatchedNow(update));
     const peers = (): Address[] => neighbours().filter((peer) => peer !== from);
-    if (urgent.length > 0) send(peers(), urgent);
-    addToBatch(updates.filter(goesInBatch), from);
+    if (immediate.length > 0) send(peers(), immediate);
+    addToBatch(updates.filter(isBatchedNow), from);
   };
 };
--- a/packages/dissemination/src/relay-tree.ts
+++ b/packages/dissemination/src/relay-tree.ts
@@ -1,11 +1,11 @@
-/** The tree that updates go down (§3.5). All nodes with the same list of relays compute the same tree. */
+/** The tree along which relays forward updates (§3.5). All nodes with the same relay list compute the same tree. */
 import { ring } from '@thornsail/failure-detector';
 import type { Address } from '@thornsail/runtime';
 import type { Relay } from './types.js';
 
-/** The tree of relays: the children of the relay at index i of the ring are at `arity` * i + 1 and the next. */
+/** The relay tree, a complete tree in ring order: the children of index i start at index `arity` * i + 1. */
 export const relayTree = {
-  /** The parent of a relay, if it has one, and its children; none if `id` is not a relay. */
+  /** Returns the parent of a relay, if any, and its children; an empty list if `id` is not a relay. */
   neighbours: (relays: Relay[], id: string, arity: number): Relay[] => {
     const ordered = ring.sorted(relays);
     const index = ordered.findIndex((relay) => relay.id === id);
@@ -16,15 +16,15 @@
   },
 };
 
-/** The addresses of a relay's neighbours; computed anew only when the list of relays is another object. */
+/** Returns a function for the addresses of a relay's neighbours; cached until the relay list is another array. */
 export const openNeighbourAddresses = (relays: () => Relay[], id: string, arity: number): (() => Address[]) => {
-  let known: { relays: Relay[]; addresses: Address[] } | undefined;
+  let cached: { relays: Relay[]; addresses: Address[] } | undefined;
   return () => {
     const current = relays();
-    if (known?.relays !== current) {
+    if (cached?.relays !== current) {
       const addresses = relayTree.neighbours(current, id, arity).map(({ address }) => address);
-      known = { relays: current, addresses };
+      cached = { relays: current, addresses };
     }
-    return known.addresses;
+    return cached.addresses;
   };
 };
--- a/packages/dissemination/src/types.ts
+++ b/packages/dissemination/src/types.ts
@@ -1,73 +1,73 @@
-/** What dissemination is about: items by name, their versions, and the relays that pass them on (§3.5). */
+/** The public types of dissemination: named items, their versions, and the relays that forward them (§3.5). */
 import type { Address, Microseconds, Runtime } from '@thornsail/runtime';
 import type { Rpc } from '@thornsail/rpc';
 
-/** A new version of an item. Versions of one name only grow; a newer one replaces all older ones. */
+/** A new version of an item. The versions of a name increase; a newer one replaces all older ones. */
 export type Update = { name: string; version: number; value: unknown };
-/** The newest version of an item that this node knows, and when it came here. */
-export type Item = { version: number; value: unknown; at: Microseconds };
-/** A node that passes updates on. */
+/** The newest version of an item that this node has, and when it received it by its own clock. */
+export type Item = { version: number; value: unknown; receivedAt: Microseconds };
+/** A node that forwards updates. */
 export type Relay = { id: string; address: Address };
 /** The version of each item by its name. */
 export type Digest = Record<string, number>;
 
-/** The timing of dissemination, and the form of its tree. */
+/** The timing of dissemination, in microseconds, and the arity of its tree. */
 export type DisseminationTiming = {
-  /** How many children each relay has in the tree. */
+  /** The number of children of each relay in the tree. */
   arity: number;
-  /** Between two comparisons that a relay makes with a random peer. */
+  /** The time between two comparisons of a relay with a random peer. */
   digestInterval: Microseconds;
-  /** Between two comparisons that a leaf makes with its relay. */
+  /** The time between two comparisons of a leaf with its parent relay. */
   attachInterval: Microseconds;
   /** The timeout of each request of a comparison. */
   exchangeTimeout: Microseconds;
-  /** For how long updates are collected at each hop, where they go in batches. */
+  /** The time for which each hop collects batched updates before it forwards them. */
   batchDelay: Microseconds;
 };
 
-/** What a node works with. */
+/** The dependencies and settings of a dissemination node. */
 export type DisseminationOptions = {
   runtime: Runtime;
   rpc: Rpc;
   /** The id of this node. */
   self: string;
-  /** A leaf passes nothing on between relays; it gets its updates from one relay. */
+  /** Whether this node is a leaf: it receives updates from one relay and forwards nothing between relays. */
   isLeaf: boolean;
-  /** The relays of now. A new list must be a new array. */
+  /** Returns the current relays. A changed list must be a new array: results are cached by identity. */
   relays: () => Relay[];
-  /** Whether an item of this name may be stored at all now. */
+  /** Whether an item of this name may be stored at present. */
   admits: (name: string) => boolean;
-  /** Whether the value has the form that its name asks for; others are neither stored nor passed on. */
+  /** Whether the value has the shape that its name requires; invalid updates are neither stored nor forwarded. */
   isValid?: (update: Update) => boolean;
-  /** Items that are sent again and again anyway: they are pushed, and not compared. */
+  /** Whether the item is volatile: its updates are pushed, and left out of comparisons since new ones follow soon. */
   isVolatile?: (name: string) => boolean;
-  /** Items that many nodes send often and that may be late: among many relays, several go in one message. */
+  /** Whether updates of the item may be delayed and, among many relays, forwarded in batches. */
   isBatched?: (name: string) => boolean;
-  /** For a leaf: the relay that it attaches to, if there is one. */
+  /** Returns the relay that a leaf attaches to, if there is one; not used by relays. */
   parent: () => Address | undefined;
-  /** Further addresses to compare with when no relay is known, and now and then. */
+  /** Returns further addresses that may be compared with: if no other relay is known, and occasionally otherwise. */
   fallbacks: () => Address[];
   timing?: Partial<DisseminationTiming>;
 };
 
-/** A node that takes part in dissemination. */
+/** A running dissemination node. */
 export type Dissemination = {
-  /** Stores an update and sends it to all nodes, unless the same version or a newer one is known here. */
+  /** Stores an update and sends it to all nodes, unless this node has the same or a newer version. */
   put: (name: string, version: number, value: unknown) => void;
   get: (name: string) => Item | undefined;
-  /** The items whose names begin with `prefix`. */
-  all: (prefix: string) => { name: string; item: Item }[];
-  /** Drops the items whose names do not pass. */
+  /** Returns the items whose names start with `prefix`. */
+  withPrefix: (prefix: string) => { name: string; item: Item }[];
+  /** Removes the items whose names do not pass `keep`. */
   retain: (keep: (name: string) => boolean) => void;
-  /** Calls `listener` with each update that is new here. */
+  /** Registers a listener that is called with each update that this node stores. */
   onUpdate: (listener: (update: Update) => void) => void;
   /** Whether a leaf is attached to this relay. */
   hasLeaves: () => boolean;
-  /** When another node last exchanged updates or digests with this one. */
+  /** Returns the time of the last exchange of updates or digests with another node. */
   lastContact: () => Microseconds;
-  /** Compares at once with a given peer; true if the peer took part. Never rejects. */
+  /** Compares with the given peer immediately; resolves to true if the peer responded. Never rejects. */
   refresh: (peer: Address, timeout?: Microseconds) => Promise<boolean>;
-  /** Updates that came unasked, those that came by comparison, and messages that were passed on. */
+  /** Counts of updates received by push, updates received by comparison, and update messages sent. */
   counts: () => { pushed: number; pulled: number; relayed: number };
   close: () => void;
 };
--- a/packages/dissemination/test/wire.test.ts
+++ b/packages/dissemination/test/wire.test.ts
@@ -1,10 +1,10 @@
-// The bytes of dissemination messages (§3.5). The literals were written by the release before.
+// The wire format of the dissemination messages (§3.5). The literals were written by the previous release.
 import { stringify } from 'devalue';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import * as wire from '../src/wire.js';
 
-test('updates and comparisons are encoded to the bytes of the release before', () => {
+test('updates and comparison messages are encoded to the bytes of the previous release', () => {
   assert.equal(wire.messageNames, { updates: 'beam.news', checksum: 'beam.sum', digest: 'beam.digest' });
   const encoded = [
     wire.encodeUpdates([{ name: 'order', version: 7, value: { x: 1 } }]),
@@ -25,7 +25,7 @@
     ],
   );
 });
-test('what was encoded is decoded to the same message', () => {
+test('decoding an encoded message gives the same message', () => {
   const updates = [{ name: 'order', version: 7, value: { x: 1 } }];
   assert.equal(wire.decodeUpdates(wire.encodeUpdates(updates)), updates);
   const checksum = { checksum: 5, isLeaf: true };
@@ -35,13 +35,13 @@
   const reply = { updates, digest: { order: 7 } };
   assert.equal(wire.decodeDigestReply(wire.encodeDigestReply(reply)), reply);
 });
-test('a list with one malformed update is rejected; in a reply only that update is dropped', () => {
-  const sound = { name: 'order', mark: 7, value: 1 };
+test('a list with one malformed update is rejected; in a reply only the malformed update is dropped', () => {
+  const valid = { name: 'order', mark: 7, value: 1 };
   const malformed = [{ name: 'order', mark: 0.5, value: 1 }, { mark: 7, value: 1 }, null, 'order'];
-  assert.ok(wire.isUpdates([sound]));
+  assert.ok(wire.isUpdates([valid]));
   for (const update of malformed) {
-    assert.not.ok(wire.isUpdates([sound, update]), JSON.stringify(update));
-    const { updates } = wire.decodeDigestReply({ news: [update, sound], digest: {} });
+    assert.not.ok(wire.isUpdates([valid, update]), JSON.stringify(update));
+    const { updates } = wire.decodeDigestReply({ news: [update, valid], digest: {} });
     assert.equal(updates, [{ name: 'order', version: 7, value: 1 }]);
   }
   assert.throws(() => wire.decodeDigestReply(null));
--- a/packages/failure-detector/src/detector.ts
+++ b/packages/failure-detector/src/detector.ts
@@ -1,36 +1,36 @@
 /**
  * The failure detector (§3.2): each node sends heartbeats to its watchers, the next few nodes on a ring. A watcher only
- * suspects; whether a node is dead is ruled by the coordinators, and only when two watchers agree.
+ * reports suspicions; the coordinators declare a node dead, and only when two watchers suspect it.
  */
 import { time, duration, type Microseconds, type Runtime } from '@thornsail/runtime';
 import type { Rpc } from '@thornsail/rpc';
 import { openNeighbours, type Peer } from './neighbours.js';
 import { decodeHeartbeat, encodeHeartbeat, heartbeatName, isHeartbeat } from './wire.js';
 
-/** The timing of a failure detector. */
+/** The timing of a failure detector, in microseconds. */
 export type FailureDetectorTiming = {
-  /** Between two heartbeats. */
+  /** The time between two heartbeats. */
   heartbeatInterval: Microseconds;
-  /** A node is suspected after this time without a heartbeat. */
+  /** The time without a heartbeat after which a node is suspected. */
   suspectAfter: Microseconds;
-  /** How many nodes watch each node. */
+  /** The number of nodes that watch each node. */
   watchers: number;
 };
-/** What a failure detector works with. */
+/** The dependencies and settings of a failure detector. */
 export type FailureDetectorOptions = {
   runtime: Runtime;
   rpc: Rpc;
-  /** This node, as it is now. */
+  /** Returns this node with its current incarnation. */
   self: () => Peer;
-  /** The members that are expected to live. A new list must be a new array. */
+  /** Returns the members that are not dead. A changed list must be a new array: results are cached by identity. */
   members: () => Peer[];
-  /** Called after each interval in which there is a suspect, with all of them. */
+  /** Called with all current suspects, in each heartbeat interval in which there are any. */
   onSuspected: (suspects: Peer[]) => void;
   timing?: Partial<FailureDetectorTiming>;
 };
 /** A running failure detector. */
 export type FailureDetector = {
-  /** The watched nodes that were silent for too long in the last round. */
+  /** Returns the watched nodes that were suspected in the last round. */
   suspects: () => Peer[];
   close: () => void;
 };
@@ -40,14 +40,15 @@
   suspectAfter: duration.ms(1000),
   watchers: 3,
 };
-/** A node that did not run for this many intervals was frozen. */
-const frozenIntervals = 3;
+/** This node was frozen if its previous round was more than this many heartbeat intervals ago. */
+const freezeThresholdIntervals = 3;
 
-type Contact = { incarnation: number; at: Microseconds };
+/** The last heartbeat of a watched node, or the time from which its silence counts. */
+type Contact = { incarnation: number; silentSince: Microseconds };
 
-/** Opens failure detectors. */
+/** Factory of failure detectors. */
 export const failureDetector = {
-  /** Sends heartbeats and watches from now on. */
+  /** Starts to send heartbeats and to watch the preceding nodes on the ring. */
   open: (options: FailureDetectorOptions): FailureDetector => {
     const { rpc, self } = options;
     const { clock } = options.runtime;
@@ -60,16 +61,17 @@
     rpc.on(heartbeatName, isHeartbeat, (body) => {
       const { id, incarnation } = decodeHeartbeat(body);
       const contact = lastContact.get(id);
-      if (!contact || incarnation >= contact.incarnation) lastContact.set(id, { incarnation, at: clock.now() });
+      if (!contact || incarnation >= contact.incarnation)
+        lastContact.set(id, { incarnation, silentSince: clock.now() });
     });
-    /** A watcher that was frozen, or has only begun to watch a node, knows nothing about the time before. */
-    const startWatching = (watched: Peer[], now: Microseconds, wasFrozen: boolean): void => {
+    /** Restarts the timeout of newly watched nodes, and of all nodes after a freeze, which missed heartbeats. */
+    const updateWatched = (watched: Peer[], now: Microseconds, wasFrozen: boolean): void => {
       const ids = new Set(watched.map(({ id }) => id));
       for (const id of lastContact.keys()) if (!ids.has(id)) lastContact.delete(id);
       for (const { id, incarnation } of watched) {
         const contact = lastContact.get(id);
         if (contact && !wasFrozen) continue;
-        lastContact.set(id, { incarnation: Math.max(contact?.incarnation ?? 0, incarnation), at: now });
+        lastContact.set(id, { incarnation: Math.max(contact?.incarnation ?? 0, incarnation), silentSince: now });
       }
     };
     const runRound = (): void => {
@@ -78,10 +80,10 @@
       const { watchers, watched } = neighboursOf(node.id);
       const addresses = watchers.map(({ address }) => address);
       rpc.notifyAll(addresses, heartbeatName, encodeHeartbeat(node));
-      const wasFrozen = now - lastRound > timing.heartbeatInterval * frozenIntervals;
+      const wasFrozen = now - lastRound > timing.heartbeatInterval * freezeThresholdIntervals;
       lastRound = now;
-      startWatching(watched, now, wasFrozen);
-      suspects = watched.filter(({ id }) => now - lastContact.get(id)!.at > timing.suspectAfter);
+      updateWatched(watched, now, wasFrozen);
+      suspects = watched.filter(({ id }) => now - lastContact.get(id)!.silentSince > timing.suspectAfter);
       if (suspects.length) options.onSuspected(suspects);
     };
 
--- a/packages/failure-detector/src/index.ts
+++ b/packages/failure-detector/src/index.ts
@@ -1,4 +1,4 @@
-/** Failure detection by heartbeats on a ring (§3.2). */
+/** Failure detection with heartbeats between neighbours on a ring (§3.2). */
 export {
   failureDetector,
   type FailureDetector,
--- a/packages/failure-detector/src/neighbours.ts
+++ b/packages/failure-detector/src/neighbours.ts
@@ -1,4 +1,4 @@
-/** The neighbours of this node on the ring (§3.2). */
+/** The watchers and the watched nodes of this node on the ring (§3.2). */
 import type { Address } from '@thornsail/runtime';
 import { ring } from './ring.js';
 
@@ -6,29 +6,30 @@
 export type Peer = {
   id: string;
   address: Address;
-  /** Rises each time that the node joins again, or refutes a suspicion. */
+  /** Increases each time the node joins again or refutes a suspicion. */
   incarnation: number;
 };
-/** Whom this node sends heartbeats to, and whose heartbeats it expects. */
+/** The neighbours of this node on the ring. */
 export type Neighbours = {
+  /** The nodes that this node sends heartbeats to. */
   watchers: Peer[];
-  /** In the order of the list of members. */
+  /** The nodes from which this node expects heartbeats, in the order of the member list. */
   watched: Peer[];
 };
 
-/** Computes the neighbours anew only when the list of members is another object, or this node has another id. */
+/** Returns a function that computes the neighbours; cached until the member list is another array or the id changes. */
 export const openNeighbours = (members: () => Peer[], count: number): ((selfId: string) => Neighbours) => {
-  let known: (Neighbours & { members: Peer[]; selfId: string }) | undefined;
+  let cached: (Neighbours & { members: Peer[]; selfId: string }) | undefined;
   return (selfId) => {
     const current = members();
-    if (known?.members === current && known.selfId === selfId) return known;
+    if (cached?.members === current && cached.selfId === selfId) return cached;
     const watchedIds = new Set(ring.watched(current, selfId, count).map(({ id }) => id));
-    known = {
+    cached = {
       members: current,
       selfId,
       watchers: ring.watchers(current, selfId, count),
       watched: current.filter(({ id }) => watchedIds.has(id)),
     };
-    return known;
+    return cached;
   };
 };
--- a/packages/failure-detector/src/ring.ts
+++ b/packages/failure-detector/src/ring.ts
@@ -1,25 +1,25 @@
-/** The ring that nodes are ordered on, by a hash of their ids. All nodes with the same members get the same ring. */
+/** The ring on which nodes are ordered by a hash of their ids. The same members give the same ring on all nodes. */
 import { hash } from '@thornsail/runtime';
 
 type Identified = { id: string };
 
-/** Up to `count` members after `id`, in order and around the end; none if `id` is not a member. */
-const nextAfter = <Node extends Identified>(ordered: Node[], id: string, count: number): Node[] => {
+/** Returns up to `count` nodes that follow `id` in the list, wrapping around at the end; none if `id` is not listed. */
+const successors = <Node extends Identified>(ordered: Node[], id: string, count: number): Node[] => {
   const index = ordered.findIndex((node) => node.id === id);
   if (index < 0) return [];
   const length = Math.min(count, ordered.length - 1);
   return Array.from({ length }, (_, i) => ordered[(index + 1 + i) % ordered.length]!);
 };
 
-/** Questions about the ring that a list of nodes forms. */
+/** Functions on the ring that a list of nodes forms. */
 export const ring = {
-  /** The nodes in the order of the ring. Equal hashes are ordered by id. */
+  /** Returns the nodes in ring order. Nodes with equal hashes are ordered by id. */
   sorted: <Node extends Identified>(nodes: Node[]): Node[] =>
     [...nodes].sort((a, b) => hash.of(a.id) - hash.of(b.id) || (a.id < b.id ? -1 : 1)),
-  /** Who watches a node: the next few after it. */
+  /** Returns the nodes that watch a node: the next `count` nodes after it. */
   watchers: <Node extends Identified>(nodes: Node[], id: string, count: number): Node[] =>
-    nextAfter(ring.sorted(nodes), id, count),
-  /** Whom a node watches: the few before it. */
+    successors(ring.sorted(nodes), id, count),
+  /** Returns the nodes that a node watches: the `count` nodes before it. */
   watched: <Node extends Identified>(nodes: Node[], id: string, count: number): Node[] =>
-    nextAfter(ring.sorted(nodes).reverse(), id, count),
+    successors(ring.sorted(nodes).reverse(), id, count),
 };
--- a/packages/failure-detector/src/wire.ts
+++ b/packages/failure-detector/src/wire.ts
@@ -1,21 +1,21 @@
-/** The heartbeat as it goes over the wire (§3.2). An incarnation is `inc` there. */
+/** Encoding of the heartbeat message (§3.2). The wire field `inc` is the incarnation. */
 import { validate } from '@thornsail/rpc';
 
-/** The name of the message. */
+/** The RPC method of a heartbeat, by its name on the wire. */
 export const heartbeatName = 'beat';
 
-/** Says that a node lives. */
+/** A notification that a node is alive. */
 export type Heartbeat = { id: string; incarnation: number };
 
 type HeartbeatBody = { id: string; inc: number };
 
-/** Whether a body is that of a heartbeat. */
+/** Whether a message body is a heartbeat. */
 export const isHeartbeat = validate.object({ id: validate.string, inc: validate.integer });
 
-/** The body of a heartbeat. */
+/** Encodes the body of a heartbeat. */
 export const encodeHeartbeat = ({ id, incarnation }: Heartbeat): HeartbeatBody => ({ id, inc: incarnation });
 
-/** `body` has passed `isHeartbeat`. */
+/** Decodes a body that has passed `isHeartbeat`. */
 export const decodeHeartbeat = (body: unknown): Heartbeat => {
   const { id, inc } = body as HeartbeatBody;
   return { id, incarnation: inc };
--- a/packages/leases/src/lease.ts
+++ b/packages/leases/src/lease.ts
@@ -1,45 +1,45 @@
 /**
- * A candidate for a lease, and its holder (§3.6). A majority of voters grants the lease for one term, under a fencing
- * token. The holder extends it, and stops by its own clock before the grants can end.
+ * The client side of a lease: acquires, extends and releases it (§3.6). A majority of voters grants the lease for one
+ * term under a fencing token. The holder extends it, or stops holding it by its own clock before the grants expire.
  */
 import { time, duration, type Address, type Log, type Microseconds, type Runtime } from '@thornsail/runtime';
 import type { Rpc } from '@thornsail/rpc';
 import { defaultTerm } from './voter.js';
 import { decodeGrantReply, encodeGrantRequest, encodeRelease, messageNames, type GrantReply } from './wire.js';
 
-/** Between two rounds of requests. */
+/** The time between two rounds of grant requests. */
 const roundInterval = duration.ms(300);
 const requestTimeout = duration.ms(400);
-/** A candidate that was rejected looks again after this time at the latest: the holder may release the lease early. */
-const longestWait = duration.ms(800);
-/** Candidates wait a random time up to this in addition, so that they do not reject each other again. */
-const waitJitter = duration.ms(400);
+/** A rejected candidate retries after this time at the latest (plus jitter): the holder may release the lease early. */
+const maxRetryDelay = duration.ms(800);
+/** The upper bound of a random additional delay, which keeps competing candidates from splitting the votes again. */
+const retryJitter = duration.ms(400);
 
-/** A lease that this process holds, or tries to get. */
+/** A lease that this process holds or tries to acquire. */
 export type Lease = {
-  /** Whether this process holds the lease now, by its own clock. */
+  /** Whether this process currently holds the lease, by its own clock. */
   holds: () => boolean;
   /**
-   * The fencing token of the newest grant; 0 before the first. Whoever takes orders from the holder rejects one with an
+   * The fencing token of the newest grant; 0 before the first. Recipients of the holder's requests reject those with an
    * older token.
    */
   fencingToken: () => number;
-  /** Releases the lease if it is held, and makes no more requests. */
+  /** Stops requesting grants, and releases the lease if it is held. */
   close: () => void;
 };
-/** What a candidate works with. */
+/** The dependencies and settings of a lease candidate. */
 export type LeaseOptions = {
   runtime: Runtime;
   rpc: Rpc;
   /** The name of the lease. */
   name: string;
-  /** The identity of this process; no other process may have it, also not a later one. */
+  /** The id of this process. It must be unique among all processes, including later ones. */
   holder: string;
-  /** The voters of now. */
+  /** Returns the current voters. */
   voters: () => Address[];
-  /** For how long a grant lasts; the voters must use the same time. */
+  /** The duration of a grant, 3 s by default; the voters must use the same duration. */
   term?: Microseconds;
-  /** Called with the fencing token each time that the lease is acquired. */
+  /** Called with the fencing token each time the lease is acquired, but not when it is extended. */
   onAcquired?: (fencingToken: number) => void;
 };
 
@@ -49,12 +49,12 @@
   log: Log;
   heldUntil: Microseconds;
   fencingToken: number;
-  /** The highest token that any voter has replied with. */
+  /** The highest fencing token in any reply of a voter. */
   highestToken: number;
-  /** Before this time no request is made, unless to extend the lease. */
-  waitsUntil: Microseconds;
+  /** No attempt to acquire the lease starts before this time; extensions are not delayed. */
+  retryAt: Microseconds;
 };
-type Round = { startedAt: Microseconds; extends: boolean; fencingToken: number; voters: Address[] };
+type Round = { startedAt: Microseconds; isExtension: boolean; fencingToken: number; voters: Address[] };
 
 const isHeld = (candidate: Candidate): boolean => candidate.heldUntil > candidate.options.runtime.clock.now();
 
@@ -70,47 +70,48 @@
 const release = ({ options: { rpc, name, holder } }: Candidate, voter: Address, fencingToken: number): void =>
   rpc.notify(voter, messageNames.release, encodeRelease({ lease: name, holder, fencingToken }));
 
-const acquire = (candidate: Candidate, round: Round): void => {
+const applyMajorityGrant = (candidate: Candidate, round: Round): void => {
   const { options, term, log } = candidate;
-  if (!round.extends) log(`acquired the lease ${options.name} with fencing token ${round.fencingToken}.`);
+  if (!round.isExtension) log(`acquired the lease ${options.name} with fencing token ${round.fencingToken}.`);
   candidate.fencingToken = round.fencingToken;
-  // The grants count from when the voters got the requests, which was after the start of the round.
+  // Grants start when the voters receive the requests, which is after the start of the round. Ending a fifth of the
+  // term earlier tolerates clocks that run at slightly different speeds.
   candidate.heldUntil = round.startedAt + term - term / 5;
-  if (!round.extends) options.onAcquired?.(round.fencingToken);
+  if (!round.isExtension) options.onAcquired?.(round.fencingToken);
 };
-const giveUpRound = (candidate: Candidate, round: Round, replies: (GrantReply | undefined)[]): void => {
+const abandonRound = (candidate: Candidate, round: Round, replies: (GrantReply | undefined)[]): void => {
   const { holder, runtime } = candidate.options;
   const { clock, rand } = runtime;
-  // A minority's grants would only keep others out.
-  if (!round.extends)
+  // The grants of a minority would only block other candidates.
+  if (!round.isExtension)
     for (const [i, reply] of replies.entries())
       if (reply?.granted) release(candidate, round.voters[i]!, round.fencingToken);
-  const other = replies.find((reply) => reply && reply.holder !== null && reply.holder !== holder);
-  const wait = Math.min(longestWait, other?.remaining ?? 0);
-  candidate.waitsUntil = clock.now() + wait + rand.int(waitJitter);
+  const otherGrant = replies.find((reply) => reply && reply.holder !== null && reply.holder !== holder);
+  const retryDelay = Math.min(maxRetryDelay, otherGrant?.remaining ?? 0);
+  candidate.retryAt = clock.now() + retryDelay + rand.int(retryJitter);
 };
-/** One round of requests to all voters: it acquires or extends the lease if a majority grants it. */
+/** Requests grants from all voters once; acquires or extends the lease if a majority grants it. */
 const runRound = async (candidate: Candidate): Promise<void> => {
   const { clock } = candidate.options.runtime;
   const startedAt = clock.now();
-  const extending = isHeld(candidate);
-  if (!extending && startedAt < candidate.waitsUntil) return;
-  // Tokens follow the wall clock, so that they also grow when all voters have forgotten theirs.
+  const wasHeld = isHeld(candidate);
+  if (!wasHeld && startedAt < candidate.retryAt) return;
+  // Tokens are based on the wall clock in ms, so that they increase even if all voters restarted and lost theirs.
   const newToken = (): number => Math.max(candidate.highestToken + 1, Math.floor(clock.wallTime() / 1000));
-  const fencingToken = extending ? candidate.fencingToken : newToken();
+  const fencingToken = wasHeld ? candidate.fencingToken : newToken();
   const voters = candidate.options.voters();
   if (voters.length === 0) return;
-  const round: Round = { startedAt, extends: extending, fencingToken, voters };
+  const round: Round = { startedAt, isExtension: wasHeld, fencingToken, voters };
   const replies = await requestGrants(candidate, round);
   for (const reply of replies) if (reply) candidate.highestToken = Math.max(candidate.highestToken, reply.fencingToken);
   const granted = replies.filter((reply) => reply?.granted).length;
-  if (granted > voters.length / 2) acquire(candidate, round);
-  else giveUpRound(candidate, round, replies);
+  if (granted > voters.length / 2) applyMajorityGrant(candidate, round);
+  else abandonRound(candidate, round, replies);
 };
 
-/** Opens leases. */
+/** Factory of leases. */
 export const lease = {
-  /** Tries from now on to acquire the lease, and to keep it. */
+  /** Starts to acquire the lease and, once it is held, to extend it. */
   open: (options: LeaseOptions): Lease => {
     const { clock } = options.runtime;
     const candidate: Candidate = {
@@ -120,7 +121,7 @@
       heldUntil: 0,
       fencingToken: 0,
       highestToken: 0,
-      waitsUntil: 0,
+      retryAt: 0,
     };
     const stop = time.every(clock, roundInterval, () => runRound(candidate));
     return {
--- a/packages/leases/src/voter.ts
+++ b/packages/leases/src/voter.ts
@@ -1,4 +1,4 @@
-/** The voter of leases (§3.6): it grants each lease to one holder at a time, under tokens that only grow. */
+/** The voter side of leases (§3.6): grants each lease to one holder at a time, with increasing fencing tokens. */
 import { duration, type Microseconds, type Runtime } from '@thornsail/runtime';
 import type { Rpc } from '@thornsail/rpc';
 import {
@@ -13,27 +13,27 @@
   type ReleaseMessage,
 } from './wire.js';
 
-/** For how long a grant lasts, unless another time is given. */
+/** The default duration of a grant. */
 export const defaultTerm: Microseconds = duration.s(3);
 
-/** The newest grant of one lease. It may have ended. */
+/** The newest grant of one lease. It may have expired. */
 export type Grant = { holder: string; fencingToken: number; expiresAt: Microseconds };
-/** A voter. It answers as long as its endpoint is open. */
+/** A running voter. It answers requests until its RPC endpoint is closed. */
 export type LeaseVoter = {
-  /** The newest grant of each lease, by its name. */
+  /** The newest grant of each lease, by the name of the lease. */
   grants: () => Record<string, Grant>;
 };
-/** What a voter works with. */
+/** The dependencies and settings of a voter. */
 export type LeaseVoterOptions = {
   runtime: Runtime;
   rpc: Rpc;
-  /** For how long a grant lasts; the holders must use the same time. */
+  /** The duration of a grant, 3 s by default; the holders must use the same duration. */
   term?: Microseconds;
 };
 
-/** Opens voters. */
+/** Factory of voters. */
 export const leaseVoter = {
-  /** Votes from one term after now: a voter that was started again may have forgotten a grant. */
+  /** Opens a voter. It abstains for its first term: a restarted voter may have lost a grant that is still valid. */
   open: ({ runtime, rpc, term = defaultTerm }: LeaseVoterOptions): LeaseVoter => {
     const { clock } = runtime;
     const grants = new Map<string, Grant>();
@@ -47,13 +47,13 @@
       if (now < abstainsUntil) return { ...rejected, holder: null, remaining: abstainsUntil - now };
       if (isHeld && grant.holder !== holder)
         return { ...rejected, holder: grant.holder, remaining: grant.expiresAt - now };
-      // The holder keeps its token when it extends its grant. Any other grant needs a new one.
+      // An extension by the current holder keeps its token. Any other grant needs a higher token.
       const isStale = grant && (isHeld ? fencingToken < grant.fencingToken : fencingToken <= grant.fencingToken);
       if (isStale) return { ...rejected, holder: isHeld ? grant.holder : null, remaining: 0 };
       grants.set(lease, { holder, fencingToken, expiresAt: now + term });
       return { granted: true, fencingToken, holder, remaining: term };
     };
-    /** A release that arrives late is about an earlier grant, and does not end the one of now. */
+    /** Ends a grant before its expiry. A delayed release of an earlier grant does not end the current one. */
     const release = ({ lease, holder, fencingToken }: ReleaseMessage): void => {
       const grant = grants.get(lease);
       if (grant?.holder === holder && (fencingToken ?? grant.fencingToken) >= grant.fencingToken)
--- a/packages/leases/test/wire.test.ts
+++ b/packages/leases/test/wire.test.ts
@@ -1,4 +1,4 @@
-// The bytes of the bodies of lease messages (§3.6). The literals were written by the release before.
+// The wire format of the lease messages (§3.6). The literals were written by the previous release.
 import { stringify } from 'devalue';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -6,7 +6,7 @@
 
 const grant = { lease: 'sweep', holder: 'a', fencingToken: 1700000000000 };
 
-test('requests, replies and releases are encoded to the bytes of the release before', () => {
+test('requests, replies and releases are encoded to the bytes of the previous release', () => {
   const body = '[{"duty":1,"by":2,"mark":3},"sweep","a",1700000000000]';
   assert.is(stringify(wire.encodeGrantRequest(grant)), body);
   assert.is(stringify(wire.encodeRelease(grant)), body);
@@ -19,7 +19,7 @@
   assert.is(stringify(wire.encodeGrantReply(rejected)), '[{"ok":1,"mark":2,"by":3,"left":4},false,0,null,3000000]');
   assert.equal(wire.messageNames, { grant: 'watch.ballot', release: 'watch.leave' });
 });
-test('what was encoded is decoded to the same message', () => {
+test('decoding an encoded message gives the same message', () => {
   assert.equal(wire.decodeGrantRequest(wire.encodeGrantRequest(grant)), grant);
   assert.equal(wire.decodeRelease(wire.encodeRelease(grant)), grant);
   for (const holder of ['a', null]) {
@@ -28,7 +28,7 @@
   }
   assert.is(wire.decodeGrantReply(undefined), undefined);
 });
-test('a release may lack its token; a request may not, and neither may carry another one than an integer', () => {
+test('the token is optional in a release and required in a request; a token that is not an integer is rejected', () => {
   assert.ok(wire.isRelease({ duty: 'sweep', by: 'a' }));
   assert.is(wire.decodeRelease({ duty: 'sweep', by: 'a' }).fencingToken, undefined);
   assert.not.ok(wire.isGrantRequest({ duty: 'sweep', by: 'a' }));
--- a/packages/membership/src/dead-nodes.ts
+++ b/packages/membership/src/dead-nodes.ts
@@ -1,35 +1,35 @@
-/** For how long nodes have been known to be dead (§3.2). By the clock of this node: walls may differ. */
+/** Tracks how long nodes have been known to be dead (§3.2), by the clock of this node since wall clocks may differ. */
 import type { AgreedState } from '@thornsail/consensus';
 import type { Clock, Microseconds } from '@thornsail/runtime';
 
-/** With more the one that was noted first is forgotten. */
-const mostDead = 1024;
+/** Above this number, the entry that was recorded first is dropped. */
+const maxDeadNodes = 1024;
 
-/** When each dead node was first seen to be dead. */
+/** Records when each dead node was first observed to be dead. */
 export type DeadNodes = {
-  /** A newer agreed state has come. */
+  /** Updates the records from a newer agreed state. */
   observe: (state: AgreedState) => void;
-  /** 0 for a node that is not dead. */
+  /** Returns the time since the node was first observed to be dead; 0 for a node that is not dead. */
   deadFor: (id: string, state: AgreedState | undefined) => Microseconds;
 };
 
-/** No dead nodes yet. */
+/** Creates an empty record of dead nodes. */
 export const openDeadNodes = (clock: Clock): DeadNodes => {
   const deadSince = new Map<string, Microseconds>();
-  const noteDead = (id: string): void => {
+  const recordDead = (id: string): void => {
     if (!deadSince.has(id)) deadSince.set(id, clock.now());
   };
   return {
     observe: (state) => {
       for (const { id, status } of Object.values(state.nodes)) {
-        if (status === 'dead') noteDead(id);
+        if (status === 'dead') recordDead(id);
         else deadSince.delete(id);
       }
-      if (deadSince.size > mostDead) deadSince.delete(deadSince.keys().next().value as string);
+      if (deadSince.size > maxDeadNodes) deadSince.delete(deadSince.keys().next().value as string);
     },
     deadFor: (id, state) => {
-      // A node that the agreed state no longer lists was dead long before.
-      if (state && !state.nodes[id]) noteDead(id);
+      // The agreed state lists a limited number of dead nodes, so a node that it no longer lists died long ago.
+      if (state && !state.nodes[id]) recordDead(id);
       const since = deadSince.get(id);
       return since === undefined ? 0 : clock.now() - since;
     },
--- a/packages/membership/src/freeze-monitor.ts
+++ b/packages/membership/src/freeze-monitor.ts
@@ -1,24 +1,24 @@
-/** Notices that this process did not run for a while, so that what it knows may be old (§3.7). */
+/** Detects freezes, in which this process did not run, so that its state may be out of date (§3.7). */
 import { duration, type Clock, type Microseconds } from '@thornsail/runtime';
 
-/** A process that was not seen to run for this long was frozen. */
+/** A longer time between two ticks counts as a freeze. */
 const freezeLimit: Microseconds = duration.ms(700);
 
-/** Notices freezes of this process. */
+/** Detects freezes of this process. */
 export type FreezeMonitor = {
-  /** Called regularly, well within the limit. True if the process has just woken from a freeze. */
+  /** Must be called periodically, well within the limit. Returns true if the process has just resumed. */
   tick: () => boolean;
-  /** Whether the process was frozen and has not refreshed what it knows since; also before the next tick. */
+  /** Whether the process was frozen and has not refreshed its state since, even before a tick detects the freeze. */
   isStale: () => boolean;
-  /** Whether a tick has noticed a freeze after which nothing was refreshed. */
+  /** Whether a tick has detected a freeze and the state has not been refreshed since. */
   needsRefresh: () => boolean;
-  /** The process knows the newest state again. */
+  /** Records that the state of the process is up to date again. */
   refreshed: () => void;
-  /** How many freezes were noticed. */
+  /** Returns the number of detected freezes. */
   freezes: () => number;
 };
 
-/** Begins now. */
+/** Starts a freeze monitor; the first interval begins now. */
 export const openFreezeMonitor = (clock: Clock): FreezeMonitor => {
   let lastTick = clock.now();
   let isFrozen = false;
@@ -26,13 +26,13 @@
   const isOverdue = (): boolean => clock.now() - lastTick > freezeLimit;
   return {
     tick: () => {
-      const hasWoken = isOverdue();
-      if (hasWoken) {
+      const hasResumed = isOverdue();
+      if (hasResumed) {
         isFrozen = true;
         freezes += 1;
       }
       lastTick = clock.now();
-      return hasWoken;
+      return hasResumed;
     },
     isStale: () => isFrozen || isOverdue(),
     needsRefresh: () => isFrozen,
--- a/packages/membership/src/joining.ts
+++ b/packages/membership/src/joining.ts
@@ -1,42 +1,42 @@
-/** Joining the agreed membership, refuting a wrong death, and leaving (§3.2). */
+/** Joins and leaves the agreed membership, and rejoins if this node was wrongly declared dead (§3.2). */
 import type { CoreClient, NodeEntry, NodeRole, AgreedState } from '@thornsail/consensus';
 import { duration, type Address, type Log } from '@thornsail/runtime';
 
 const joinTimeout = duration.s(2);
 
-/** What a node says of itself when it joins. */
+/** The description of a node in its join request. */
 export type NodeDescription = {
   id: string;
   name: string;
   role: NodeRole;
-  /** Where peers reach it. */
+  /** The RPC address of the node. */
   address: Address;
-  /** Where its HTTP API is. */
+  /** The address of its HTTP API. */
   http: Address;
   zone: string;
 };
-/** What joining works with. */
+/** The dependencies of joining. */
 export type JoiningOptions = {
   node: NodeDescription;
   core: CoreClient;
   state: () => AgreedState | undefined;
-  /** The join is in the agreed state from this index on. */
+  /** Called with the index from which on the agreed state contains the join. */
   onJoined: (index: number) => Promise<void>;
   log: Log;
 };
-/** The status of this node among the members. */
+/** The membership status of this node, and the ways to change it. */
 export type Joining = {
-  /** Rises when the coordinators know a later one, or that this node is dead. */
+  /** Increases if the coordinators have recorded a later incarnation or declared this node dead. */
   incarnation: () => number;
-  /** Whether the agreed state lists this node as it is. */
+  /** Whether the agreed state lists this node as alive, with its current incarnation and leaving status. */
   isMember: () => boolean;
-  /** Asks the coordinators to list this node as it is now. */
+  /** Sends the current description of this node to the coordinators. Rejects if they cannot be reached. */
   join: () => Promise<void>;
-  /** From now on this node is listed as leaving. */
+  /** Announces that this node is leaving; later joins repeat it. Never rejects. */
   leave: () => Promise<void>;
 };
 
-/** Not a member yet, in the first incarnation. */
+/** Starts as a non-member with incarnation 1. */
 export const openJoining = ({ node, core, state, onJoined, log }: JoiningOptions): Joining => {
   let incarnation = 1;
   let isLeaving = false;
@@ -45,7 +45,7 @@
     const entry = ownEntry();
     if (entry?.status !== 'dead' || entry.incarnation < incarnation) return;
     incarnation = entry.incarnation + 1;
-    log(`was taken for dead; refutes with incarnation ${incarnation}.`);
+    log(`this node was declared dead; rejoining with incarnation ${incarnation}.`);
   };
   const join = async (): Promise<void> => {
     refuteDeath();
--- a/packages/membership/src/known-nodes.ts
+++ b/packages/membership/src/known-nodes.ts
@@ -1,31 +1,31 @@
-/** The addresses at which peers may be found (§3.2): from the settings, from hellos, and from the agreed state. */
+/** The addresses at which peers may be found (§3.2): from settings, hello messages and the agreed state. */
 import type { Address } from '@thornsail/runtime';
 import type { KnownNode } from './wire.js';
 
-/** More are not stored: addresses come from other nodes. */
-const mostKnown = 256;
+/** Further addresses are not stored. The limit bounds memory, since addresses come from other nodes. */
+const maxKnownNodes = 256;
 
-/** The known nodes, without this one. */
+/** The known nodes, excluding this node. */
 export type KnownNodes = {
-  /** A role that is not known leaves the one known before. */
+  /** Adds nodes. An undefined role does not replace a known one. */
   add: (nodes: KnownNode[]) => void;
-  all: () => KnownNode[];
+  entries: () => KnownNode[];
   addresses: () => Address[];
-  /** The addresses that are known to be coordinators'. */
+  /** The addresses whose role is known to be coordinator. */
   coordinators: () => Address[];
 };
 
-/** No known nodes yet. */
+/** Creates an empty set of known nodes; `self` is the address of this node. */
 export const openKnownNodes = (self: Address): KnownNodes => {
   const roles = new Map<Address, KnownNode['role']>();
   return {
     add: (nodes) => {
       for (const { address, role } of nodes) {
-        if (address === self || (roles.size >= mostKnown && !roles.has(address))) continue;
+        if (address === self || (roles.size >= maxKnownNodes && !roles.has(address))) continue;
         roles.set(address, role ?? roles.get(address));
       }
     },
-    all: () => [...roles].map(([address, role]) => ({ address, role })),
+    entries: () => [...roles].map(([address, role]) => ({ address, role })),
     addresses: () => [...roles.keys()],
     coordinators: () => [...roles].filter(([, role]) => role === 'coordinator').map(([address]) => address),
   };
--- a/packages/membership/src/local-agent.ts
+++ b/packages/membership/src/local-agent.ts
@@ -1,21 +1,21 @@
-/** The agent on the machine of a gateway: the relay that the gateway attaches to while it is of use (§3.5). */
+/** The agent on the machine of a gateway: the relay that the gateway attaches to while it is available (§3.5). */
 import { duration, type Address, type Clock, type Microseconds } from '@thornsail/runtime';
 import type { AgreedStateView } from './agreed-state.js';
 
-/** With nothing from any peer for this long, the agent is taken for silent. */
-const silentAfter = duration.ms(800);
-/** For how long a silent agent is avoided. */
-const avoidedFor = duration.s(1);
+/** The agent is considered unresponsive after this time without contact with any peer. */
+const contactTimeout = duration.ms(800);
+/** An unresponsive agent is not used for this time. */
+const avoidanceTime = duration.s(1);
 
-/** The agent beside this node, if it has one. */
+/** The availability of the local agent. */
 export type LocalAgent = {
-  /** The agent's address while it is of use: not silent, and not dead by the agreed state. */
+  /** The address of the agent; undefined if there is none, or while it is unresponsive or dead by the agreed state. */
   usable: () => Address | undefined;
-  /** Called regularly with the time of the last contact with any peer. */
+  /** Must be called periodically with the time of the last contact with any peer. */
   check: (lastContact: Microseconds) => void;
 };
 
-/** The agent at `address`; undefined if this node has none. */
+/** Tracks the agent at `address`, which is undefined if this node has none. */
 export const openLocalAgent = (
   address: Address | undefined,
   clock: Clock,
@@ -27,7 +27,7 @@
     usable: () => (address === undefined || avoidedUntil > clock.now() || isDead() ? undefined : address),
     check: (lastContact) => {
       const now = clock.now();
-      if (address !== undefined && now - lastContact > silentAfter) avoidedUntil = now + avoidedFor;
+      if (address !== undefined && now - lastContact > contactTimeout) avoidedUntil = now + avoidanceTime;
     },
   };
 };
--- a/packages/membership/src/membership.ts
+++ b/packages/membership/src/membership.ts
@@ -1,6 +1,6 @@
 /**
- * Membership (§3.2): what every node does to be one of the fleet. It finds peers from any live seed, joins the agreed
- * membership, refutes a wrong death, holds the newest agreed state, and notices its own freezes.
+ * Membership (§3.2) of a node in the cluster: finds peers from any live seed, joins the agreed membership, rejoins if
+ * the node was wrongly declared dead, follows the newest agreed state, and detects freezes of the own process.
  */
 import { coreClient, coreCodec, coreRequestName, agreedState } from '@thornsail/consensus';
 import type { EncodedSnapshot, AgreedState } from '@thornsail/consensus';
@@ -20,20 +20,20 @@
 
 const freezeCheckInterval = duration.ms(100);
 const joinInterval = duration.ms(200);
-/** The timeout of each comparison that a refresh, or a join, makes. */
+/** The timeout of each comparison with a peer during a refresh or after a join. */
 const refreshTimeout: Microseconds = duration.ms(300);
-/** A node that misses so many heartbeats is suspected. */
-const missedHeartbeats = 5;
+/** A node is suspected after this many heartbeat intervals without a heartbeat. */
+const suspectAfterIntervals = 5;
 
 const knownFromOptions = ({ rpc, seeds, localAgent, coordinators }: MembershipOptions): KnownNodes => {
-  const known = openKnownNodes(rpc.at);
+  const known = openKnownNodes(rpc.address);
   const unknownRoles = localAgent === undefined ? seeds : [...seeds, localAgent];
   known.add(unknownRoles.map((address) => ({ address, role: undefined })));
   known.add((coordinators ?? []).map((address) => ({ address, role: 'coordinator' })));
   return known;
 };
 
-/** Updates about a dead node are neither stored nor taken again from a peer that does not know yet (§3.5). */
+/** Rejects items of dead nodes, so that a peer with an older agreed state cannot bring them back (§3.5). */
 const admitsName = (state: AgreedState | undefined, name: string): boolean => {
   const slash = name.indexOf('/');
   return slash < 0 || !state || state.nodes[name.slice(slash + 1)]?.status !== 'dead';
@@ -72,22 +72,22 @@
   return failureDetector.open({
     runtime,
     rpc,
-    self: () => ({ id, address: rpc.at, incarnation: incarnation() }),
+    self: () => ({ id, address: rpc.address, incarnation: incarnation() }),
     members: agreed.peers,
     onSuspected,
     ...(heartbeatInterval === undefined
       ? {}
-      : { timing: { heartbeatInterval, suspectAfter: heartbeatInterval * missedHeartbeats } }),
+      : { timing: { heartbeatInterval, suspectAfter: heartbeatInterval * suspectAfterIntervals } }),
   });
 };
 
-/** Asks for the agreed state from `index` on at the coordinators, until one has taken part. */
+/** Unless the agreed state has reached `index`, compares with one coordinator after another until one responds. */
 const fetchState = async (updates: Dissemination, coordinators: Address[], index: number): Promise<void> => {
   if ((updates.get(stateItemName)?.version ?? -1) >= index) return;
   for (const coordinator of coordinators) if (await updates.refresh(coordinator, refreshTimeout)) return;
 };
 
-/** Says hello as long as there is no agreed state, and joins as long as the agreed state does not list this node. */
+/** Sends hellos while there is no agreed state, and joins while the agreed state does not list this node as it is. */
 const keepJoined =
   (agreed: AgreedStateView, known: KnownNodes, discover: () => Promise<void>, joining: Joining) =>
   async (): Promise<void> => {
@@ -96,12 +96,13 @@
     if (!joining.isMember() && mayJoin) await joining.join().catch(() => undefined);
   };
 
+/** The parts of a membership that the others depend on. */
 type Parts = {
   known: KnownNodes;
   agreed: AgreedStateView;
   localAgent: LocalAgent;
   updates: Dissemination;
-  /** The addresses of the coordinators, as well as they are known. */
+  /** The addresses of the coordinators: from the agreed state, or else from settings and hellos. */
   coordinators: () => Address[];
 };
 
@@ -117,7 +118,7 @@
 type StateListener = (state: AgreedState, index: number) => void;
 type StateEvents = Pick<Membership, 'deadFor' | 'onState'>;
 
-/** Follows the agreed state: learns addresses from it, drops what is about dead nodes, and tells the listeners. */
+/** Processes each newer agreed state: learns addresses, removes items of dead nodes, and notifies the listeners. */
 const followState = ({ runtime }: MembershipOptions, { known, agreed, updates }: Parts): StateEvents => {
   const deadNodes = openDeadNodes(runtime.clock);
   const listeners: StateListener[] = [];
@@ -125,7 +126,7 @@
     if (name !== stateItemName) return;
     const { state, index } = decodeSnapshot(value);
     known.add(agreedState.liveNodes(state).map(({ place, role }) => ({ address: place, role })));
-    updates.retain((item) => admitsName(agreed.state(), item));
+    updates.retain((itemName) => admitsName(agreed.state(), itemName));
     deadNodes.observe(state);
     for (const listener of listeners) listener(state, index);
   });
@@ -137,13 +138,13 @@
 
 type Freshness = Pick<Membership, 'stale' | 'freezes' | 'refresh'> & { check: () => void };
 
-/** Notices freezes, and refreshes after them; `check` is called regularly. */
+/** Detects freezes and refreshes the state after them; `check` must be called periodically. */
 const openFreshness = (options: MembershipOptions, parts: Parts): Freshness => {
   const { agreed, updates, localAgent, coordinators } = parts;
   const log = options.runtime.log('membership');
   const freezes = openFreezeMonitor(options.runtime.clock);
   const refreshWithin = openRefresh({
-    self: options.rpc.at,
+    self: options.rpc.address,
     localAgent: options.localAgent,
     peers: () => [...coordinators(), ...agreed.relays().map(({ address }) => address)],
     compare: updates.refresh,
@@ -151,7 +152,7 @@
   });
   const refresh = (timeout: Microseconds = refreshTimeout): Promise<boolean> => refreshWithin(timeout);
   const check = (): void => {
-    if (freezes.tick()) log('woke from a freeze.');
+    if (freezes.tick()) log('resumed after a freeze of this process; refreshing from peers.');
     if (freezes.needsRefresh()) void refresh();
     localAgent.check(updates.lastContact());
   };
@@ -169,7 +170,7 @@
     coordinators: () => [...new Set([...(agreed.coordinators() ?? []), ...known.coordinators()])],
   });
   const joining = openJoining({
-    node: { id, name, role, address: rpc.at, http, zone },
+    node: { id, name, role, address: rpc.address, http, zone },
     core,
     state: agreed.state,
     onJoined: (index) => fetchState(updates, coordinators(), index),
@@ -178,9 +179,9 @@
   return { core, joining };
 };
 
-/** Opens the membership of a node. */
+/** Factory of memberships. */
 export const membership = {
-  /** Finds peers and joins from now on. */
+  /** Starts to find peers and to join the cluster. */
   open: (options: MembershipOptions): Membership => {
     const { rpc, role, id } = options;
     const { clock, rand } = options.runtime;
--- a/packages/membership/src/refresh.ts
+++ b/packages/membership/src/refresh.ts
@@ -1,33 +1,34 @@
-/** Refreshing what this node knows from peers that have not slept (§3.7). */
+/** Refreshes the state of this node from peers after a freeze of this process (§3.7). */
 import type { Address, Microseconds } from '@thornsail/runtime';
 
-/** So many peers are asked, beside the local agent. */
-const mostPeers = 4;
-/** One peer that answers is not enough, as it may have slept too. */
-const enoughPeers = 2;
+/** The maximum number of peers to compare with, in addition to the local agent. */
+const maxPeers = 4;
+/** The number of peers that must respond. One is not enough, since it may have been frozen too. */
+const requiredPeers = 2;
 
-/** What a refresh works with. */
+/** The dependencies of a refresh. */
 export type RefreshOptions = {
+  /** The address of this node. */
   self: Address;
   localAgent: Address | undefined;
-  /** Whom to ask, in the order of preference. */
+  /** Returns the candidate peers in order of preference. */
   peers: () => Address[];
-  /** Compares with a peer; false if it did not take part. */
+  /** Compares with a peer; resolves to false if the peer did not respond. */
   compare: (peer: Address, timeout: Microseconds) => Promise<boolean>;
-  /** Enough peers took part. */
+  /** Called after a refresh in which enough peers responded. */
   onRefreshed: () => void;
 };
 
-/** Compares with several peers; true if enough of them took part. Calls while one is under way share its outcome. */
+/** Returns a function that compares with several peers; true if enough responded. Concurrent calls share one result. */
 export const openRefresh = (options: RefreshOptions): ((timeout: Microseconds) => Promise<boolean>) => {
   const { self, localAgent, compare } = options;
   let inFlight: Promise<boolean> | undefined;
   const refreshOnce = async (timeout: Microseconds): Promise<boolean> => {
     const others = options.peers().filter((peer) => peer !== self && peer !== localAgent);
-    const asked = [...(localAgent === undefined ? [] : [localAgent]), ...others.slice(0, mostPeers)];
-    const took = await Promise.all(asked.map((peer) => compare(peer, timeout)));
-    const enough = Math.min(enoughPeers, asked.length);
-    const isRefreshed = asked.length > 0 && took.filter(Boolean).length >= enough;
+    const peers = [...(localAgent === undefined ? [] : [localAgent]), ...others.slice(0, maxPeers)];
+    const responded = await Promise.all(peers.map((peer) => compare(peer, timeout)));
+    const required = Math.min(requiredPeers, peers.length);
+    const isRefreshed = peers.length > 0 && responded.filter(Boolean).length >= required;
     if (isRefreshed) options.onRefreshed();
     return isRefreshed;
   };
--- a/packages/membership/src/types.ts
+++ b/packages/membership/src/types.ts
@@ -1,60 +1,60 @@
-/** What a node needs to be one of the fleet, and what it then knows (§3.2). */
+/** The public types of membership (§3.2). */
 import type { CoreClient, NodeRole, AgreedState, Snapshot } from '@thornsail/consensus';
 import type { Dissemination } from '@thornsail/dissemination';
 import type { FailureDetector } from '@thornsail/failure-detector';
 import type { Rpc } from '@thornsail/rpc';
 import type { Address, Microseconds, Runtime } from '@thornsail/runtime';
 
-/** What a node works with. */
+/** The dependencies of a membership and the description of its node. */
 export type MembershipOptions = {
   runtime: Runtime;
   rpc: Rpc;
-  /** The identity of this process. */
+  /** The id of this process. */
   id: string;
-  /** The operators' name of the node. */
+  /** The node name that operators use. */
   name: string;
   role: NodeRole;
-  /** Where the HTTP API of this node is. */
+  /** The address of the HTTP API of this node. */
   http: Address;
   zone: string;
-  /** Addresses at which to look for peers first. */
+  /** The addresses at which the node looks for peers first. */
   seeds: Address[];
-  /** Addresses that are known to be coordinators'. */
+  /** The addresses that are known to be those of coordinators. */
   coordinators?: Address[];
-  /** The agent on the same machine, from which a gateway gets its updates. */
+  /** The address of the agent on the same machine, from which a gateway receives its updates. */
   localAgent?: Address;
-  /** Between two heartbeats; a node that misses five is suspected. */
+  /** The time between two heartbeats; a node without one for five intervals is suspected. */
   heartbeatInterval?: Microseconds;
 };
 
-/** A node among the others. */
+/** The membership of a node in the cluster. */
 export type Membership = {
   id: string;
   dissemination: Dissemination;
-  /** Reaches the coordinators. */
+  /** The client for requests to the coordinators. */
   core: CoreClient;
   failureDetector: FailureDetector;
-  /** The newest agreed state that this node has; undefined until it has one. */
+  /** Returns the newest agreed state that this node has; undefined until it has one. */
   state: () => AgreedState | undefined;
-  /** The same with its term, its index and the coordinators. */
+  /** Returns the newest agreed state with its term, its index and the coordinators. */
   snapshot: () => Snapshot<AgreedState> | undefined;
-  /** The index of the newest agreed state; 0 until there is one. */
+  /** Returns the index of the newest agreed state; 0 until there is one. */
   index: () => number;
-  /** Whether the agreed state lists this node as it is. */
+  /** Whether the agreed state lists this node as alive, with its current incarnation and leaving status. */
   isMember: () => boolean;
-  /** For how long this node has known another one to be dead; 0 while it is not. By its own clock: walls may differ. */
+  /** How long another node has been known to be dead, by the clock of this node; 0 while it is not dead. */
   deadFor: (id: string) => Microseconds;
-  /** True when this process has been frozen and has not yet refreshed what it knows (§3.7). */
+  /** Whether this process was frozen and has not refreshed its state since (§3.7). */
   stale: () => boolean;
-  /** How often this process was found to have been frozen. */
+  /** Returns the number of detected freezes of this process. */
   freezes: () => number;
-  /** Compares with several peers; true if enough of them took part to know the newest state. Never rejects. */
+  /** Compares with several peers; resolves to whether enough responded to have the newest state. Never rejects. */
   refresh: (timeout?: Microseconds) => Promise<boolean>;
-  /** Further addresses at which a peer may be found. */
+  /** Adds addresses at which peers may be found. */
   addSeeds: (addresses: Address[]) => void;
-  /** Calls `listener` with each newer agreed state and its index. */
+  /** Registers a listener that is called with each newer agreed state and its index. */
   onState: (listener: (state: AgreedState, index: number) => void) => void;
-  /** Has this node listed as leaving, as far as the coordinators can be reached. */
+  /** Announces to the coordinators that this node is leaving. Never rejects, even if they cannot be reached. */
   leave: () => Promise<void>;
   close: () => void;
 };
--- a/packages/membership/src/update-validators.ts
+++ b/packages/membership/src/update-validators.ts
@@ -1,10 +1,10 @@
-/** The forms of the items that are disseminated, by the first part of their names (§3.5). */
+/** Validators of disseminated items, by the first part of the item name (§3.5). */
 import { snapshotCodec } from '@thornsail/consensus';
 import type { Update } from '@thornsail/dissemination';
 import { validate, type Validator } from '@thornsail/rpc';
 import { address } from '@thornsail/runtime';
 
-const isWorkers = validate.object({
+const isWorkerList = validate.object({
   list: validate.arrayOf(
     validate.object({
       id: validate.string,
@@ -14,14 +14,14 @@
     }),
   ),
 });
-const isCounts = validate.recordOf(validate.integer);
+const isCountRecord = validate.recordOf(validate.integer);
 
 const isExchangeCounts = (counts: unknown): boolean =>
   validate.arrayOf(validate.integer)(counts) && (counts as number[]).length === 2;
 
-/** What a gateway tells of its load (§4.4). */
+/** The load report of a gateway: running and waiting requests, tokens, and further counts for load balancing (§4.4). */
 export const isLoad = validate.object({
-  load: validate.object({ running: validate.recordOf(isCounts), waiting: isCounts }),
+  load: validate.object({ running: validate.recordOf(isCountRecord), waiting: isCountRecord }),
   tokens: validate.recordOf(validate.finiteNumber),
   paused: validate.integer,
   smallest: validate.optional(validate.finiteNumber),
@@ -32,9 +32,9 @@
 
 const validators = new Map<string, Validator>([
   ['order', snapshotCodec.isValid],
-  ['workers', isWorkers],
+  ['workers', isWorkerList],
   ['load', isLoad],
 ]);
 
-/** Items of other names are not used by this release, and are passed on as they are. */
+/** Whether an update has a valid value. Items with unknown names are accepted, so that they are forwarded unchanged. */
 export const isValidUpdate = ({ name, value }: Update): boolean => validators.get(name.split('/')[0]!)?.(value) ?? true;
--- a/packages/membership/test/wire.test.ts
+++ b/packages/membership/test/wire.test.ts
@@ -1,4 +1,4 @@
-// The bytes of the hello message (§3.2). The literals were written by the release before.
+// The wire format of the hello message (§3.2). The literals were written by the previous release.
 import { stringify } from 'devalue';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -10,7 +10,7 @@
   { address: '10.0.0.2:1', role: 'agent' as const },
 ];
 
-test('a hello and its reply are encoded to the bytes of the release before', () => {
+test('a hello and its reply are encoded to the bytes of the previous release', () => {
   assert.is(helloName, 'hello');
   assert.is(stringify(encodeHello(gateway)), '[{"place":1,"role":2},"10.0.0.1:1","front"]');
   assert.is(
@@ -18,12 +18,12 @@
     '[{"known":1,"order":8},[2,5],{"place":3,"role":4},"10.0.0.9:1","",{"place":6,"role":7},"10.0.0.2:1","pilot",null]',
   );
 });
-test('what was encoded is decoded to the same message', () => {
+test('decoding an encoded message gives the same message', () => {
   assert.equal(decodeHello(encodeHello(gateway)), gateway);
   const reply = { known, snapshot: undefined };
   assert.equal(decodeHelloReply(encodeHelloReply(reply)), reply);
 });
-test('a hello needs an address and a role by its encoded name, which may be empty', () => {
+test('a hello requires an address and an encoded role, which may be empty', () => {
   assert.ok(isHello({ place: '10.0.0.1:1', role: '' }));
   assert.ok(isHello({ place: '10.0.0.1:1', role: 'tower' }));
   for (const body of [{ place: '10.0.0.1', role: '' }, { place: '10.0.0.1:1', role: 'gateway' }, { role: '' }, null])
--- a/packages/register-store/src/store-group.ts
+++ b/packages/register-store/src/store-group.ts
@@ -101,7 +101,7 @@
   const exclusive = lock.one();
   const learn = (group: Group): Promise<void> => exclusive(() => learnGroup(options, state, group));
   /** Whether the group has this store at the address where it was asked: a version alone names no store. */
-  const isHere = (): boolean => state.group!.members.some((member) => member.id === id && member.at === rpc.at);
+  const isHere = (): boolean => state.group!.members.some((member) => member.id === id && member.at === rpc.address);
   const outdated = (target: Target): WireRefusal | undefined =>
     state.group!.version > versionOf(target)
       ? { ok: false, why: 'group', group: encodeGroup(state.group!) }
--- a/packages/rpc/src/endpoint.ts
+++ b/packages/rpc/src/endpoint.ts
@@ -1,4 +1,4 @@
-/** The endpoint through which a node talks to its peers: requests and notifications over framed connections (§3.1). */
+/** The RPC endpoint of a node: requests and notifications to its peers over framed TCP connections (§3.1). */
 import type { Address, Microseconds, Runtime } from '@thornsail/runtime';
 import { encodeFrame, type Frame } from './frame.js';
 import { openHandlers, type Handler } from './handlers.js';
@@ -7,32 +7,32 @@
 import { openSender, requestIds } from './sender.js';
 import type { Validator } from './validate.js';
 
-/** An open endpoint. Times are in microseconds; requests fail with the codes of `rpcErrors`. */
+/** An open endpoint. Timeouts are in microseconds; requests reject with the errors of `rpcErrors`. */
 export type Rpc = {
-  /** The address at which this endpoint is reached, and by which its peers know it. */
-  at: Address;
-  /** Sends a message without a response. It may be lost. */
+  /** The address that this endpoint listens at; peers identify the endpoint by it. */
+  address: Address;
+  /** Sends a message that has no response. Delivery is not guaranteed. */
   notify: (to: Address, method: string, body: unknown) => void;
-  /** The same to several peers, encoded once. */
+  /** Sends the same notification to several peers; the frame is encoded once. */
   notifyAll: (peers: readonly Address[], method: string, body: unknown) => void;
-  /** Sends a request and waits for its response, for 500 ms unless another time is given. */
+  /** Sends a request and resolves with the body of its response. The default timeout is 500 ms. */
   request: <Result>(to: Address, method: string, body: unknown, timeout?: Microseconds) => Promise<Result>;
-  /** The same request to several peers, encoded once; one promise for each, in their order. */
+  /** Sends the same request to several peers, encoded once. Returns one promise a peer, in their order. */
   requestAll: <Result>(peers: Address[], method: string, body: unknown, timeout?: Microseconds) => Promise<Result>[];
-  /** Sets the handler of a message. A body that does not pass `isValid` is rejected before the handler sees it. */
+  /** Registers the handler of a method. A body that fails `isValid` is rejected before the handler runs. */
   on: <Body>(method: string, isValid: Validator, handler: Handler<Body>) => void;
-  /** How many frames were sent to other nodes, and how many came from them. */
-  counts: () => { sent: number; got: number };
-  /** Nothing is sent or handled any more. Pending requests end by their timeouts. */
+  /** The number of frames sent to and received from other nodes. */
+  counts: () => { sent: number; received: number };
+  /** Stops sending and handling frames. Pending requests end with their timeouts. */
   close: () => Promise<void>;
 };
 
-/** Opens endpoints. */
+/** Factory of RPC endpoints. */
 export const rpc = {
-  /** Listens at `at` (port 0: any free one). */
-  open: async (runtime: Runtime, at: Address): Promise<Rpc> => {
+  /** Opens an endpoint that listens at `listenAddress`; port 0 selects any free port. */
+  open: async (runtime: Runtime, listenAddress: Address): Promise<Rpc> => {
     const log = runtime.log('rpc');
-    const counts = { sent: 0, got: 0 };
+    const counts = { sent: 0, received: 0 };
     const handlers = openHandlers();
     const pending = openPendingRequests(runtime.clock);
     const nextRequestId = requestIds(runtime.rand);
@@ -48,16 +48,22 @@
     const receive = openReceiver({ handlers, pending, reply, log });
     const onFrame = (from: Address, text: string): boolean => {
       if (closed) return true;
-      counts.got += 1;
+      counts.received += 1;
       return receive(from, text);
     };
-    const onBroken = (from: Address, reason: string): void => log(`broke off the connection from ${from}: ${reason}.`);
-    const transport = await runtime.net.openFrameTransport(at, onFrame, pending.connectionLost, onBroken);
+    const onConnectionClosed = (from: Address, reason: string): void =>
+      log(`closed the connection from ${from}: ${reason}.`);
+    const transport = await runtime.net.openFrameTransport(
+      listenAddress,
+      onFrame,
+      pending.connectionLost,
+      onConnectionClosed,
+    );
     const self = transport.at;
     const isClosed = (): boolean => closed;
     const sender = openSender({ self, handlers, pending, nextRequestId, sendText, isClosed });
     return {
-      at: self,
+      address: self,
       notify: (to, method, body) => sender.notifyAll([to], method, body),
       notifyAll: sender.notifyAll,
       request: <Result>(to: Address, method: string, body: unknown, timeout?: Microseconds) =>
--- a/packages/rpc/src/frame.ts
+++ b/packages/rpc/src/frame.ts
@@ -1,24 +1,24 @@
 /**
- * The frames between nodes, and their form on the wire (§3.1): devalue, with single letters for the names of fields.
- * The transport adds the length.
+ * Encoding and decoding of the frames between nodes (§3.1). A frame is serialized with devalue and has single-letter
+ * field names on the wire; the transport adds the length prefix.
  */
 import { parse, stringify } from 'devalue';
 import { protocol } from './protocol.js';
 
-/** What a frame is for: a notification has no response, a request has a response or an error. */
+/** The type of a frame. A notification has no reply; a request is answered by a response or an error. */
 export type FrameType = 'notification' | 'request' | 'response' | 'error';
 
-/** What one node sends to another in one piece. */
+/** One message from a node to another. */
 export type Frame = {
   type: FrameType;
-  /** The name of the message, such as `view.beat`. A response or an error carries that of its request. */
+  /** The method name, such as `view.beat`. A response or an error repeats the method of its request. */
   method: string;
-  /** The request that a response or an error belongs to. Empty in a notification. */
+  /** Correlates a response or an error with its request. Empty in a notification. */
   requestId: string;
-  /** Whatever devalue can express; the text of an error. */
+  /** Any value that devalue can serialize; in an error frame, the error text. */
   body: unknown;
 };
-/** A frame as it came, with the protocol version of its sender. */
+/** A received frame with the protocol version of its sender. */
 export type ReceivedFrame = Frame & { protocolVersion: number };
 
 type WireType = 'tell' | 'ask' | 'result' | 'fault';
@@ -34,7 +34,7 @@
   Object.entries(wireTypes).map(([type, wireType]) => [wireType, type as FrameType]),
 );
 
-/** The text of a frame, in the current protocol version. */
+/** Serializes a frame in the current protocol version. */
 export const encodeFrame = ({ type, method, requestId, body }: Frame): string => {
   const frame: WireFrame = { p: protocol.current, k: wireTypes[type], t: method, n: requestId, b: body };
   return stringify(frame);
@@ -47,7 +47,7 @@
   typeof value.t === 'string' &&
   typeof value.n === 'string';
 
-/** A frame from its text; undefined if the text is damaged. The protocol version is not judged here. */
+/** Parses a frame; returns undefined for malformed text. Does not check whether the protocol version is supported. */
 export const decodeFrame = (text: string): ReceivedFrame | undefined => {
   try {
     const frame = parse(text) as Partial<WireFrame> | null;
@@ -59,5 +59,5 @@
   }
 };
 
-/** A body as a peer would get it: what a node sends to itself must not share objects with the sender. */
+/** Returns a copy of a body as a peer would receive it, so that a message to the own node shares no objects. */
 export const copyBody = (body: unknown): unknown => parse(stringify(body));
--- a/packages/rpc/src/handlers.ts
+++ b/packages/rpc/src/handlers.ts
@@ -1,18 +1,18 @@
-/** The handlers of one endpoint, by the name of their message (§3.1). */
+/** The message handlers of one endpoint, by method name (§3.1). */
 import type { Address } from '@thornsail/runtime';
 import { rpcErrors } from './errors.js';
 import type { Validator } from './validate.js';
 
-/** Handles a message; what it returns, also by a promise, is the body of the response. */
+/** Handles a message. The returned value, or the value of a returned promise, is the body of the response. */
 export type Handler<Body = unknown> = (body: Body, from: Address) => unknown;
-/** The handlers of an endpoint. A later handler of the same message replaces the earlier one. */
+/** The handlers of an endpoint. Adding a handler for the same method again replaces the earlier one. */
 export type Handlers = {
   add: <Body>(method: string, isValid: Validator, handler: Handler<Body>) => void;
-  /** The handler of a message: it throws `malformed` for a body that does not pass the validator. */
+  /** Returns the handler of a method. The handler throws `malformed` for a body that fails validation. */
   find: (method: string) => Handler | undefined;
 };
 
-/** No handlers yet. */
+/** Creates an empty handler registry. */
 export const openHandlers = (): Handlers => {
   const handlers = new Map<string, Handler>();
   return {
--- a/packages/rpc/src/index.ts
+++ b/packages/rpc/src/index.ts
@@ -1,4 +1,4 @@
-/** Requests and notifications between nodes (§3.1). */
+/** Remote procedure calls between nodes: requests, notifications and the validation of their bodies (§3.1). */
 export { rpc, type Rpc } from './endpoint.js';
 export { rpcErrors } from './errors.js';
 export type { Handler } from './handlers.js';
--- a/packages/rpc/src/pending-requests.ts
+++ b/packages/rpc/src/pending-requests.ts
@@ -1,20 +1,20 @@
 /**
- * The requests that wait for their responses (§3.1). Each ends once: by its response, by an error, by its timeout, or
- * when the connection to its peer is lost.
+ * The requests of an endpoint that await a response (§3.1). Each settles exactly once: with its response, an error
+ * frame, its timeout, or the loss of the connection to its peer.
  */
 import type { Address, Clock, Microseconds } from '@thornsail/runtime';
 import { rpcErrors } from './errors.js';
 import type { Frame } from './frame.js';
 
-/** A request as it is registered: one request id may be used for several peers, once for each. */
+/** A request to register. One request id may be used for several peers, once for each. Timeout in microseconds. */
 export type PendingRequest = { peer: Address; method: string; requestId: string; timeout: Microseconds };
 /** The pending requests of one endpoint. */
 export type PendingRequests = {
-  /** Registers a request; the promise settles when the request ends. */
+  /** Registers a request. The promise resolves with the response body or rejects with an error of `rpcErrors`. */
   wait: <Result>(request: PendingRequest) => Promise<Result>;
-  /** Ends the request that a response or an error belongs to; without effect if there is none (any more). */
+  /** Settles the request that a response or error frame belongs to; no effect if it is not pending (any more). */
   settle: (from: Address, frame: Frame) => void;
-  /** Ends all requests to a peer at once, with their outcome unknown, instead of at their timeouts. */
+  /** Rejects all pending requests to a peer with `connection-lost` at once, without waiting for their timeouts. */
   connectionLost: (peer: Address) => void;
 };
 
@@ -22,7 +22,7 @@
 
 const keyOf = (requestId: string, peer: Address): string => `${requestId} ${peer}`;
 
-/** No pending requests yet. */
+/** Creates an empty set of pending requests. */
 export const openPendingRequests = (clock: Clock): PendingRequests => {
   const waiters = new Map<string, Waiter>();
   const wait = <Result>({ peer, method, requestId, timeout }: PendingRequest): Promise<Result> =>
--- a/packages/rpc/src/protocol.ts
+++ b/packages/rpc/src/protocol.ts
@@ -1,7 +1,7 @@
-/** The versions of the protocol between nodes that this build speaks (§3.4). */
+/** The versions of the protocol between nodes that this release supports (§3.4). */
 export const protocol = {
-  /** The version of every frame that this build sends. */
+  /** The version of every frame that this release sends. */
   current: 1,
-  /** The oldest version that it still understands. */
+  /** The oldest version that this release accepts. */
   oldest: 1,
 };
--- a/packages/rpc/src/receiver.ts
+++ b/packages/rpc/src/receiver.ts
@@ -1,34 +1,35 @@
-/** Received frames: requests and notifications are handled, responses and errors settle their requests (§3.1). */
+/** Dispatches received frames: requests and notifications to handlers, replies to their pending requests (§3.1). */
 import { fault, type Address, type Log } from '@thornsail/runtime';
 import { decodeFrame, type Frame, type ReceivedFrame } from './frame.js';
 import type { Handlers } from './handlers.js';
 import type { PendingRequests } from './pending-requests.js';
 import { protocol } from './protocol.js';
 
-/** What a receiver works with. */
+/** The dependencies of a receiver. */
 export type ReceiverOptions = {
   handlers: Handlers;
   pending: PendingRequests;
-  /** Sends a response or an error. */
+  /** Sends a response or error frame. */
   reply: (to: Address, frame: Frame) => void;
   log: Log;
 };
-/** Takes the text of one frame. False if it cannot be read: its connection is broken off then. */
+/** Processes the text of one frame. Returns false if it is malformed; the transport then closes the connection. */
 export type Receiver = (from: Address, text: string) => boolean;
 
 const isSupported = (version: number): boolean => version >= protocol.oldest && version <= protocol.current;
 
-/** Takes the frames of one endpoint. */
+/** Creates the receiver of one endpoint. */
 export const openReceiver = ({ handlers, pending, reply, log }: ReceiverOptions): Receiver => {
   const replyTo = (from: Address, request: Frame, type: 'response' | 'error', body: unknown): void =>
     reply(from, { type, method: request.method, requestId: request.requestId, body });
-  /** A notification has nobody who waits for the reason. */
+  /** Replies with an error to a request; a rejected notification gets no reply. */
   const reject = (from: Address, frame: Frame, reason: string): void => {
     if (frame.type === 'request') replyTo(from, frame, 'error', reason);
   };
   const rejectVersion = (from: Address, frame: ReceivedFrame): void => {
     const version = frame.protocolVersion;
-    log(`rejected protocol version ${version} from ${from}.`);
+    log(`rejected a frame with unsupported protocol version ${version} from ${from}.`);
+    // This text is sent to the peer. It is the text of the previous release, which calls a version a mark.
     reject(from, frame, `protocol mark ${version} is not spoken here (${protocol.oldest} to ${protocol.current})`);
   };
   const handle = (from: Address, frame: Frame): void => {
@@ -37,7 +38,7 @@
     if (!handler) return reject(from, frame, `no such message: ${method}`);
     const handled = Promise.resolve().then(() => handler(body, from));
     if (type === 'notification')
-      return void handled.catch((error) => log(`${method} from ${from} failed: ${fault.text(error)}.`));
+      return void handled.catch((error) => log(`notification ${method} from ${from} failed: ${fault.text(error)}.`));
     handled.then(
       (result) => replyTo(from, frame, 'response', result),
       (error) => replyTo(from, frame, 'error', fault.text(error)),
--- a/packages/rpc/src/sender.ts
+++ b/packages/rpc/src/sender.ts
@@ -1,6 +1,6 @@
 /**
- * Requests and notifications that go out (§3.1). One to several peers is encoded once. What a node sends to itself
- * takes no connection, and is handled in a later turn as if it came over one.
+ * Sends requests and notifications (§3.1). A message to several peers is encoded once. A message to the own node uses
+ * no connection; its handler runs asynchronously, as for a message from a peer.
  */
 import { duration, type Address, type Microseconds, type Random } from '@thornsail/runtime';
 import { rpcErrors } from './errors.js';
@@ -8,31 +8,30 @@
 import type { Handlers } from './handlers.js';
 import type { PendingRequests } from './pending-requests.js';
 
-/** For how long a request waits if its caller names no time. */
-const defaultTimeout: Microseconds = duration.ms(500);
+const defaultRequestTimeout: Microseconds = duration.ms(500);
 
-/** What a sender works with. */
+/** The dependencies of a sender. */
 export type SenderOptions = {
   /** The address of this node. */
   self: Address;
   handlers: Handlers;
   pending: PendingRequests;
-  /** A new request id at each call, unique among all processes of this address. */
+  /** Returns a new request id, unique among all processes that ever use this address. */
   nextRequestId: () => string;
-  /** Sends the text of a frame; without effect once the endpoint is closed. */
+  /** Sends an encoded frame; no effect once the endpoint is closed. */
   sendText: (to: Address, text: string) => void;
   isClosed: () => boolean;
 };
-/** Sends requests and notifications. */
+/** Sends the requests and notifications of one endpoint. */
 export type Sender = {
   notifyAll: (peers: readonly Address[], method: string, body: unknown) => void;
-  /** One promise for each peer, in their order. */
+  /** Returns one promise for each peer, in the order of `peers`. */
   requestAll: <Result>(peers: Address[], method: string, body: unknown, timeout?: Microseconds) => Promise<Result>[];
 };
 
 /**
- * Request ids of one process. A response comes over the peer's own connection, so one for the former process at this
- * address may still be on its way: the ids of two processes must never meet.
+ * Creates a generator of request ids. A response arrives over a connection that the peer opens, so a response to an
+ * earlier process at this address may still arrive: a random process id keeps the ids of two processes distinct.
  */
 export const requestIds = (rand: Random): (() => string) => {
   const processId = rand.id().slice(0, 10);
@@ -40,7 +39,7 @@
   return () => `${processId}.${++sequence}`;
 };
 
-/** Sends for one endpoint. */
+/** Creates the sender of one endpoint. */
 export const openSender = (options: SenderOptions): Sender => {
   const { self, handlers, pending, sendText } = options;
   const requestFromSelf = async <Result>(method: string, body: unknown): Promise<Result> => {
@@ -63,7 +62,7 @@
     peers: Address[],
     method: string,
     body: unknown,
-    timeout: Microseconds = defaultTimeout,
+    timeout: Microseconds = defaultRequestTimeout,
   ): Promise<Result>[] => {
     const requestId = options.nextRequestId();
     let text: string | undefined;
--- a/packages/rpc/test/connection.test.ts
+++ b/packages/rpc/test/connection.test.ts
@@ -1,4 +1,4 @@
-// What goes over one connection, and how often it is encoded (§3.1).
+// Batching of socket writes on one connection, and encoding of messages to several peers (§3.1).
 import net from 'node:net';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -6,25 +6,25 @@
 import { rpc, rpcErrors, type Rpc } from '@thornsail/rpc';
 
 const host = `127.${64 + (process.pid % 150)}.14.1`;
-/** Counts what a method of sockets is called for. */
-const counted = (name: '_write' | '_writev'): (() => number) => {
-  const proto = net.Socket.prototype as unknown as Record<string, (...a: unknown[]) => unknown>;
-  let n = 0;
-  proto[name] = new Proxy(proto[name]!, {
+/** Counts the calls of a method of all sockets. */
+const countCalls = (name: '_write' | '_writev'): (() => number) => {
+  const prototype = net.Socket.prototype as unknown as Record<string, (...args: unknown[]) => unknown>;
+  let calls = 0;
+  prototype[name] = new Proxy(prototype[name]!, {
     apply: (target, self, args) => {
-      n += 1;
+      calls += 1;
       return Reflect.apply<unknown, unknown[], unknown>(target, self, args as unknown[]);
     },
   });
-  return () => n;
+  return () => calls;
 };
-const writes = [counted('_write'), counted('_writev')];
-const written = (): number => writes.reduce((a, w) => a + w(), 0);
-const pair = async (): Promise<{ a: Rpc; b: Rpc }> => {
+const writeCounters = [countCalls('_write'), countCalls('_writev')];
+const socketWrites = (): number => writeCounters.reduce((sum, count) => sum + count(), 0);
+const openPair = async (): Promise<{ a: Rpc; b: Rpc }> => {
   const a = await rpc.open(real.runtime('/nonexistent'), `${host}:0`);
   const b = await rpc.open(real.runtime('/nonexistent'), `${host}:0`);
-  for (const p of [a, b])
-    p.on<{ n: number }>(
+  for (const endpoint of [a, b])
+    endpoint.on<{ n: number }>(
       'double',
       () => true,
       ({ n }) => n * 2,
@@ -32,66 +32,68 @@
   return { a, b };
 };
 
-test('what is written to one connection within a turn of the event loop goes out together', async () => {
-  const { a, b } = await pair();
-  await a.request(b.at, 'double', { n: 1 });
-  const before = written();
-  const got = await Promise.all(Array.from({ length: 100 }, (_, n) => a.request<number>(b.at, 'double', { n })));
+test('frames written to one connection in one turn of the event loop are sent together', async () => {
+  const { a, b } = await openPair();
+  await a.request(b.address, 'double', { n: 1 });
+  const before = socketWrites();
+  const results = await Promise.all(
+    Array.from({ length: 100 }, (_, n) => a.request<number>(b.address, 'double', { n })),
+  );
   assert.equal(
-    got,
-    [...got.keys()].map((n) => n * 2),
+    results,
+    [...results.keys()].map((n) => n * 2),
   );
-  assert.ok(written() - before <= 6, `${written() - before} writes for 100 asks and their results`);
+  assert.ok(socketWrites() - before <= 6, `${socketWrites() - before} writes for 100 requests and their responses`);
   await Promise.all([a.close(), b.close()]);
 });
-test('what was written just before the end of a connection still arrives', async () => {
-  const { a, b } = await pair();
-  await a.request(b.at, 'double', { n: 1 });
-  const heard = new Promise<string>((done) => b.on<string>('last', () => true, done));
-  a.notify(b.at, 'last', 'words');
+test('a frame that is sent just before the endpoint closes still arrives', async () => {
+  const { a, b } = await openPair();
+  await a.request(b.address, 'double', { n: 1 });
+  const received = new Promise<string>((resolve) => b.on<string>('last', () => true, resolve));
+  a.notify(b.address, 'last', 'words');
   await a.close();
-  assert.is(await heard, 'words');
+  assert.is(await received, 'words');
   await b.close();
 });
-test('an ask to several is encoded once, and each result, fault and limit is its own', async () => {
+test('a request to several peers is encoded once, and each peer has its own response, error or timeout', async () => {
   const sent: { to: Address; text: string }[] = [];
   const runtime = real.runtime('/nonexistent');
-  const spied: Runtime = {
+  const recordingRuntime: Runtime = {
     ...runtime,
     net: {
       ...runtime.net,
-      openFrameTransport: async (...x) => {
-        const f = await runtime.net.openFrameTransport(...x);
-        return { ...f, send: (to, text) => (sent.push({ to, text }), f.send(to, text)) };
+      openFrameTransport: async (...args) => {
+        const transport = await runtime.net.openFrameTransport(...args);
+        return { ...transport, send: (to, text) => (sent.push({ to, text }), transport.send(to, text)) };
       },
     },
   };
-  const { a, b } = await pair();
+  const { a, b } = await openPair();
   b.on(
     'double',
     () => true,
-    () => Promise.reject(new Error('not today')),
+    () => Promise.reject(new Error('handler failure')),
   );
-  const me = await rpc.open(spied, `${host}:0`);
-  me.on<{ n: number }>(
+  const client = await rpc.open(recordingRuntime, `${host}:0`);
+  client.on<{ n: number }>(
     'double',
     () => true,
     ({ n }) => n * 20,
   );
   let reads = 0;
   const body = Object.defineProperty({}, 'n', { enumerable: true, get: () => ((reads += 1), 4) });
-  const silent = net.createServer((s) => s.resume()).listen(0, host);
-  await new Promise((up) => silent.once('listening', up));
-  const nobody = `${host}:${(silent.address() as net.AddressInfo).port}`;
-  const all = await Promise.allSettled(
-    me.requestAll<number>([a.at, b.at, nobody, me.at], 'double', body, duration.ms(300)),
+  const silentServer = net.createServer((socket) => socket.resume()).listen(0, host);
+  await new Promise((resolve) => silentServer.once('listening', resolve));
+  const silentAddress = `${host}:${(silentServer.address() as net.AddressInfo).port}`;
+  const settled = await Promise.allSettled(
+    client.requestAll<number>([a.address, b.address, silentAddress, client.address], 'double', body, duration.ms(300)),
   );
-  const codes = all.map((r) => (r.status === 'fulfilled' ? r.value : rpcErrors.codeOf(r.reason)));
-  assert.equal(codes, [8, 'remote', 'timeout', 80]);
-  assert.is(new Set(sent.map((s) => s.text)).size, 1);
-  assert.equal(sent.map((s) => s.to).sort(), [a.at, b.at, nobody].sort());
-  assert.is(reads, 2, 'once for all others, once for this node itself');
-  await Promise.all([a.close(), b.close(), me.close()]);
-  silent.close();
+  const results = settled.map((item) => (item.status === 'fulfilled' ? item.value : rpcErrors.codeOf(item.reason)));
+  assert.equal(results, [8, 'remote', 'timeout', 80]);
+  assert.is(new Set(sent.map((frame) => frame.text)).size, 1);
+  assert.equal(sent.map((frame) => frame.to).sort(), [a.address, b.address, silentAddress].sort());
+  assert.is(reads, 2, 'once for all other peers, once for the own node');
+  await Promise.all([a.close(), b.close(), client.close()]);
+  silentServer.close();
 });
 test.run();
--- a/packages/rpc/test/frame.test.ts
+++ b/packages/rpc/test/frame.test.ts
@@ -1,4 +1,4 @@
-// The bytes of frames between nodes (§3.1). The literals were written by the release before.
+// The wire format of frames between nodes (§3.1). The literals were written by the previous release.
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { real, type Address, type Net } from '@thornsail/runtime';
@@ -25,18 +25,18 @@
   },
 ];
 
-test('each type of frame is encoded to the bytes of the release before, and decoded from them', () => {
+test('each frame type is encoded to the bytes of the previous release, and decoded from them', () => {
   for (const { frame, bytes } of cases) {
     assert.is(encodeFrame(frame), bytes);
     assert.equal(decodeFrame(bytes), { protocolVersion: 1, ...frame });
   }
 });
-test('a frame of another protocol version is decoded, with its version', () => {
+test('a frame of another protocol version is decoded with its version', () => {
   const frame = decodeFrame(`[${fields},2,"ask","double","7.1",8]`);
   assert.equal(frame, { protocolVersion: 2, type: 'request', method: 'double', requestId: '7.1', body: 8 });
 });
 test('a text with a missing or mistyped field is not decoded', () => {
-  const damaged = [
+  const malformed = [
     'no devalue',
     '7',
     '[null]',
@@ -48,26 +48,26 @@
     `[${fields},1,"ask","double",7,8]`,
     '[{"p":1,"k":2,"t":3,"b":4},1,"ask","double",8]',
   ];
-  for (const text of damaged) assert.is(decodeFrame(text), undefined, text);
+  for (const text of malformed) assert.is(decodeFrame(text), undefined, text);
 });
 
 const peer: Address = '10.0.0.2:1';
-/** An endpoint that doubles, and what it sends. */
-const doubler = async (): Promise<{ node: Rpc; sent: string[]; receive: (text: string) => void }> => {
+/** Opens an endpoint with the method `double` on a stand-in transport; `sent` holds the frames that it sends. */
+const openDoublingNode = async (): Promise<{ node: Rpc; sent: string[]; receive: (text: string) => void }> => {
   const base = real.runtime('/nonexistent');
   const sent: string[] = [];
   let receive: (text: string) => void = () => undefined;
-  const frames: Net['openFrameTransport'] = (at, onFrame) => {
+  const openTransport: Net['openFrameTransport'] = (at, onFrame) => {
     receive = (text) => void onFrame(peer, text);
     return Promise.resolve({ at, send: (_to, text) => void sent.push(text), close: () => Promise.resolve() });
   };
-  const node = await rpc.open({ ...base, net: { ...base.net, openFrameTransport: frames } }, '10.0.0.1:1');
+  const node = await rpc.open({ ...base, net: { ...base.net, openFrameTransport: openTransport } }, '10.0.0.1:1');
   node.on<{ n: number }>('double', validate.object({ n: validate.integer }), ({ n }) => n * 2);
   return { node, sent, receive };
 };
-const turn = (): Promise<void> => new Promise((done) => setImmediate(done));
+const nextTurn = (): Promise<void> => new Promise((resolve) => setImmediate(resolve));
 
-test('requests that are answered or rejected get the bytes that the release before answers', async () => {
+test('the response or error to a request has the bytes of the previous release', async () => {
   const exchanges = [
     [`[${fields},1,"ask","double","7.1",{"n":6},4]`, `[${fields},1,"result","double","7.1",8]`],
     [`[${fields},1,"ask","trible","7.1",{"n":6},4]`, `[${fields},1,"fault","trible","7.1","no such message: trible"]`],
@@ -80,20 +80,20 @@
       `[${fields},1,"fault","double","7.1","double at 10.0.0.2:1: a message of another shape"]`,
     ],
   ];
-  for (const [request, answer] of exchanges) {
-    const { sent, receive } = await doubler();
+  for (const [request, response] of exchanges) {
+    const { sent, receive } = await openDoublingNode();
     receive(request!);
-    await turn();
-    assert.equal(sent, [answer]);
+    await nextTurn();
+    assert.equal(sent, [response]);
   }
 });
-test('notifications have the bytes of the release before and are never answered, also when they fail', async () => {
-  const { node, sent, receive } = await doubler();
+test('notifications have the bytes of the previous release and are never answered, even if they fail', async () => {
+  const { node, sent, receive } = await openDoublingNode();
   node.notify(peer, 'beat', { id: 'a', inc: 3 });
   receive(`[${fields},1,"tell","double","",{}]`);
   receive(`[${fields},1,"tell","trible","",{}]`);
   receive(`[${fields},2,"tell","double","",{}]`);
-  await turn();
+  await nextTurn();
   assert.equal(sent, [cases[0]!.bytes]);
 });
 test.run();
--- a/programs/thornsail/src/roles.ts
+++ b/programs/thornsail/src/roles.ts
@@ -63,7 +63,7 @@
 const commonCounts = (p: Rpc, m: Membership): Record<string, number> => ({
   breaches: invariant.breaches().length,
   frames_sent: p.counts().sent,
-  frames_got: p.counts().got,
+  frames_got: p.counts().received,
   suspects: m.failureDetector.suspects().length,
   freezes: m.freezes(),
   ...Object.fromEntries(Object.entries(m.dissemination.counts()).map(([k, v]) => [`news_${k}`, v])),
@@ -125,7 +125,7 @@
     id: x.membership.id,
     role: x.role,
     http: http.at,
-    place: x.rpc.at,
+    place: x.rpc.address,
     membership: x.membership,
     registers: x.registers,
     control: control.open({ runtime: x.runtime, membership: x.membership }),
@@ -148,8 +148,8 @@
  * the next ones only if nothing came for a while longer (§3.8). Nobody has to be elected, and nobody's loss is felt.
  */
 const listDue = (m: Membership, now: Microseconds): boolean => {
-  const read = [...m.dissemination.all('workers/'), ...m.dissemination.all('read/')];
-  const newest = Math.max(-Infinity, ...read.map((x) => x.item.at));
+  const read = [...m.dissemination.withPrefix('workers/'), ...m.dissemination.withPrefix('read/')];
+  const newest = Math.max(-Infinity, ...read.map((x) => x.item.receivedAt));
   const s = m.state();
   const agents = s ? agreedState.liveNodes(s, 'agent').map((n) => n.id) : [];
   const rank = Math.max(0, agents.indexOf(m.id));
@@ -193,7 +193,7 @@
       news: (): NewsResult => ({
         workers: here.membership ? workersOf(here.membership.dissemination, runtime.clock.now()) : [],
         loads: Object.fromEntries(
-          (here.membership?.dissemination.all('load/') ?? []).map((x) => [x.name.slice(5), x.item.value]),
+          (here.membership?.dissemination.withPrefix('load/') ?? []).map((x) => [x.name.slice(5), x.item.value]),
         ),
         duties: Object.fromEntries(
           Object.entries(voter.grants()).map(([k, g]) => [k, { by: g.holder, mark: g.fencingToken }]),
--- a/programs/thornsail/test/drain.test.ts
+++ b/programs/thornsail/test/drain.test.ts
@@ -13,7 +13,7 @@
   let drains = 0;
   obeyDrain(node, 'second-life', () => Promise.resolve(void (drains += 1)));
   const order = (body: unknown): Promise<unknown> =>
-    client.request(node.at, 'node.drain', body, duration.s(1)).catch((e: unknown) => fault.info(e).code);
+    client.request(node.address, 'node.drain', body, duration.s(1)).catch((e: unknown) => fault.info(e).code);
   assert.is(await order({ to: 'first-life' }), 'remote');
   assert.is(drains, 0);
   assert.equal(await order({ to: 'second-life' }), { ok: true });
--- a/tools/simulation/src/guards/dissemination.ts
+++ b/tools/simulation/src/guards/dissemination.ts
@@ -1,10 +1,10 @@
-// Guards of the lines of `dissemination` that keep a rule.
+// Mutations of `dissemination` that break a rule; the named tests must detect them.
 import { guard, type Guard } from './guard.js';
 
-/** Guards of `dissemination`. */
+/** The guards of the package `dissemination`. */
 export const disseminationGuards: readonly Guard[] = [
   guard({
-    name: 'an older mark never replaces a newer',
+    name: 'an older version never replaces a newer one',
     rule: '8 configuration',
     file: 'dissemination/src/item-store.js',
     find: 'if ((current && current.version >= version) || !admits(name))',
@@ -12,7 +12,7 @@
     noticedBy: { test: 'simulation/test/parts.test.js' },
   }),
   guard({
-    name: "a dead node's news is not taken again",
+    name: 'updates about a dead node are not stored again',
     rule: 'news',
     file: 'dissemination/src/item-store.js',
     find: '|| !admits(name)',
--- a/tools/simulation/src/guards/leases.ts
+++ b/tools/simulation/src/guards/leases.ts
@@ -1,10 +1,10 @@
-// Guards of the lines of `leases` that keep a rule.
+// Mutations of `leases` that break a rule; the named tests must detect them.
 import { guard, type Guard } from './guard.js';
 
-/** Guards of `leases`. */
+/** The guards of the package `leases`. */
 export const leasesGuards: readonly Guard[] = [
   guard({
-    name: 'one grant at a time',
+    name: 'a voter grants a lease to one holder at a time',
     rule: 'duties',
     file: 'leases/src/voter.js',
     find: 'if (isHeld && grant.holder !== holder)',
@@ -14,7 +14,7 @@
     },
   }),
   guard({
-    name: 'a late leave ends no later grant',
+    name: 'a delayed release does not end a later grant',
     rule: 'late messages',
     file: 'leases/src/voter.js',
     find: '(fencingToken ?? grant.fencingToken) >= grant.fencingToken',
--- a/tools/simulation/src/guards/membership.ts
+++ b/tools/simulation/src/guards/membership.ts
@@ -1,10 +1,10 @@
-// Guards of the lines of `membership` that keep a rule.
+// Mutations of `membership` that break a rule; the named tests must detect them.
 import { guard, type Guard } from './guard.js';
 
-/** Guards of `membership`. */
+/** The guards of the package `membership`. */
 export const membershipGuards: readonly Guard[] = [
   guard({
-    name: 'news of load is gathered among many relays',
+    name: 'load updates are batched when there are many relays',
     rule: 'urgent',
     file: 'membership/src/membership.js',
     find: "isBatched: (name) => name.startsWith('load/')",
--- a/tools/simulation/src/guards/rpc.ts
+++ b/tools/simulation/src/guards/rpc.ts
@@ -1,10 +1,10 @@
-// Guards of the lines of `rpc` that keep a rule.
+// Mutations of `rpc` that break a rule; the named tests must detect them.
 import { guard, type Guard } from './guard.js';
 
-/** Guards of `rpc`. */
+/** The guards of the package `rpc`. */
 export const rpcGuards: readonly Guard[] = [
   guard({
-    name: 'an answer between nodes names the process that asked',
+    name: 'a request id is unique to the requesting process',
     rule: 'answers',
     file: 'rpc/src/sender.js',
     find: '`${processId}.${++sequence}`',
