--- a/packages/data-plane/src/admission.ts
+++ b/packages/data-plane/src/admission.ts
@@ -1,6 +1,6 @@
 /**
- * Admission of this gateway (§4.4, §5.2): the program scheduler decides when a turn goes, the load balancer which
- * worker has a slot for it; this part gives both what they need to know and carries out what they say.
+ * Admission control of a gateway (§4.4, §5.2): the admission scheduler decides when a turn is released, the load
+ * balancer which worker's slot it gets. This module passes updates to both and applies their decisions.
  */
 import { admissionScheduler, type TurnCompletion } from '@thornsail/admission-scheduler';
 import type { Config } from '@thornsail/config-schema';
@@ -11,22 +11,22 @@
 import { serviceTimes } from './admission/service-times.js';
 import { schedulerTick } from './admission/scheduler-tick.js';
 import { slotQueue } from './admission/slot-queue.js';
-import type { Admission, EdgeLoad } from './admission/types.js';
+import type { Admission, GatewayLoad } from './admission/types.js';
 
-export type { Admission, EdgeLoad, Released, Slot, SlotOptions } from './admission/types.js';
+export type { Admission, GatewayLoad, AdmissionResult, SlotResult, SlotOptions } from './admission/types.js';
 export { optionsOf } from './admission/scheduler-options.js';
 
-/** How long a worker that failed is passed by. */
-const unhealthyFor = duration.s(1);
+/** How long a worker that failed is not selected. */
+const unhealthyTime = duration.s(1);
 
-/** Without the scheduler every turn is released at once, to the least loaded worker. */
+/** Replaces the scheduler: releases every turn at once, to the least loaded worker. */
 const admitAtOnce: Admission['admitTurn'] = () => ({
   released: Promise.resolve({ type: 'released', worker: null, reason: 'ordinary', waited: 0 }),
   abandon: () => undefined,
 });
 
-/** Tells the scheduler what the other gateways report (§4.4). */
-const takePeerLoads = (turns: ProgramTurns, peers: EdgeLoad[]): void => {
+/** Passes the load reports of the other gateways to the scheduler (§4.4). */
+const updateSchedulerPeers = (turns: ProgramTurns, peers: GatewayLoad[]): void => {
   const tokensByWorker = new Map<string, number>();
   for (const peer of peers)
     for (const [worker, tokens] of Object.entries(peer.tokens))
@@ -37,8 +37,8 @@
   turns.step({ type: 'peers-changed', peers: { tokensByWorker, gatewaysWithPaused, smallestPausedTokens } });
 };
 
-/** This gateway's load in the form of the load update. */
-const loadOf = (turns: ProgramTurns, balancer: LoadBalancer): Omit<EdgeLoad, 'took' | 'uses'> => {
+/** This gateway's load, as in the load message. */
+const loadOf = (turns: ProgramTurns, balancer: LoadBalancer): Omit<GatewayLoad, 'took' | 'uses'> => {
   const { tokensByWorker, pausedPrograms, smallestPausedTokens } = admissionScheduler.load(turns.state);
   const exchanges = balancer.exchanges();
   return {
@@ -50,21 +50,21 @@
   };
 };
 
-/** What a gateway's admission is opened with. */
+/** Options of a gateway's admission. */
 export type AdmissionOptions = {
   runtime: Runtime;
-  /** This gateway's id. */
+  /** This gateway's ID. */
   self: string;
-  /** Called when what runs or waits at this gateway has changed. */
+  /** Called when the number of running or waiting turns of this gateway has changed. */
   onChange: () => void;
-  /** Leaves the scheduler out, to measure against: every turn is released at once. */
+  /** Disables the scheduler, as a baseline for comparisons: every turn is released at once. */
   withoutScheduler?: boolean;
   /** This gateway's zone; empty if it has none. */
   zone?: string;
 };
 
-/** The parts of admission; `config` gives the configuration in use. */
-const openParts = (options: AdmissionOptions, config: () => Config | undefined) => {
+/** The components of admission; `config` returns the configuration in use. */
+const openComponents = (options: AdmissionOptions, config: () => Config | undefined) => {
   const { runtime, self, onChange, zone = '' } = options;
   const { clock } = runtime;
   const rotation = (): number => clock.wallTime() / reportDelay;
@@ -77,8 +77,8 @@
   return { balancer, turns, tick, times, slots };
 };
 
-/** What turns call: admission proper, and what is learnt from each turn. */
-const turnCalls = ({ turns, slots, times }: ReturnType<typeof openParts>, withoutScheduler: boolean) => ({
+/** The operations that turns call: admission, slots, and observations of each turn. */
+const turnCalls = ({ turns, slots, times }: ReturnType<typeof openComponents>, withoutScheduler: boolean) => ({
   admitTurn: withoutScheduler ? admitAtOnce : turns.admitTurn,
   knowsProgram: (program: string) => turns.state.programs.has(program),
   contextGrew: (program: string, tokens: number) => turns.step({ type: 'context-grew', program, tokens }),
@@ -90,22 +90,22 @@
     slots.serve();
   },
   expectedService: times.expectedService,
-  likelyDelay: times.likelyDelay,
+  estimatedDelay: times.estimatedDelay,
   observeCharge: times.observeCharge,
   observeFirstToken: times.observeFirstToken,
 });
 
-/** Opens admission. */
+/** Opens the admission of a gateway. */
 export const admission = {
   open: (options: AdmissionOptions): Admission => {
     const { clock } = options.runtime;
     let config: Config | undefined;
     let workers: WorkerEntry[] = [];
-    const parts = openParts(options, () => config);
-    const { balancer, turns, tick, slots } = parts;
+    const components = openComponents(options, () => config);
+    const { balancer, turns, tick, slots } = components;
     return {
-      ...turnCalls(parts, options.withoutScheduler ?? false),
-      markUnhealthy: (worker) => balancer.markUnhealthy(worker, clock.now() + unhealthyFor),
+      ...turnCalls(components, options.withoutScheduler ?? false),
+      markUnhealthy: (worker) => balancer.markUnhealthy(worker, clock.now() + unhealthyTime),
       recordExchange: (worker, succeeded) => {
         balancer.recordExchange(worker, succeeded);
         if (!succeeded) options.onChange();
@@ -122,7 +122,7 @@
       setPeerLoads: (peers) => {
         balancer.setPeerLoads(peers.map(({ id, load }) => ({ id, load: load ?? emptyLoad() })));
         balancer.setPeerExchanges(peers.map(({ exchanges }) => exchanges ?? {}));
-        takePeerLoads(turns, peers);
+        updateSchedulerPeers(turns, peers);
         slots.serve();
       },
       setConfig: (next) => {
--- a/packages/data-plane/src/admission/program-turns.ts
+++ b/packages/data-plane/src/admission/program-turns.ts
@@ -1,4 +1,4 @@
-/** Runs the program scheduler (§4): answers turns by its effects and wakes it when a hold is over. */
+/** Runs the admission scheduler (§4): applies its effects to the waiting turns, and wakes it when a hold times out. */
 import {
   admissionScheduler,
   type SchedulerEffect,
@@ -6,31 +6,31 @@
   type SchedulerState,
 } from '@thornsail/admission-scheduler';
 import { duration, type Cancel, type Clock, type Microseconds, type Runtime } from '@thornsail/runtime';
-import type { Admission, Released } from './types.js';
+import type { Admission, AdmissionResult } from './types.js';
 
-/** The scheduler at work. */
+/** The running scheduler of a gateway. */
 export type ProgramTurns = {
   admitTurn: Admission['admitTurn'];
-  /** Hands the scheduler an event and carries out what comes of it. */
+  /** Passes an event to the scheduler and applies the resulting effects. */
   step: (event: SchedulerEvent) => void;
   state: SchedulerState;
   close: () => void;
 };
 
-/** A timer that is only ever moved to an earlier time. */
+/** A timer that can only be moved to an earlier time. */
 const earliestTimer = (
   clock: Clock,
   onDue: () => void,
-): { schedule: (at: Microseconds) => void; close: () => void } => {
+): { schedule: (time: Microseconds) => void; close: () => void } => {
   let closed = false;
   let dueAt = Infinity;
   let cancel: Cancel = () => undefined;
   return {
-    schedule: (at) => {
-      if (closed || at >= dueAt) return;
+    schedule: (time) => {
+      if (closed || time >= dueAt) return;
       cancel();
-      dueAt = at;
-      cancel = clock.schedule(Math.max(0, at - clock.now()), () => {
+      dueAt = time;
+      cancel = clock.schedule(Math.max(0, time - clock.now()), () => {
         dueAt = Infinity;
         onDue();
       });
@@ -42,24 +42,24 @@
   };
 };
 
-/** Runs the scheduler by a runtime's clock. */
+/** Opens schedulers. */
 export const programTurns = {
   open: (runtime: Runtime): ProgramTurns => {
     const { clock } = runtime;
     const log = runtime.log('admission');
     const state = admissionScheduler.open(admissionScheduler.defaults());
-    /** How to answer each turn that waits, by its id. */
-    const unanswered = new Map<string, (released: Released) => void>();
-    const answer = (turn: string, released: Released): void => {
-      unanswered.get(turn)?.(released);
-      unanswered.delete(turn);
+    /** Resolves the pending decision of each waiting turn, by turn ID. */
+    const waitingTurns = new Map<string, (result: AdmissionResult) => void>();
+    const resolveTurn = (turn: string, result: AdmissionResult): void => {
+      waitingTurns.get(turn)?.(result);
+      waitingTurns.delete(turn);
     };
     const apply = (effect: SchedulerEffect): void => {
       if (effect.type === 'turn-released') {
         const { turn, program, worker, reason, waited } = effect;
         if (reason !== 'ordinary') log(`${reason} ${program} after ${duration.toMs(waited)} ms.`);
-        answer(turn, { type: 'released', worker, reason, waited });
-      } else if (effect.type === 'turn-rejected') answer(effect.turn, { type: 'rejected', reason: effect.reason });
+        resolveTurn(turn, { type: 'released', worker, reason, waited });
+      } else if (effect.type === 'turn-rejected') resolveTurn(effect.turn, { type: 'rejected', reason: effect.reason });
       else if (effect.type === 'program-paused') log(`paused ${effect.program} at ${effect.worker}.`);
       else if (effect.type === 'program-marked') log(`marked ${effect.program} at ${effect.worker}.`);
     };
@@ -74,15 +74,15 @@
       step,
       admitTurn: (arrival, onHold) => {
         const { turn } = arrival;
-        let resolve: (released: Released) => void = () => undefined;
-        const released = new Promise<Released>((fulfil) => {
-          resolve = fulfil;
+        let resolve: (result: AdmissionResult) => void = () => undefined;
+        const released = new Promise<AdmissionResult>((resolvePromise) => {
+          resolve = resolvePromise;
         });
-        unanswered.set(turn, resolve);
+        waitingTurns.set(turn, resolve);
         step({ type: 'turn-arrived', ...arrival });
-        if (unanswered.has(turn)) onHold();
+        if (waitingTurns.has(turn)) onHold();
         const abandon = (): void => {
-          if (!unanswered.delete(turn)) return;
+          if (!waitingTurns.delete(turn)) return;
           step({ type: 'turn-abandoned', turn });
           resolve({ type: 'abandoned' });
         };
--- a/packages/data-plane/src/admission/scheduler-options.ts
+++ b/packages/data-plane/src/admission/scheduler-options.ts
@@ -1,9 +1,9 @@
-/** The scheduler's options by the configuration (§7.1). */
+/** Derives the scheduler's options from the configuration (§7.1). */
 import type { SchedulerOptions } from '@thornsail/admission-scheduler';
 import type { Config } from '@thornsail/config-schema';
 import { duration } from '@thornsail/runtime';
 
-/** Converts the settings' seconds and milliseconds. */
+/** Converts the settings, in seconds and milliseconds, to options in microseconds. */
 export const optionsOf = ({ scheduler }: Config): SchedulerOptions => ({
   pauseThreshold: scheduler.pauseThreshold,
   pauseTarget: scheduler.pauseTarget,
--- a/packages/data-plane/src/admission/scheduler-tick.ts
+++ b/packages/data-plane/src/admission/scheduler-tick.ts
@@ -1,14 +1,14 @@
-/** Keeps the scheduler up to date on workers, and ticks it (§4.2). */
+/** Updates the scheduler's workers and their capacities, and triggers its periodic tick (§4.2). */
 import type { WorkerEntry } from '@thornsail/load-balancer';
 import { time, type Cancel, type Microseconds, type Runtime } from '@thornsail/runtime';
 import type { ProgramTurns } from './program-turns.js';
 import { workerCapacity } from './worker-capacity.js';
 
-/** The tick of one gateway's scheduler. */
+/** Periodic updates of one gateway's scheduler. */
 export type SchedulerTick = {
-  /** Hands the scheduler the workers, and asks new ones for their capacity. */
+  /** Passes the workers to the scheduler, and queries the capacity of new ones. */
   setWorkers: (workers: WorkerEntry[]) => void;
-  /** Time between two ticks; none before the first call. */
+  /** Sets the time between two ticks; there are no ticks before the first call. */
   setInterval: (interval: Microseconds) => void;
   close: () => void;
 };
@@ -22,21 +22,21 @@
   const reportWorkers = (): void =>
     turns.step({ type: 'workers-changed', workers: capacity.schedulerWorkers(workers) });
   const tick = async (): Promise<void> => {
-    await capacity.measure(workers);
+    await capacity.query(workers);
     if (closed) return;
     reportWorkers();
     turns.step({ type: 'tick' });
   };
-  const measureNew = async (list: WorkerEntry[]): Promise<void> => {
-    await capacity.measure(list);
+  const queryNew = async (list: WorkerEntry[]): Promise<void> => {
+    await capacity.query(list);
     if (!closed) reportWorkers();
   };
   return {
     setWorkers: (list) => {
-      const unmeasured = list.filter((worker) => !capacity.isKnown(worker.id));
+      const newWorkers = list.filter((worker) => !capacity.isKnown(worker.id));
       workers = list;
       reportWorkers();
-      if (unmeasured.length > 0) void measureNew(unmeasured);
+      if (newWorkers.length > 0) void queryNew(newWorkers);
     },
     setInterval: (next) => {
       if (next === interval) return;
@@ -51,5 +51,5 @@
   };
 };
 
-/** Ticks a scheduler; `zone` is the gateway's own. */
+/** Opens the updates of a scheduler; `zone` is the gateway's own zone. */
 export const schedulerTick = { open: openTick };
--- a/packages/data-plane/src/admission/types.ts
+++ b/packages/data-plane/src/admission/types.ts
@@ -1,4 +1,4 @@
-/** What the other parts of the data plane see of admission (§4.4, §5.2). Times are in microseconds. */
+/** Interface of admission to the other modules of the data plane (§4.4, §5.2). */
 import type {
   RejectionReason,
   ReleaseReason,
@@ -11,90 +11,98 @@
 import type { ExchangeReport, Load, WorkerEntry } from '@thornsail/load-balancer';
 import type { Microseconds } from '@thornsail/runtime';
 
-/** What a gateway reports of itself to the others; the names are those of the message. */
-export type EdgeLoad = {
+/** The load that a gateway reports to the others; the field names are those of the message. */
+export type GatewayLoad = {
   load: Load;
   /** Tokens of its active programs by worker. */
   tokens: Record<string, number>;
-  /** How many of its programs are paused, and the tokens of the smallest of them. */
+  /** Number of its paused programs. */
   paused: number;
+  /** Tokens of the smallest of its paused programs. */
   smallest: number | null;
-  /** Programs that it has taken over from other gateways lately. */
+  /** Programs that it has recently taken over from other gateways. */
   took: string[];
-  /** The mark of the configuration in use here. */
+  /** Version of the configuration that it uses. */
   uses: number;
-  /** What became of its exchanges with workers that have failed requests lately; a former release tells none. */
+  /** Outcomes of its exchanges with workers that recently failed requests; the previous release does not send it. */
   exchanges?: ExchangeReport;
 };
 
-/** The scheduler's answer to a turn; `abandoned` if its caller has disconnected meanwhile. */
-export type Released =
+/** The scheduler's decision on a turn; `abandoned` if its caller disconnected meanwhile. `waited`: time in hold. */
+export type AdmissionResult =
   | { type: 'released'; worker: string | null; reason: ReleaseReason; waited: Microseconds }
   | { type: 'rejected'; reason: RejectionReason }
   | { type: 'abandoned' };
-/** A turn that waits for the scheduler's answer. */
-export type TurnRequest = { released: Promise<Released>; abandon: () => void };
+/** A pending decision of the scheduler: `released` resolves to it, `abandon` withdraws the turn. */
+export type TurnRequest = { released: Promise<AdmissionResult>; abandon: () => void };
 
 /**
- * The answer to a request for a slot. `queue-full`: the wait would be in vain, or too many wait already. `timed-out`:
- * no slot became free in time. `no-worker`: the service has no worker that takes requests.
+ * The result of a request for a slot. `queue-full`: the queue is full, or the expected wait exceeds the limit.
+ * `timed-out`: no slot became free in time. `no-worker`: the service has no worker that accepts requests.
  */
-export type Slot =
+export type SlotResult =
   | { type: 'acquired'; worker: WorkerEntry }
   | { type: 'queue-full' }
   | { type: 'timed-out' }
   | { type: 'no-worker' }
   | { type: 'abandoned' };
-/** What a turn asks of its slot. */
+/** Requirements of a turn for its slot. */
 export type SlotOptions = {
+  /** ID of the preferred worker. */
   preferred: string | null;
   /** The preferred worker has the turn's context (§5.2). */
   preferredHasContext?: boolean;
+  /** IDs of workers that must not be selected. */
   excluded: ReadonlySet<string>;
-  /** Take a slot whatever the shares and slots say. */
+  /** Take a slot even beyond the class's share and the worker's slots. */
   force: boolean;
   /** The longest wait. */
   limit: Microseconds;
-  /** Another service than the class's own. */
+  /** Overrides the service of the class. */
   service?: string;
 };
-/** A turn that waits for a slot. */
-export type SlotRequest = { slot: Promise<Slot>; abandon: () => void };
+/** A pending request for a slot: `slot` resolves to its result, `abandon` withdraws it. */
+export type SlotRequest = { slot: Promise<SlotResult>; abandon: () => void };
 
 /** Admission of one gateway. */
 export type Admission = {
-  /** Asks the scheduler for a turn; `onHold` is called if it is not answered at once. */
+  /** Submits a turn to the scheduler; `onHold` is called if it does not decide at once. */
   admitTurn: (arrival: TurnArrival, onHold: () => void) => TurnRequest;
+  /** Whether the scheduler has state of a program. */
   knowsProgram: (program: string) => boolean;
+  /** Reports the new size of a program's context while its turn runs. */
   contextGrew: (program: string, tokens: number) => void;
   endTurn: (turn: string, completion: TurnCompletion) => void;
+  /** Requests a slot at a worker for a turn of a class. */
   acquireSlot: (className: string, options: SlotOptions) => SlotRequest;
-  /** Gives a slot back; `took` is the service time, null if the turn says nothing about it. */
+  /** Returns a slot; `took` is the service time, null if the turn is not representative. */
   releaseSlot: (worker: string, className: string, took: Microseconds | null) => void;
   /** Expected service time of a turn of a class. */
   expectedService: (className: string) => Microseconds;
-  /** What charging and a class's first token are likely to take: a mean and four times its spread (§4.3). */
-  likelyDelay: (className: string, forced?: boolean) => Microseconds;
+  /** Estimated time to charge and to a first token of a class: the average plus four mean deviations (§4.3). */
+  estimatedDelay: (className: string, forced?: boolean) => Microseconds;
+  /** Adds a sample of the time that a charge took. */
   observeCharge: (took: Microseconds) => void;
+  /** Adds a sample of the time from sending a turn to its first token. */
   observeFirstToken: (className: string, took: Microseconds, forced: boolean) => void;
-  /** Takes in what became of an exchange with a worker (§5.2). */
+  /** Records the outcome of an exchange with a worker (§5.2). */
   recordExchange: (worker: string, succeeded: boolean) => void;
-  /** Passes a worker by for a second. */
+  /** Excludes a worker from selection for a second. */
   markUnhealthy: (worker: string) => void;
   worker: (id: string) => WorkerEntry | undefined;
   setWorkers: (workers: WorkerEntry[]) => void;
-  /** Whether any worker takes requests. */
+  /** Whether any worker accepts requests. */
   hasWorkers: () => boolean;
-  setPeerLoads: (peers: (EdgeLoad & { id: string })[]) => void;
+  setPeerLoads: (peers: (GatewayLoad & { id: string })[]) => void;
   setConfig: (config: Config) => void;
-  /** Turns that run at a worker, at all gateways as far as this one has heard. */
+  /** Number of turns running at a worker, of all gateways, according to the load reports received. */
   runningAt: (worker: string) => number;
-  load: () => Omit<EdgeLoad, 'took' | 'uses'>;
-  /** Workers that are passed by because they fail more than the others do. */
+  load: () => Omit<GatewayLoad, 'took' | 'uses'>;
+  /** IDs of workers that are not selected because they fail more often than the others (outlier ejection). */
   ejected: () => string[];
-  /** Turns that the scheduler holds. */
+  /** Number of turns that the scheduler holds. */
   heldTurns: () => number;
-  /** Whether any turn waits for a slot here. */
+  /** Whether any turn waits for a slot at this gateway. */
   hasWaitingTurns: () => boolean;
   counts: () => SchedulerCounts & { slotWaits: number; slotRejects: number };
   state: () => SchedulerState;
--- a/packages/data-plane/src/admission/worker-capacity.ts
+++ b/packages/data-plane/src/admission/worker-capacity.ts
@@ -1,45 +1,45 @@
-/** KV-cache capacities of the model workers: as listed, or as the workers report them (§4.2, §5.2). */
+/** KV-cache capacities of the model workers, from the list of workers or as reported by the workers (§4.2, §5.2). */
 import type { Worker } from '@thornsail/admission-scheduler';
 import { workerProtocol, type WorkerEntry } from '@thornsail/load-balancer';
 import { duration, readText, type Runtime } from '@thornsail/runtime';
 
-/** Known capacities. */
+/** The known capacities, in tokens. */
 export type WorkerCapacity = {
-  /** Whether a worker has been heard. */
+  /** Whether a worker has reported its capacity. */
   isKnown: (worker: string) => boolean;
-  /** Asks the workers whose capacity the list doesn't tell. Never fails: the last known capacity stands. */
-  measure: (workers: WorkerEntry[]) => Promise<void>;
+  /** Queries the workers whose capacity is not listed. Never rejects: on failure the last known capacity is kept. */
+  query: (workers: WorkerEntry[]) => Promise<void>;
   /** The model workers as the scheduler sees them. */
   schedulerWorkers: (workers: WorkerEntry[]) => Worker[];
 };
 
-const reportLimit = duration.ms(800);
+const reportTimeout = duration.ms(800);
 
-/** Keeps capacities by worker. */
+/** Opens the capacities of workers. */
 export const workerCapacity = {
   /** `zone` is this gateway's own; empty if it has none. */
   open: (runtime: Runtime, zone: string): WorkerCapacity => {
     const capacities = new Map<string, number>();
-    const measureOne = async (worker: WorkerEntry): Promise<void> => {
+    const queryWorker = async (worker: WorkerEntry): Promise<void> => {
       try {
         const response = await runtime.net.request({
           at: worker.at,
           method: 'GET',
           path: workerProtocol.report.path,
-          headersTimeout: reportLimit,
-          bodyTimeout: reportLimit,
+          headersTimeout: reportTimeout,
+          bodyTimeout: reportTimeout,
         });
         const capacity = workerProtocol.report.capacity(await readText(response.body));
         if (capacity !== undefined) capacities.set(worker.id, capacity);
       } catch {
-        /* The last known capacity stands. */
+        /* The last known capacity is kept. */
       }
     };
     return {
       isKnown: (worker) => capacities.has(worker),
-      measure: async (workers) => {
+      query: async (workers) => {
         const unlisted = workers.filter(({ kind, cacheTokens }) => kind === 'model' && cacheTokens === undefined);
-        await Promise.all(unlisted.map(measureOne));
+        await Promise.all(unlisted.map(queryWorker));
       },
       schedulerWorkers: (workers) =>
         workers
--- a/packages/data-plane/src/answer-copy.ts
+++ b/packages/data-plane/src/answer-duplicate.ts
@@ -1,4 +1,4 @@
-/** What a copy of a request is answered whose key was claimed before, at the product's interface (§5.4). */
+/** Answers duplicates at the product API: requests whose idempotency key was claimed before (§5.4). */
 import { duration, fault, type HttpResponseWriter, type Microseconds } from '@thornsail/runtime';
 import { errors } from './errors.js';
 import { isInFlight, type Gateway } from './gateway.js';
@@ -8,8 +8,8 @@
 import { minimumRecordTimeout } from './requests/deadline.js';
 import { completion } from './responses.js';
 
-/** A copy of a request whose key is taken. */
-export type Copy = {
+/** A request whose key is already claimed. */
+export type DuplicateRequest = {
   gateway: Gateway;
   plan: ChatPlan | JobPlan;
   response: HttpResponseWriter;
@@ -17,15 +17,18 @@
   givesUpAt: Microseconds;
 };
 
-/** How long a look into the conversation, or fencing it, may take. */
+/** Timeout of reading the conversation and of fencing a turn in it. */
 const conversationTimeout = duration.ms(600);
 
 const resultOf = (reply: StoredReply | undefined): RecordedResult | undefined =>
   typeof reply?.content === 'string'
     ? { status: 200, type: 'chat', body: reply.content, finish: null, prompt: 0, completion: 0 }
     : undefined;
-/** A result that was recorded, or that the turn left in its conversation. */
-const recordedResult = async ({ gateway, plan }: Copy, claim: KeyClaim): Promise<RecordedResult | undefined> => {
+/** The result recorded under the key, or the reply that the turn stored in its conversation. */
+const recordedResult = async (
+  { gateway, plan }: DuplicateRequest,
+  claim: KeyClaim,
+): Promise<RecordedResult | undefined> => {
   const done = claim.done as RecordedResult | null;
   if (done && done.type !== tooLargeType) return done;
   const reply = await gateway.conversations.storedReply(plan, conversationTimeout).catch(() => undefined);
@@ -33,7 +36,7 @@
 };
 
 const replayed = { 'x-thornsail-replayed': 'true' };
-const replay = ({ gateway, plan, response }: Copy, result: RecordedResult): void => {
+const replay = ({ gateway, plan, response }: DuplicateRequest, result: RecordedResult): void => {
   gateway.count('replayed');
   const { body, finish, prompt, completion: tokens } = result;
   if (plan.kind === 'job') {
@@ -46,40 +49,40 @@
   } else gateway.responses.json(response, 200, completion.complete(body, finish, [], prompt, tokens), replayed);
 };
 
-const rejectReusedKey = ({ gateway, response }: Copy): void => {
+const rejectReusedKey = ({ gateway, response }: DuplicateRequest): void => {
   const message = 'this key came with another request before';
   const body = { error: 'key_reused', field: 'idempotency-key', message, ran: 'unknown' };
   gateway.responses.json(response, errors.status('chat', 'key_reused'), body, { 'x-thornsail-ran': 'unknown' });
 };
 
 /**
- * Nobody serves the request any more, as far as is known. Its gateway may only seem dead, and what it wrote may be on
- * its way. The caller is going to look at what is stored, and to send the message under another key if it is not there:
- * from here on it does not come any more (§5.5).
+ * No gateway is known to serve the request, but its gateway may only appear dead and its writes may still be in
+ * transit. The caller will read the conversation and, if the reply is missing, send the message again under another
+ * key. So the turn is fenced first: from then on it is not appended (§5.5).
  */
-const fenceAndAnswer = async (copy: Copy): Promise<void> => {
-  const { gateway, plan, response, givesUpAt } = copy;
+const fenceAndAnswer = async (duplicate: DuplicateRequest): Promise<void> => {
+  const { gateway, plan, response, givesUpAt } = duplicate;
   const remaining = Math.max(minimumRecordTimeout, givesUpAt - gateway.runtime.clock.now());
-  let late: RecordedResult | undefined;
+  let lateResult: RecordedResult | undefined;
   try {
-    late = resultOf(await gateway.conversations.fence(plan, Math.min(conversationTimeout, remaining)));
+    lateResult = resultOf(await gateway.conversations.fence(plan, Math.min(conversationTimeout, remaining)));
   } catch (error) {
     gateway.log(`a turn could not be fenced: ${fault.text(error)}.`);
     const text = 'whether the turn with this key is kept could not be settled by a majority';
     return gateway.responses.reject(response, 'no_keepers', text, 'unknown', gateway.responses.backoff());
   }
-  if (late) return replay(copy, late);
+  if (lateResult) return replay(duplicate, lateResult);
   const text = 'a request with this key was sent and its outcome is not known';
   return gateway.responses.reject(response, 'outcome_unknown', text, 'unknown', null);
 };
 
-/** Answers a copy: the result again, that it is being served, or that its outcome is not known. */
-export const answerCopy = async (copy: Copy, claim: KeyClaim): Promise<void> => {
-  const { gateway, plan, response } = copy;
-  if (claim.sum !== undefined && claim.sum !== plan.sum) return rejectReusedKey(copy);
-  const result = await recordedResult(copy, claim);
-  if (result) return replay(copy, result);
+/** Answers a duplicate with the recorded result, with `in_progress`, or with `outcome_unknown`. */
+export const answerDuplicate = async (duplicate: DuplicateRequest, claim: KeyClaim): Promise<void> => {
+  const { gateway, plan, response } = duplicate;
+  if (claim.sum !== undefined && claim.sum !== plan.sum) return rejectReusedKey(duplicate);
+  const result = await recordedResult(duplicate, claim);
+  if (result) return replay(duplicate, result);
   if (!claim.done && (await isInFlight(gateway, claim)))
     return gateway.responses.reject(response, 'in_progress', 'a request with this key is being served', 'unknown', 1);
-  return fenceAndAnswer(copy);
+  return fenceAndAnswer(duplicate);
 };
--- a/packages/data-plane/src/chat-turn.ts
+++ b/packages/data-plane/src/chat-turn.ts
@@ -1,6 +1,5 @@
 /**
- * A turn of a program at the product's interface, while it is served (§5.1): its state, its time, and how it is given
- * up.
+ * State of a chat turn of the product API while it is served (§5.1), how long it may wait, and how it is rejected.
  */
 import type { HttpResponseWriter, Microseconds } from '@thornsail/runtime';
 import type { ErrorCode } from './errors.js';
@@ -13,36 +12,36 @@
 import { elapsed } from './requests/deadline.js';
 import { openTimeline } from './requests/timeline.js';
 
-/** What the worker is given, and what that may cost. Tokens are counted as the scheduler counts them. */
+/** The prompt for the worker, and the tokens it may cost, counted as the scheduler counts them. */
 export type ChatContext = {
   /** The stored messages before the new ones. */
   messages: unknown[];
-  /** How many of them were stored. */
+  /** How many of the messages were stored. */
   base: number;
-  /** Of a program that is new to this gateway: the size of its context, and the worker that has it. */
+  /** For a program that is new to this gateway: size of its context in tokens, and the worker that has it. */
   known: { tokens: number; worker: string | null } | undefined;
-  /** The most that the turn may use. */
+  /** The most tokens that the turn may use. */
   reserve: number;
-  /** A first guess at the prompt's tokens, until the worker tells them. */
-  guess: number;
+  /** Estimate of the prompt's tokens, until the worker reports them. */
+  promptEstimate: number;
 };
-/** State of a turn. `id` names its claim, and stays when it is sent twice. */
+/** State of a turn. `id` identifies its claim and stays the same when it is sent again. */
 export type ChatTurn = ProductRequest<ChatPlan> & {
-  /** Names its charge and its place in the scheduler's table; another one if it is sent a second time. */
+  /** Identifies its charge and its entry in the scheduler's table; replaced when it is sent again. */
   chargeId: string;
   charged: boolean;
-  /** It stands in the scheduler's table. */
+  /** It is in the scheduler's table. */
   scheduled: boolean;
-  /** The worker that it was sent to last. */
+  /** ID of the worker that it was sent to last. */
   sentTo: string | null;
-  /** The worker that the scheduler prefers. */
+  /** ID of the worker that the scheduler prefers. */
   preferred: string | null;
-  /** The scheduler released it because its hold ran out. */
+  /** The scheduler released it because its hold timed out. */
   forced: boolean;
   context: ChatContext;
 };
 
-const noContext: ChatContext = { messages: [], base: 0, known: undefined, reserve: 0, guess: 0 };
+const noContext: ChatContext = { messages: [], base: 0, known: undefined, reserve: 0, promptEstimate: 0 };
 
 /** Opens a turn; nothing is claimed or charged yet. */
 export const openTurn = (gateway: Gateway, plan: ChatPlan, response: HttpResponseWriter): ChatTurn => {
@@ -52,7 +51,7 @@
     plan,
     response,
     phases: phases.open(),
-    timeline: openTimeline(gateway, plan.cls, plan.program),
+    timeline: openTimeline(gateway, plan.className, plan.program),
     arrivedAt: gateway.runtime.clock.now(),
     id,
     chargeId: id,
@@ -68,11 +67,11 @@
   };
 };
 
-/** What may be waited: the client's patience less what charging and a first token are likely to take (§4.3). */
+/** How long a turn may wait: until the first-byte limit, less the estimated time to charge and first token (§4.3). */
 export const patience = (turn: ChatTurn, forced = false): Microseconds =>
-  firstByteTimeout - elapsed(turn) - turn.gateway.admission.likelyDelay(turn.plan.cls, forced);
+  firstByteTimeout - elapsed(turn) - turn.gateway.admission.estimatedDelay(turn.plan.className, forced);
 
-/** Takes a turn out of the scheduler's table that has no end it could learn from. */
+/** Removes a turn without a result from the scheduler's table; `worker` is the one that has its context, if any. */
 export const leaveScheduler = (turn: ChatTurn, worker: string | null = null): void => {
   if (turn.scheduled) turn.gateway.admission.endTurn(turn.chargeId, { tokens: null, final: false, worker });
   turn.scheduled = false;
@@ -83,7 +82,7 @@
   if (turn.charged) await gateway.budgets.refund(budgetAccountOf(plan), turn.chargeId);
   if (turn.claimed) await gateway.keys.release(idempotencyKeyOf(plan), turn.id);
 };
-/** Gives a turn up before anything was sent: the answer goes out first, the records follow. */
+/** Rejects a turn before anything was sent: answers at once and closes the records in the background. */
 export const reject = (
   turn: ChatTurn,
   code: ErrorCode,
@@ -93,18 +92,18 @@
 ): 'answered' => {
   const { gateway, response } = turn;
   turn.phases.transition('reject');
-  turn.timeline.ended(code);
+  turn.timeline.setOutcome(code);
   leaveScheduler(turn);
   turn.closing = true;
   void closeRecords(turn).finally(() => gateway.inFlight.delete(turn.id));
   gateway.responses.reject(response, code, text, ran ?? turn.phases.execution(), retryAfter);
   return 'answered';
 };
-/** Gives a turn up whose client has disconnected. */
+/** Rejects a turn whose client has disconnected. */
 export const clientDisconnected = (turn: ChatTurn): 'answered' => {
   turn.gateway.count('orphaned');
   return reject(turn, 'gone', 'the client went away', null);
 };
-/** Gives a turn up because no majority of stores answered. */
+/** Rejects a turn because no majority of stores answered. */
 export const storesUnavailable = (turn: ChatTurn, text: string): 'answered' =>
   reject(turn, 'no_keepers', text, turn.gateway.responses.backoff());
--- a/packages/data-plane/src/chat.ts
+++ b/packages/data-plane/src/chat.ts
@@ -1,7 +1,7 @@
-/** Serves a turn of a program (§5.1), a function for each step: claim, context, admission, slot, charge, send. */
+/** Serves a chat turn (§5.1), one function for each step: claim, context, admission, slot, charge, send. */
 import { workerProtocol, type WorkerEntry } from '@thornsail/load-balancer';
 import { duration, fault, invariant, type HttpResponseWriter, type Microseconds } from '@thornsail/runtime';
-import type { Released } from './admission.js';
+import type { AdmissionResult } from './admission.js';
 import {
   clientDisconnected,
   leaveScheduler,
@@ -13,23 +13,23 @@
 } from './chat-turn.js';
 import type { Gateway } from './gateway.js';
 import type { ChatPlan } from './plan.js';
-import { claimKey, lastUnsentRound, recordTimeout, remaining, slotTimeout } from './product-request.js';
+import { claimKey, maxUnsentRetries, recordTimeout, remaining, slotTimeout } from './product-request.js';
 import { budgetAccountOf } from './records/budget-accounts.js';
 import { relay, type RelayOutcome } from './relay.js';
-import { lastCheck } from './requests/attempt.js';
+import { preSendCheck } from './requests/attempt.js';
 import { chargeStep } from './requests/charge.js';
 import { elapsed } from './requests/deadline.js';
 import type { StepResult } from './requests/steps.js';
-import { worker } from './worker-request.js';
+import { workerClient } from './worker-request.js';
 
 const claim = claimKey(reject);
 
-/** Tokens that a prompt has besides those of its text, at most. */
+/** Upper bound of a prompt's tokens in addition to those of its text. */
 const promptOverhead = 16;
-/** A prompt has fewer tokens than its bound in bytes, mostly by this factor. */
-const boundToGuess = 4;
+/** Typical ratio between a prompt's upper bound, computed from its bytes, and its actual tokens. */
+const boundToEstimateRatio = 4;
 
-/** Reads what is stored: the conversation, and of a program that is new to this gateway its budget record (§4.4). */
+/** Reads the stored conversation and, for a program that is new to this gateway, its budget record (§4.4). */
 const readContext = async (turn: ChatTurn): Promise<StepResult> => {
   const { gateway, plan } = turn;
   turn.timeline.enter('context');
@@ -40,7 +40,7 @@
         ? undefined
         : gateway.budgets.budgetRecord(plan.program, remaining(turn)),
     ]);
-    if (budgetRecord && budgetRecord.turns > 0) gateway.programTakenOver(plan.program);
+    if (budgetRecord && budgetRecord.turns > 0) gateway.reportTakeover(plan.program);
     const messages = [...(stored?.messages ?? []), ...plan.messages];
     const bytes = Buffer.byteLength(JSON.stringify(messages), 'utf8');
     const { limits } = gateway.config();
@@ -52,66 +52,66 @@
       base: stored?.messages.length ?? 0,
       known: budgetRecord && { tokens: budgetRecord.tokens, worker: budgetRecord.worker },
       reserve: bound + plan.maxTokens,
-      guess: Math.ceil(bound / boundToGuess),
+      promptEstimate: Math.ceil(bound / boundToEstimateRatio),
     };
     return 'continue';
   } catch (error) {
-    gateway.log(`a program's register could not be read: ${fault.text(error)}.`);
+    gateway.log(`the conversation or budget record of a program could not be read: ${fault.text(error)}.`);
     return storesUnavailable(turn, 'no majority of stores was reached');
   }
 };
 
-/** The scheduler's decision: now, later at this boundary, or not at all (§4). */
-const admit = (turn: ChatTurn, onHold: () => void): Promise<Released> => {
+/** The scheduler's decision: released, at once or after a hold, or rejected (§4). `onHold` is called if it is held. */
+const admit = (turn: ChatTurn, onHold: () => void): Promise<AdmissionResult> => {
   const { gateway, plan, context, response } = turn;
   turn.timeline.enter('hold');
-  const asked = gateway.admission.admitTurn(
+  const pending = gateway.admission.admitTurn(
     {
       turn: turn.chargeId,
       program: plan.program,
-      tokens: context.guess,
+      tokens: context.promptEstimate,
       timeLeft: plan.timeLeft - elapsed(turn),
-      expectedService: gateway.admission.expectedService(plan.cls),
-      // A hold that runs out ends forced.
+      expectedService: gateway.admission.expectedService(plan.className),
+      // A turn whose hold times out is released as forced.
       patience: patience(turn, true),
       known: context.known,
     },
     onHold,
   );
-  response.onClose(asked.abandon);
-  if (response.isClosed()) asked.abandon();
-  return asked.released;
+  response.onClose(pending.abandon);
+  if (response.isClosed()) pending.abandon();
+  return pending.released;
 };
-const notAdmitted = (turn: ChatTurn, answer: Exclude<Released, { type: 'released' }>): 'answered' => {
-  if (answer.type === 'abandoned') return clientDisconnected(turn);
+const rejectUnadmitted = (turn: ChatTurn, result: Exclude<AdmissionResult, { type: 'released' }>): 'answered' => {
+  if (result.type === 'abandoned') return clientDisconnected(turn);
   const retryAfter = turn.gateway.responses.backoff();
-  if (answer.reason === 'program-busy')
+  if (result.reason === 'program-busy')
     return reject(turn, 'turn_open', 'another turn of this program is open', retryAfter);
   return reject(
     turn,
     'full',
-    `the table of ${answer.reason === 'turn-limit' ? 'turns' : 'programs'} is full`,
+    `the table of ${result.reason === 'turn-limit' ? 'turns' : 'programs'} is full`,
     retryAfter,
   );
 };
 
-/** A worker with a free slot, waited for if need be. */
+/** Acquires a slot at a worker, waiting for one if necessary. */
 const takeSlot = async (turn: ChatTurn): Promise<WorkerEntry | 'answered'> => {
   const { gateway, plan, response } = turn;
   turn.timeline.enter('slot');
   const used = elapsed(turn);
   const limit = Math.min(
     slotTimeout - used,
-    plan.timeLeft - used - gateway.admission.expectedService(plan.cls),
+    plan.timeLeft - used - gateway.admission.expectedService(plan.className),
     patience(turn),
   );
   const { preferred, excluded, forced: force } = turn;
-  const asked = gateway.admission.acquireSlot(plan.cls, { preferred, excluded, force, limit });
-  response.onClose(asked.abandon);
-  const slot = await asked.slot;
-  if (slot.type === 'acquired') return slot.worker;
+  const pending = gateway.admission.acquireSlot(plan.className, { preferred, excluded, force, limit });
+  response.onClose(pending.abandon);
+  const slotResult = await pending.slot;
+  if (slotResult.type === 'acquired') return slotResult.worker;
   const retryAfter = gateway.responses.backoff();
-  if (slot.type === 'no-worker') return reject(turn, 'no_worker', 'no model worker is there', retryAfter);
+  if (slotResult.type === 'no-worker') return reject(turn, 'no_worker', 'no model worker is there', retryAfter);
   return reject(turn, 'busy', 'all workers of this class are taken', retryAfter);
 };
 
@@ -133,7 +133,7 @@
   clientDisconnected: null,
 });
 
-const checkBeforeSend = lastCheck<ChatTurn>({
+const checkBeforeSend = preSendCheck<ChatTurn>({
   remaining,
   minimumTime: 0,
   reject,
@@ -141,18 +141,19 @@
   clientDisconnected,
 });
 
-/** How long a worker has for its whole stream. */
+/** Timeout for the head of a worker's response. */
 const streamTimeout = duration.s(30);
+/** `unsent`: nothing reached the worker. `took`: service time of a complete stream, otherwise null. */
 type Sent = { outcome: RelayOutcome | 'unsent'; took: Microseconds | null };
-const send = async (turn: ChatTurn, to: WorkerEntry): Promise<Sent> => {
+const send = async (turn: ChatTurn, worker: WorkerEntry): Promise<Sent> => {
   const { gateway, plan, context } = turn;
   invariant.hold(turn.charged && turn.scheduled, 'a turn is charged and admitted before it is sent');
   turn.phases.transition('send');
-  turn.sentTo = to.id;
+  turn.sentTo = worker.id;
   turn.timeline.enter('first_event');
-  turn.timeline.sentTo(to.id, turn.preferred === null ? null : turn.preferred === to.id);
+  turn.timeline.sentTo(worker.id, turn.preferred === null ? null : turn.preferred === worker.id);
   const sentAt = gateway.runtime.clock.now();
-  const reply = await worker.send(gateway.runtime, to, {
+  const reply = await workerClient.send(gateway.runtime, worker, {
     path: workerProtocol.chat.path,
     body: workerProtocol.chat.body({ messages: context.messages, maxTokens: plan.maxTokens, rest: plan.rest }),
     timeLeft: streamTimeout,
@@ -163,23 +164,26 @@
     },
   });
   if (reply.type === 'failed') {
-    if (!reply.unsent) gateway.exchangeEnded(to.id, 'lost');
+    if (!reply.unsent) gateway.exchangeEnded(worker.id, 'lost');
     return { outcome: reply.unsent ? 'unsent' : 'empty', took: null };
   }
   if (reply.response.status !== 200) {
-    if (reply.response.status >= 500) gateway.exchangeEnded(to.id, 'failed');
+    if (reply.response.status >= 500) gateway.exchangeEnded(worker.id, 'failed');
     reply.response.abort();
     return { outcome: 'empty', took: null };
   }
-  const outcome = await relay(turn, to.id, reply.response, sentAt);
+  const outcome = await relay(turn, worker.id, reply.response, sentAt);
   return { outcome, took: outcome === 'complete' ? gateway.runtime.clock.now() - sentAt : null };
 };
 
-/** What was reserved for a lost turn stays charged; a second one gets its own charge. False: it is not admitted. */
-const beginAgain = async (turn: ChatTurn): Promise<boolean> => {
+/**
+ * Prepares a lost turn for a second attempt: the reservation of the first one stays charged, and the turn gets a new
+ * charge and a new admission. False if it is not admitted.
+ */
+const prepareRetry = async (turn: ChatTurn): Promise<boolean> => {
   const { gateway, plan, context } = turn;
   gateway.count('retried');
-  const usage = { actual: context.reserve, tokens: context.guess, worker: null };
+  const usage = { actual: context.reserve, tokens: context.promptEstimate, worker: null };
   await gateway.budgets.settle(budgetAccountOf(plan), turn.chargeId, usage, recordTimeout(turn)).catch(() => undefined);
   turn.charged = false;
   leaveScheduler(turn);
@@ -194,15 +198,15 @@
   turn.phases.transition('again');
   return true;
 };
-/** The worker was lost. Repeated only if nothing was relayed, it is safe, and the retry budget has one left (§5.4). */
-const lost = async (turn: ChatTurn, outcome: 'empty' | 'cut', round: number): Promise<StepResult> => {
+/** The worker was lost. Retries only if nothing was relayed, a retry is safe and the retry budget allows it (§5.4). */
+const handleLostWorker = async (turn: ChatTurn, outcome: 'empty' | 'cut', round: number): Promise<StepResult> => {
   const { gateway, plan, response } = turn;
   const isSafe = outcome === 'empty' && !plan.once && plan.key === null && round === 0;
-  const repeats = isSafe && remaining(turn) > 0 && !response.isClosed() && gateway.takeRetry();
+  const willRetry = isSafe && remaining(turn) > 0 && !response.isClosed() && gateway.takeRetry();
   turn.phases.transition('lose');
   gateway.count('lost');
-  turn.timeline.ended('worker_lost');
-  if (repeats && (await beginAgain(turn))) return 'continue';
+  turn.timeline.setOutcome('worker_lost');
+  if (willRetry && (await prepareRetry(turn))) return 'continue';
   leaveScheduler(turn);
   if (outcome === 'empty') {
     const text = 'the worker was lost before its first token';
@@ -218,17 +222,17 @@
   turn.excluded.add(workerId);
   turn.preferred = null;
 };
-/** One worker: charged, checked again, sent to. `continue` if another worker is to be chosen. */
-const tryWorker = async (turn: ChatTurn, to: WorkerEntry, round: number): Promise<StepResult> => {
+/** One attempt at a worker: charges, checks again and sends. `continue` if another worker is to be chosen. */
+const tryWorker = async (turn: ChatTurn, worker: WorkerEntry, round: number): Promise<StepResult> => {
   const { gateway, plan } = turn;
   let took: Microseconds | null = null;
   try {
     if ((await charge(turn, budgetAccountOf(plan))) === 'answered') return 'answered';
     if (turn.phases.current() === 'admitted') turn.phases.transition('charge');
-    const checked = checkBeforeSend(turn, to, await gateway.refreshIfStale());
+    const checked = checkBeforeSend(turn, worker, await gateway.refreshIfStale());
     if (checked === 'answered') return 'answered';
     if (checked === 'continue') {
-      excludeWorker(turn, to.id);
+      excludeWorker(turn, worker.id);
       return 'continue';
     }
     const sent = await send(turn, checked);
@@ -237,18 +241,18 @@
       turn.scheduled = false;
       return 'answered';
     }
-    gateway.admission.markUnhealthy(to.id);
+    gateway.admission.markUnhealthy(worker.id);
     if (sent.outcome === 'unsent') {
       turn.phases.transition('unsent');
-      excludeWorker(turn, to.id);
-      const mayGoOn = round < lastUnsentRound && remaining(turn) > 0;
-      return mayGoOn ? 'continue' : reject(turn, 'no_worker', 'no worker could be reached', 1);
+      excludeWorker(turn, worker.id);
+      const mayRetry = round < maxUnsentRetries && remaining(turn) > 0;
+      return mayRetry ? 'continue' : reject(turn, 'no_worker', 'no worker could be reached', 1);
     }
-    const next = await lost(turn, sent.outcome, round);
-    if (next === 'continue') turn.excluded.add(to.id);
+    const next = await handleLostWorker(turn, sent.outcome, round);
+    if (next === 'continue') turn.excluded.add(worker.id);
     return next;
   } finally {
-    gateway.admission.releaseSlot(to.id, plan.cls, took);
+    gateway.admission.releaseSlot(worker.id, plan.className, took);
   }
 };
 
@@ -256,18 +260,18 @@
   if ((await claim(turn)) === 'answered') return;
   if ((await readContext(turn)) === 'answered') return;
   const released = await admit(turn, () => turn.phases.transition('hold'));
-  if (released.type !== 'released') return void notAdmitted(turn, released);
+  if (released.type !== 'released') return void rejectUnadmitted(turn, released);
   turn.scheduled = true;
   turn.phases.transition('admit');
   turn.preferred = released.worker;
   turn.forced = released.reason === 'forced';
   for (let round = 0; ; round++) {
-    const to = await takeSlot(turn);
-    if (to === 'answered' || (await tryWorker(turn, to, round)) === 'answered') return;
+    const worker = await takeSlot(turn);
+    if (worker === 'answered' || (await tryWorker(turn, worker, round)) === 'answered') return;
   }
 };
 
-/** Serves a turn to its final answer. */
+/** Serves a chat turn up to its final answer. */
 export const chat = async (gateway: Gateway, plan: ChatPlan, response: HttpResponseWriter): Promise<void> => {
   gateway.count('turns');
   const turn = openTurn(gateway, plan, response);
--- a/packages/data-plane/src/cluster-view.ts
+++ b/packages/data-plane/src/cluster-view.ts
@@ -1,6 +1,6 @@
 /**
- * What this gateway knows of the cluster (§3.7, §7.2): the configuration in use, the workers, whether it is in contact
- * with the others and with a majority of stores.
+ * A gateway's view of the cluster (§3.7, §7.2): the configuration in use, the workers, and whether the gateway is in
+ * contact with the other nodes and with a majority of stores.
  */
 import type { Config } from '@thornsail/config-schema';
 import type { GatewayMembership } from './gateway-membership.js';
@@ -12,30 +12,38 @@
 import type { RequestMetrics } from './request-metrics.js';
 import { workersOf } from './workers.js';
 
-/** Operations on what is known. Those that take something over pass it on to admission and to the connections. */
+/** Reads and updates the view. Updates are passed on to admission and to the connection pools. */
 export type ClusterView = {
   /** Undefined before the first configuration. */
   config: () => Config | undefined;
   /** 0 before the first configuration. */
   configVersion: () => number;
-  takeConfig: () => void;
-  takeWorkers: () => void;
+  /** Applies the configuration of the agreed state if it is newer than the one in use. */
+  applyConfig: () => void;
+  /** Applies the current list of workers. */
+  applyWorkers: () => void;
+  /** Whether any worker accepts requests. */
   hasWorkers: () => boolean;
   /** How many gateways are live, at least 1. */
   gatewayCount: () => number;
   /**
-   * Whether a configuration that the control plane has acknowledged is sure to be in use here (§7.2): the leader was
-   * heard of lately, or more than half of the gateways, without which it acknowledges nothing.
+   * Whether every configuration that the control plane has acknowledged is certain to be in use here (§7.2). True if
+   * the leader or more than half of the gateways were heard from recently: the control plane acknowledges nothing
+   * without a majority of gateways.
    */
   inContact: () => boolean;
-  /** After a freeze nothing is dispatched on an old membership (§3.7). False: it could not be refreshed. */
+  /**
+   * Refreshes the membership if it is stale because the process was suspended: nothing is dispatched on a stale
+   * membership (§3.7). False if it could not be refreshed.
+   */
   refreshIfStale: () => Promise<boolean>;
-  /** Finds out whether a majority of stores answers. */
+  /** Updates `storesReachable`. */
   checkStores: () => Promise<void>;
+  /** Whether a majority of stores answered the last check. */
   storesReachable: () => boolean;
 };
 
-/** A gateway that has heard neither of the leader nor of most gateways for so long takes nothing new (§7.2). */
+/** A gateway that heard neither from the leader nor from most gateways for this long accepts no new requests (§7.2). */
 const contactTimeout = duration.s(2);
 
 type Options = {
@@ -56,8 +64,9 @@
   if (!state || now - (membership.dissemination.get('core')?.receivedAt ?? -contactTimeout) < contactTimeout)
     return true;
   const gateways = liveGateways(state);
-  const isHeard = (id: string): boolean => id === membership.id || now - reports.lastHeardOf(id) < contactTimeout;
-  return gateways.filter((node) => isHeard(node.id)).length * 2 > gateways.length;
+  const isReachable = (id: string): boolean =>
+    id === membership.id || now - reports.lastReceivedAt(id) < contactTimeout;
+  return gateways.filter((node) => isReachable(node.id)).length * 2 > gateways.length;
 };
 
 const open = (options: Options): ClusterView => {
@@ -67,19 +76,19 @@
   let config: Config | undefined;
   let configVersion = 0;
   let storesReachable = false;
-  let changesBefore = 0;
+  let previousChanges = 0;
 
-  const takeConfig = (): void => {
+  const applyConfig = (): void => {
     const state = membership.state();
     if (!state || state.config.value === null || state.config.mark <= configVersion) return;
-    invariant.hold(state.config.mark > configVersion, 'the configuration slipped back');
+    invariant.hold(state.config.mark > configVersion, 'the configuration version decreased');
     configVersion = state.config.mark;
     config = state.config.value;
     admission.setConfig(config);
     log(`configuration ${configVersion} is in use.`);
     reports.changed();
   };
-  const takeWorkers = (): void => {
+  const applyWorkers = (): void => {
     const list = workersOf(membership.dissemination, clock.now());
     admission.setWorkers(list);
     const ids = new Set(list.map((worker) => worker.id));
@@ -90,8 +99,8 @@
   return {
     config: () => config,
     configVersion: () => configVersion,
-    takeConfig,
-    takeWorkers,
+    applyConfig,
+    applyWorkers,
     hasWorkers: () => workersOf(membership.dissemination, clock.now()).some((worker) => !worker.leaving),
     gatewayCount: () => {
       const state = membership.state();
@@ -103,21 +112,21 @@
       options.count('refreshed');
       const refreshed = await membership.refresh();
       if (refreshed) {
-        takeConfig();
-        takeWorkers();
-        reports.takeIn();
+        applyConfig();
+        applyWorkers();
+        reports.applyPeerLoads();
       }
       return refreshed;
     },
     checkStores: async () => {
-      // Changes that a majority took are proof enough.
+      // A completed change proves that a majority answers.
       const { done } = registers.counts();
-      storesReachable = done > changesBefore || (await registers.reachable());
-      changesBefore = done;
+      storesReachable = done > previousChanges || (await registers.reachable());
+      previousChanges = done;
     },
     storesReachable: () => storesReachable,
   };
 };
 
-/** Opens the view of one gateway. */
+/** Opens the cluster view of one gateway. */
 export const clusterView = { open };
--- a/packages/data-plane/src/data-plane.ts
+++ b/packages/data-plane/src/data-plane.ts
@@ -1,4 +1,4 @@
-/** The data plane that a gateway embeds (§5): its parts put together, its timers, its readiness and its counters. */
+/** Assembles the data plane of a gateway (§5): components, timers, readiness and counters. */
 import type { Config } from '@thornsail/config-schema';
 import type { GatewayMembership } from './gateway-membership.js';
 import { registers as registerStore, type Registers } from '@thornsail/register-store';
@@ -13,7 +13,7 @@
 import { storedTurns } from './forward/stored-turns.js';
 import type { Gateway } from './gateway.js';
 import { requestMetrics, type RequestMetrics } from './request-metrics.js';
-import { lifecycle as lifecycles, type Drain, type Lifecycle } from './lifecycle.js';
+import { lifecycle as lifecycles, type DrainOptions, type Lifecycle } from './lifecycle.js';
 import { productEntry } from './product-entry.js';
 import { budgetAccounts } from './records/budget-accounts.js';
 import { conversations } from './records/conversations.js';
@@ -21,27 +21,29 @@
 import { loadReport, type LoadReport } from './load-report.js';
 import { responses } from './responses.js';
 
-/** What a data plane is opened with. */
+/** Options of a data plane. */
 export type DataPlaneOptions = {
   runtime: Runtime;
   rpc: Rpc;
   membership: GatewayMembership;
-  /** Leaves the scheduler out, to measure against. */
+  /** Disables the admission scheduler, as a baseline for comparisons. */
   plain?: boolean;
+  /** This gateway's zone. */
   zone?: string;
 };
-/** A data plane that serves. */
+/** An open data plane. */
 export type DataPlane = {
-  /** Serves requests of the product's interface (§5.1). */
+  /** Serves requests of the product API (§5.1). */
   handle: HttpHandler;
-  /** Forwards, unread, what comes in a dialect's words (§5.7). */
+  /** Serves requests of the forwarding interface, whose headers and errors a dialect defines (§5.7). */
   forward: (dialect: Dialect) => HttpHandler;
-  /** Whether it should get requests, and if not, why. */
+  /** Whether the gateway should receive requests, and the reasons if not. */
   ready: () => { ok: boolean; why: string[] };
-  /** Takes requests for `acceptFor` more, while callers are led elsewhere; resolves when all are answered. */
-  drain: (options?: Drain) => Promise<void>;
-  /** What callers may send, by the configuration in use; undefined before the first. */
+  /** Shuts down gracefully: accepts requests for `acceptFor` more, and resolves when all are answered. */
+  drain: (options?: DrainOptions) => Promise<void>;
+  /** Limits on requests in the configuration in use; undefined before the first configuration. */
   limits: () => Config['limits'] | undefined;
+  /** Counters and gauges by name. */
   counts: () => Record<string, number>;
   /** Metrics of requests and workers in the Prometheus text format (§5.11). */
   metrics: () => Promise<string>;
@@ -50,11 +52,14 @@
   close: () => void;
 };
 
-/** Retries within the system: so many at once, and one more each second (§5.4). */
-const retryBudget = 10;
-const stateInterval = duration.ms(250);
-const retriesPerStateInterval = 0.25;
-const storesInterval = duration.ms(500);
+/** Retry budget of the gateway, refilled at one retry per second (§5.4). */
+const maxRetries = 10;
+/** Interval of applying the configuration, publishing the load and refilling the retry budget. */
+const updateInterval = duration.ms(250);
+const retriesPerUpdate = 0.25;
+/** Interval of checking the stores and applying the list of workers. */
+const storesCheckInterval = duration.ms(500);
+/** Timeout of the query on whether a turn is open at another gateway. */
 const turnOpenTimeout = duration.ms(300);
 
 type Counters = { values: Record<string, number>; count: (counter: string) => void };
@@ -80,9 +85,9 @@
   };
   return { values, count };
 };
-type Retries = { take: () => boolean; refill: () => void };
-const openRetries = (): Retries => {
-  let left = retryBudget;
+type RetryBudget = { take: () => boolean; refill: () => void };
+const openRetries = (): RetryBudget => {
+  let left = maxRetries;
   return {
     take: () => {
       if (left < 1) return false;
@@ -90,7 +95,7 @@
       return true;
     },
     refill: () => {
-      left = Math.min(retryBudget, left + retriesPerStateInterval);
+      left = Math.min(maxRetries, left + retriesPerUpdate);
     },
   };
 };
@@ -108,13 +113,13 @@
     },
   });
 
-type Parts = {
+type Components = {
   options: DataPlaneOptions;
   view: ClusterView;
   admission: Admission;
   registers: Registers;
   reports: LoadReport;
-  retries: Retries;
+  retries: RetryBudget;
   inFlight: Set<string>;
   count: (counter: string) => void;
   metrics: RequestMetrics;
@@ -129,7 +134,7 @@
   inFlight,
   count,
   metrics,
-}: Parts): Gateway => {
+}: Components): Gateway => {
   const { runtime, rpc, membership } = options;
   const { id } = membership;
   const limits = (): Config['limits'] => view.config()!.limits;
@@ -155,32 +160,32 @@
     inFlight,
     takeRetry: retries.take,
     refreshIfStale: view.refreshIfStale,
-    programTakenOver: reports.tookOver,
+    reportTakeover: reports.recordTakeover,
     isTurnOpenAt: (address, turn) => rpc.request<boolean>(address, 'turn.open', { turn }, turnOpenTimeout),
   };
 };
 
-/** Takes over what the cluster's updates bring, as they come and by timer. */
-const follow = (
+/** Applies updates of the cluster, as they arrive and periodically. Returns the timers. */
+const followCluster = (
   { runtime, membership }: DataPlaneOptions,
   view: ClusterView,
   reports: LoadReport,
-  retries: Retries,
+  retries: RetryBudget,
 ): Cancel[] => {
-  membership.onState(view.takeConfig);
+  membership.onState(view.applyConfig);
   membership.dissemination.onUpdate(({ name, version }) => {
-    if (name.startsWith('workers/')) view.takeWorkers();
-    if (name.startsWith('load/')) reports.newsArrived(name.slice('load/'.length), version);
+    if (name.startsWith('workers/')) view.applyWorkers();
+    if (name.startsWith('load/')) reports.disseminatedLoadReceived(name.slice('load/'.length), version);
   });
   return [
-    time.every(runtime.clock, stateInterval, () => {
-      view.takeConfig();
+    time.every(runtime.clock, updateInterval, () => {
+      view.applyConfig();
       reports.tick();
       retries.refill();
     }),
-    time.every(runtime.clock, storesInterval, async () => {
+    time.every(runtime.clock, storesCheckInterval, async () => {
       await view.checkStores();
-      view.takeWorkers();
+      view.applyWorkers();
     }),
   ];
 };
@@ -202,8 +207,8 @@
   const { values, count } = openCounters();
   const inFlight = new Set<string>();
   const retries = openRetries();
-  const uses = (): number => view.configVersion();
-  const reports = loadReport.open({ clock, rpc, membership, self: id, admission: () => admission, configInUse: uses });
+  const configInUse = (): number => view.configVersion();
+  const reports = loadReport.open({ clock, rpc, membership, self: id, admission: () => admission, configInUse });
   const admission: Admission = admissions.open({
     runtime,
     self: id,
@@ -216,7 +221,7 @@
   const metrics = requestMetrics.open(runtime.log('requests'));
   const view = clusterView.open({ runtime, membership, registers, admission, connections, reports, metrics, count });
   rpc.on<{ turn: string }>('turn.open', validate.object({ turn: validate.string }), ({ turn }) => inFlight.has(turn));
-  const stops = follow(options, view, reports, retries);
+  const timers = followCluster(options, view, reports, retries);
   const gateway = openGateway({ options, view, admission, registers, reports, retries, inFlight, count, metrics });
   const lifecycle = lifecycles.open(runtime, inFlight);
   const turns = storedTurns.open({ clock, registers });
@@ -245,7 +250,7 @@
     registers,
     close: () => {
       lifecycle.close();
-      for (const stop of stops) stop();
+      for (const stopTimer of timers) stopTimer();
       admission.close();
       connections.close();
     },
--- a/packages/data-plane/src/forward/charge.ts
+++ b/packages/data-plane/src/forward/charge.ts
@@ -41,7 +41,7 @@
   // Where turns are stored, the first of a program continues none: no budget record is there yet.
   const fresh = plan.route.keepSeconds > 0 && plan.previous === null;
   const past = context.elsewhere ? proposalsPerTurn * (context.chain.length + 1) : 0;
-  return { program: turn.program, budget, keepSeconds: 0, fresh, past };
+  return { program: turn.program, budget, keepSeconds: 0, likelyNew: fresh, likelyProposals: past };
 };
 const charged = (request: Request, account: BudgetAccount, worker: string | null): void => {
   const { gateway, plan, reservations, placement } = request;
@@ -51,7 +51,7 @@
   // The line of turns was at another gateway before: that one forgets it (§4.4).
   if (worker === null) return;
   const line = lineOf(plan.turn!);
-  if (!gateway.admission.knowsProgram(line)) gateway.programTakenOver(line);
+  if (!gateway.admission.knowsProgram(line)) gateway.reportTakeover(line);
 };
 
 const chargeTurn = chargeStep<Request>({
--- a/packages/data-plane/src/forward/claim.ts
+++ b/packages/data-plane/src/forward/claim.ts
@@ -54,5 +54,5 @@
     request.reservations.key = key; // It may have been written: the records free the key if so.
     return requests.storesUnavailable(request, 'the claim could not be kept by a majority');
   },
-  answerCopy,
+  answerDuplicate: answerCopy,
 });
--- a/packages/data-plane/src/forward/finish.ts
+++ b/packages/data-plane/src/forward/finish.ts
@@ -29,8 +29,8 @@
   const { plan, forwarding, gateway, context, relayed, response } = request;
   const used = requests.tokensRelayed(request);
   request.timeline.enter('record');
-  request.timeline.counted({ prompt: context.prompt, output: used });
-  request.timeline.ended('served');
+  request.timeline.setTokens({ prompt: context.prompt, output: used });
+  request.timeline.setOutcome('served');
   const settled = requests.settle(request, used, worker.id);
   try {
     if (plan.route.keepSeconds > 0) {
@@ -44,7 +44,7 @@
     requests.leaveScheduler(request, context.prompt + used, worker.id);
     request.phases.transition('lose');
     gateway.count('cut');
-    request.timeline.ended('not_kept');
+    request.timeline.setOutcome('not_kept');
     response.abort();
     return 'answered';
   }
@@ -68,7 +68,7 @@
   const { status, headers, body } = answer;
   request.phases.transition('relay');
   request.timeline.enter('record');
-  request.timeline.ended(status < 400 ? 'served' : `worker_${status}`);
+  request.timeline.setOutcome(status < 400 ? 'served' : `worker_${status}`);
   void requests.settle(request, 0, worker.id);
   requests.leaveScheduler(request, null, worker.id);
   if (reservations.key) {
@@ -111,7 +111,7 @@
   request.phases.transition('lose');
   if ((repeats || resumes) && mayGoOn) return tryAnother(request, worker);
   gateway.count('lost');
-  request.timeline.ended(relayed.headSent ? 'cut' : 'worker_lost');
+  request.timeline.setOutcome(relayed.headSent ? 'cut' : 'worker_lost');
   if (relayed.headSent) return cutOff(request);
   void requests.settle(request, requests.tokensRelayed(request), null);
   requests.leaveScheduler(request, null, null);
@@ -137,7 +137,7 @@
 
 const clientLeft = (request: Request, worker: WorkerEntry): 'answered' => {
   request.gateway.count('orphaned');
-  request.timeline.ended('gone');
+  request.timeline.setOutcome('gone');
   request.phases.transition('lose');
   void requests.settle(request, requests.tokensRelayed(request), worker.id);
   requests.leaveScheduler(request, request.context.prompt, worker.id);
--- a/packages/data-plane/src/forward/forward.ts
+++ b/packages/data-plane/src/forward/forward.ts
@@ -19,7 +19,7 @@
 /** The final answer of a request whose time is over. */
 const expire = (request: Request): void => {
   request.gateway.count('timed_out');
-  request.timeline.ended('timed_out');
+  request.timeline.setOutcome('timed_out');
   // Nothing was sent, and nothing will be: its client counts as gone from here on.
   if (request.phases.execution() === 'no')
     requests.answerError(
--- a/packages/data-plane/src/forward/place.ts
+++ b/packages/data-plane/src/forward/place.ts
@@ -21,7 +21,7 @@
       tokens: context.prompt,
       timeLeft: requests.left(request),
       expectedService: gateway.admission.expectedService(plan.cls),
-      patience: requests.untilGivenUp(request) - gateway.admission.likelyDelay(plan.cls, true),
+      patience: requests.untilGivenUp(request) - gateway.admission.estimatedDelay(plan.cls, true),
       ...known,
       ...(turn.remaining === null ? {} : { programTimeLeft: turn.remaining }),
     },
--- a/packages/data-plane/src/forward/request.ts
+++ b/packages/data-plane/src/forward/request.ts
@@ -205,7 +205,7 @@
 /** Gives the request up before anything was sent: the answer goes out first, the records follow. */
 const reject = (request: Request, code: ErrorCode, text: string, retryAfter: number | null): 'answered' => {
   request.phases.transition('reject');
-  request.timeline.ended(code);
+  request.timeline.setOutcome(code);
   const programEnds = code === 'budget_spent' || code === 'no_such_turn';
   leaveScheduler(request, null, null, programEnds);
   request.reservations.closing = true;
--- a/packages/data-plane/src/forward/send.ts
+++ b/packages/data-plane/src/forward/send.ts
@@ -1,7 +1,7 @@
 // Sending a request to one worker (§5.7): a last look at the news, a connection, the exchange, and what it relays.
 import type { WorkerEntry } from '@thornsail/load-balancer';
 import { duration, type HttpResponseWriter, type Microseconds } from '@thornsail/runtime';
-import { lastCheck, untilRead } from '../requests/attempt.js';
+import { preSendCheck, waitUntilRead } from '../requests/attempt.js';
 import type { StepResult } from '../requests/steps.js';
 import type { Lease } from './connections.js';
 import { events, type StreamEvent } from './events.js';
@@ -17,7 +17,7 @@
 const untoldConnections = 64;
 const leastConnections = 2;
 
-const checkBeforeSend = lastCheck<Request>({
+const checkBeforeSend = preSendCheck<Request>({
   remaining: requests.left,
   minimumTime: leastTimeToSend,
   reject: requests.reject,
@@ -103,7 +103,7 @@
       }
       return response.isClosed() || response.write(event.bytes);
     },
-    drained: () => untilRead(gateway, response),
+    drained: () => waitUntilRead(gateway, response),
   };
 };
 
--- a/packages/data-plane/src/gateway-membership.ts
+++ b/packages/data-plane/src/gateway-membership.ts
@@ -1,4 +1,4 @@
-/** What a data plane asks of its node's membership. */
+/** The membership, as a data plane depends on it. */
 import type { Membership } from '@thornsail/membership';
 
 /** The part of the membership that a data plane uses. */
--- a/packages/data-plane/src/gateway-peers.ts
+++ b/packages/data-plane/src/gateway-peers.ts
@@ -1,13 +1,13 @@
-/** The live gateways and the paths of load between them (§3.5), computed once for each version of the agreed state. */
+/** The live gateways and the paths of load reports between them (§3.5), cached for each version of the agreed state. */
 import type { GatewayMembership } from './gateway-membership.js';
-import { loadPaths, type EdgePeer, type LoadPaths } from './load-paths.js';
+import { loadPaths, type GatewayPeer, type LoadPaths } from './load-paths.js';
 
-/** Live gateways, this one included, and whom this one sends its load to. */
-export type GatewayPeers = { live: EdgePeer[]; paths: LoadPaths };
+/** The live gateways, including this one, and the addresses that this one sends load reports to. */
+export type GatewayPeers = { live: GatewayPeer[]; paths: LoadPaths };
 
 /** Reads the gateways from the agreed state. */
 export const gatewayPeers = {
-  /** Gives the peers by the state at the time of each call. */
+  /** Returns a function that gives the peers of the current state. */
   open: (membership: GatewayMembership, self: string): (() => GatewayPeers) => {
     let computedFrom: ReturnType<GatewayMembership['state']>;
     let peers: GatewayPeers = { live: [], paths: { row: [], otherRows: [] } };
@@ -18,7 +18,7 @@
         (node) => node.role === 'gateway' && node.status !== 'dead',
       );
       computedFrom = state;
-      peers = { live, paths: loadPaths.of(live, self) };
+      peers = { live, paths: loadPaths.compute(live, self) };
       return peers;
     };
   },
--- a/packages/data-plane/src/gateway.ts
+++ b/packages/data-plane/src/gateway.ts
@@ -1,4 +1,4 @@
-/** What all requests share at one gateway. */
+/** Services and state that all requests of one gateway share. */
 import type { Config } from '@thornsail/config-schema';
 import type { GatewayMembership } from './gateway-membership.js';
 import type { Address, Runtime } from '@thornsail/runtime';
@@ -10,7 +10,7 @@
 import type { TimelineObserver } from './request-timeline.js';
 import type { Responses } from './responses.js';
 
-/** One gateway, as the steps of a request see it. */
+/** One gateway, as the request steps use it. */
 export type Gateway = {
   runtime: Runtime;
   id: string;
@@ -22,29 +22,33 @@
   responses: Responses;
   /** The configuration in use. No request is served before there is one. */
   config: () => Config;
-  /** Adds one to a counter. */
+  /** Increments a counter. */
   count: (counter: string) => void;
   log: (text: string) => void;
-  /** Is told of each request that has ended, and of each exchange with a worker. */
+  /** Called with each finished request. */
   requestEnded: TimelineObserver;
+  /** Counts an exchange with a worker in the metrics only. */
   workerOutcome: (worker: string, outcome: WorkerOutcome) => void;
-  /** Tells the load balancer and the metrics of an exchange that the worker has ended well, or has failed. */
+  /** Reports to load balancer and metrics that an exchange succeeded (`answered`) or that the worker failed. */
   exchangeEnded: (worker: string, outcome: 'answered' | 'failed' | 'lost' | 'cut') => void;
-  /** Requests of this gateway whose records are not closed, by id. */
+  /** IDs of this gateway's requests whose records are not closed yet. */
   inFlight: Set<string>;
-  /** Takes one from the retry budget, if there is one left (§5.4). */
+  /** Takes one retry from the retry budget; false if it is used up (§5.4). */
   takeRetry: () => boolean;
-  /** After a freeze nothing is dispatched on an old membership (§3.7). False: it could not be refreshed. */
+  /**
+   * Refreshes the membership if it is stale because the process was suspended: nothing is dispatched on a stale
+   * membership (§3.7). False if it could not be refreshed.
+   */
   refreshIfStale: () => Promise<boolean>;
-  /** A program was served by another gateway before: that one forgets it (§4.4). */
-  programTakenOver: (program: string) => void;
-  /** Asks another gateway whether it still has a turn in flight. */
+  /** Reports that a program has moved here from another gateway, so that the other one drops its state (§4.4). */
+  reportTakeover: (program: string) => void;
+  /** Queries another gateway on whether a turn is still in flight there. Rejects if it does not answer. */
   isTurnOpenAt: (address: Address, turn: string) => Promise<boolean>;
 };
 
 /**
- * Whether the gateway that claimed a key still has the request in flight. That gateway's own answer decides, never a
- * clock; one that does not answer may still be serving it.
+ * Whether the gateway that claimed a key still has the request in flight. Decided by that gateway's answer and never by
+ * clocks; a live gateway that does not answer may still be serving it, so the result is true.
  */
 export const isInFlight = async (gateway: Gateway, claim: KeyClaim): Promise<boolean> => {
   if (claim.by === gateway.id) return gateway.inFlight.has(claim.turn);
--- a/packages/data-plane/src/job.ts
+++ b/packages/data-plane/src/job.ts
@@ -1,4 +1,4 @@
-/** Serves a job (§5.1), a function for each step: claim, slot, send, result. */
+/** Serves a job (§5.1), one function for each step: claim, slot, send, result. */
 import { workerProtocol, type WorkerEntry } from '@thornsail/load-balancer';
 import {
   duration,
@@ -11,18 +11,18 @@
 import type { Gateway } from './gateway.js';
 import { phases, type Execution } from './phases.js';
 import type { JobPlan } from './plan.js';
-import { claimKey, lastUnsentRound, remaining, slotTimeout, type ProductRequest } from './product-request.js';
+import { claimKey, maxUnsentRetries, remaining, slotTimeout, type ProductRequest } from './product-request.js';
 import { idempotencyKeyOf } from './records/idempotency-keys.js';
-import { lastCheck, lateText } from './requests/attempt.js';
+import { preSendCheck, lateText } from './requests/attempt.js';
 import { elapsed } from './requests/deadline.js';
 import { openTimeline } from './requests/timeline.js';
 import type { StepResult } from './requests/steps.js';
-import { worker } from './worker-request.js';
+import { workerClient } from './worker-request.js';
 
 type JobRequest = ProductRequest<JobPlan>;
-/** Characters of a result at most. */
+/** In characters. */
 const maxResultLength = 4 << 20;
-/** A worker gets at least so long for its result. */
+/** Minimum timeout for the head of a worker's response. */
 const minimumJobTime = duration.ms(100);
 
 const releaseKey = (job: JobRequest): void => {
@@ -31,7 +31,7 @@
   const { gateway, plan, id } = job;
   void gateway.keys.release(idempotencyKeyOf(plan), id).finally(() => gateway.inFlight.delete(id));
 };
-/** Gives a job up before anything was sent: the answer does not wait for the stores. */
+/** Rejects a job before anything was sent: answers at once and frees the key in the background. */
 const reject = (
   job: JobRequest,
   code: ErrorCode,
@@ -40,7 +40,7 @@
   ran?: Execution,
 ): 'answered' => {
   job.phases.transition('reject');
-  job.timeline.ended(code);
+  job.timeline.setOutcome(code);
   releaseKey(job);
   job.gateway.responses.reject(job.response, code, text, ran ?? job.phases.execution(), retryAfter);
   return 'answered';
@@ -48,31 +48,34 @@
 
 const claim = claimKey(reject);
 
-/** A worker with a free slot, waited for if need be. */
+/** Acquires a slot at a worker, waiting for one if necessary. */
 const takeSlot = async (job: JobRequest): Promise<WorkerEntry | 'answered'> => {
   const { gateway, plan, response } = job;
   job.timeline.enter('slot');
-  const limit = Math.min(slotTimeout - elapsed(job), remaining(job) - gateway.admission.expectedService(plan.cls));
-  const asked = gateway.admission.acquireSlot(plan.cls, {
+  const limit = Math.min(
+    slotTimeout - elapsed(job),
+    remaining(job) - gateway.admission.expectedService(plan.className),
+  );
+  const pending = gateway.admission.acquireSlot(plan.className, {
     preferred: null,
     excluded: job.excluded,
     force: false,
     limit,
   });
-  response.onClose(asked.abandon);
-  const slot = await asked.slot;
-  if (slot.type === 'acquired') return slot.worker;
-  if (slot.type === 'abandoned') {
+  response.onClose(pending.abandon);
+  const slotResult = await pending.slot;
+  if (slotResult.type === 'acquired') return slotResult.worker;
+  if (slotResult.type === 'abandoned') {
     job.phases.transition('reject');
     releaseKey(job);
     return 'answered';
   }
   const retryAfter = gateway.responses.backoff();
-  if (slot.type === 'no-worker') return reject(job, 'no_worker', 'no worker of this kind is there', retryAfter);
+  if (slotResult.type === 'no-worker') return reject(job, 'no_worker', 'no worker of this kind is there', retryAfter);
   return reject(job, 'busy', 'all workers of this class are taken', retryAfter);
 };
 
-const checkBeforeSend = lastCheck<JobRequest>({
+const checkBeforeSend = preSendCheck<JobRequest>({
   remaining,
   minimumTime: 0,
   reject,
@@ -80,25 +83,25 @@
   clientDisconnected: (job) => reject(job, 'late', lateText, 1),
 });
 
-/** A byte may have reached the worker: only what is safe to repeat, and only within the retry budget (§5.4). */
-const lost = (job: JobRequest, text: string, mayRepeat: boolean): StepResult => {
+/** The worker may have received the job: retries only if that is safe and the retry budget allows it (§5.4). */
+const handleLostWorker = (job: JobRequest, text: string, mayRetry: boolean): StepResult => {
   const { gateway, plan } = job;
-  const repeats = mayRepeat && !plan.once && plan.key === null && remaining(job) > 0 && gateway.takeRetry();
+  const willRetry = mayRetry && !plan.once && plan.key === null && remaining(job) > 0 && gateway.takeRetry();
   job.phases.transition('lose');
-  if (repeats) {
+  if (willRetry) {
     gateway.count('retried');
     job.phases.transition('again');
     return 'continue';
   }
   gateway.count('lost');
-  job.timeline.ended('worker_lost');
+  job.timeline.setOutcome('worker_lost');
   gateway.responses.reject(job.response, 'worker_lost', text, 'unknown', plan.once ? null : 1);
   return 'answered';
 };
 const readResult = async (response: HttpClientResponse): Promise<string> => {
   let body = '';
-  for await (const piece of response.body) {
-    body += piece;
+  for await (const chunk of response.body) {
+    body += chunk;
     if (body.length > maxResultLength) {
       response.abort();
       throw internalErrors.create('result-too-large', { step: 'job.body' });
@@ -106,14 +109,14 @@
   }
   return body;
 };
-/** Answers with a result; that of a key is recorded first. */
+/** Answers with the result; for a request with a key the result is recorded first. */
 const answer = async (job: JobRequest, result: HttpClientResponse, body: string): Promise<void> => {
   const { gateway, plan, response } = job;
   const type = result.headers['content-type'] ?? 'application/json';
   const recorded = { status: result.status, type, body, finish: null, prompt: 0, completion: 0 };
   job.phases.transition('relay');
   job.timeline.enter('record');
-  job.timeline.ended('served');
+  job.timeline.setOutcome('served');
   if (job.claimed) await gateway.keys.recordResult(idempotencyKeyOf(plan), job.id, recorded);
   job.phases.transition('end');
   gateway.count('results');
@@ -122,28 +125,28 @@
   response.end(body);
 };
 
-/** The worker sent no response. */
-const failed = (job: JobRequest, workerId: string, unsent: boolean, round: number): StepResult => {
+/** The worker sent no response. `unsent`: it is certain that nothing reached it. */
+const handleNoResponse = (job: JobRequest, workerId: string, unsent: boolean, round: number): StepResult => {
   job.gateway.admission.markUnhealthy(workerId);
   job.excluded.add(workerId);
   if (!unsent) {
     job.gateway.exchangeEnded(workerId, 'lost');
-    return lost(job, 'the worker was lost before its result', round === 0);
+    return handleLostWorker(job, 'the worker was lost before its result', round === 0);
   }
   job.phases.transition('unsent');
-  const mayGoOn = round < lastUnsentRound && remaining(job) > 0;
-  return mayGoOn ? 'continue' : reject(job, 'no_worker', 'no worker could be reached', 1);
+  const mayContinue = round < maxUnsentRetries && remaining(job) > 0;
+  return mayContinue ? 'continue' : reject(job, 'no_worker', 'no worker could be reached', 1);
 };
-/** One worker: checked again, sent to. `continue` if another one is to be chosen. */
-const tryWorker = async (job: JobRequest, to: WorkerEntry, round: number): Promise<StepResult> => {
+/** One attempt at a worker: checks again and sends. `continue` if another worker is to be chosen. */
+const tryWorker = async (job: JobRequest, worker: WorkerEntry, round: number): Promise<StepResult> => {
   const { gateway, plan } = job;
   let took: Microseconds | null = null;
   try {
     if (round === 0) job.phases.transition('admit');
-    const checked = checkBeforeSend(job, to, await gateway.refreshIfStale());
+    const checked = checkBeforeSend(job, worker, await gateway.refreshIfStale());
     if (checked === 'answered') return 'answered';
     if (checked === 'continue') {
-      job.excluded.add(to.id);
+      job.excluded.add(worker.id);
       return 'continue';
     }
     if (job.phases.current() === 'admitted') job.phases.transition('charge');
@@ -151,31 +154,31 @@
     job.timeline.enter('first_event');
     job.timeline.sentTo(checked.id, null);
     const sentAt = gateway.runtime.clock.now();
-    const reply = await worker.send(gateway.runtime, checked, {
+    const reply = await workerClient.send(gateway.runtime, checked, {
       path: workerProtocol.job.path,
       body: plan.body,
       headers: plan.key === null ? {} : { 'idempotency-key': plan.key },
       timeLeft: Math.max(minimumJobTime, plan.timeLeft - elapsed(job)),
     });
-    if (reply.type === 'failed') return failed(job, checked.id, reply.unsent, round);
+    if (reply.type === 'failed') return handleNoResponse(job, checked.id, reply.unsent, round);
     let body: string;
     try {
       body = await readResult(reply.response);
     } catch (error) {
-      gateway.log(`a job's result broke off: ${fault.text(error)}.`);
+      gateway.log(`the result of a job was cut off: ${fault.text(error)}.`);
       gateway.exchangeEnded(checked.id, 'cut');
-      return lost(job, 'the result broke off', false);
+      return handleLostWorker(job, 'the result broke off', false);
     }
     took = gateway.runtime.clock.now() - sentAt;
     gateway.exchangeEnded(checked.id, reply.response.status >= 500 ? 'failed' : 'answered');
     await answer(job, reply.response, body);
     return 'answered';
   } finally {
-    gateway.admission.releaseSlot(to.id, plan.cls, took);
+    gateway.admission.releaseSlot(worker.id, plan.className, took);
   }
 };
 
-/** Serves a job to its final answer. */
+/** Serves a job up to its final answer. */
 export const job = async (gateway: Gateway, plan: JobPlan, response: HttpResponseWriter): Promise<void> => {
   gateway.count('jobs');
   const request: JobRequest = {
@@ -183,7 +186,7 @@
     plan,
     response,
     phases: phases.open(),
-    timeline: openTimeline(gateway, plan.cls, null),
+    timeline: openTimeline(gateway, plan.className, null),
     arrivedAt: gateway.runtime.clock.now(),
     id: `${gateway.id}.${gateway.runtime.rand.id()}`,
     claimed: false,
@@ -194,8 +197,8 @@
   try {
     if ((await claim(request)) === 'answered') return;
     for (let round = 0; ; round++) {
-      const to = await takeSlot(request);
-      if (to === 'answered' || (await tryWorker(request, to, round)) === 'answered') return;
+      const worker = await takeSlot(request);
+      if (worker === 'answered' || (await tryWorker(request, worker, round)) === 'answered') return;
     }
   } finally {
     request.timeline.close();
--- a/packages/data-plane/src/lifecycle.ts
+++ b/packages/data-plane/src/lifecycle.ts
@@ -1,4 +1,4 @@
-/** How a gateway leaves (§5.10): the requests it still has, and the phases of its graceful shutdown. */
+/** Graceful shutdown of a gateway (§5.10): its phases, and the open requests that it waits for. */
 import {
   duration,
   fault,
@@ -8,25 +8,25 @@
   type Microseconds,
   type Runtime,
 } from '@thornsail/runtime';
-import { maxTurn } from './records/retention.js';
+import { maxTurnDuration } from './records/retention.js';
 
-/** What a gateway that leaves still takes, and when it ends at the latest. */
-export type Drain = {
-  /** It takes requests for so long, while callers are led elsewhere. */
+/** Time limits of a graceful shutdown. */
+export type DrainOptions = {
+  /** How long new requests are still accepted, while callers are redirected to other gateways. Default: none. */
   acceptFor?: Microseconds;
-  /** It waits no longer than this from the call on, whatever is still in flight. */
-  within?: Microseconds;
+  /** The longest duration of the drain, whatever is still in flight. Default: `maxTurnDuration`. */
+  timeout?: Microseconds;
 };
-/** `leaving`: it still takes requests, and tells callers to go elsewhere; `draining`: it takes nothing new. */
+/** `leaving`: accepts requests and closes connections after each answer; `draining`: accepts nothing new. */
 export type LifecyclePhase = 'serving' | 'leaving' | 'draining';
 /** The lifecycle of one data plane. */
 export type Lifecycle = {
   phase: () => LifecyclePhase;
   isClosed: () => boolean;
-  /** A handler whose requests a drain waits for. One that throws has its connection cut. */
+  /** Wraps a handler, so that a drain waits for its requests. If the handler throws, the connection is aborted. */
   tracked: (serve: HttpHandler) => HttpHandler;
-  /** Resolves when all requests are answered, or the time is up. */
-  drain: (options?: Drain) => Promise<void>;
+  /** Resolves when all requests are answered, on timeout, or on `close`. */
+  drain: (options?: DrainOptions) => Promise<void>;
   close: () => void;
 };
 
@@ -37,10 +37,10 @@
   const log = runtime.log('data-plane');
   let phase: LifecyclePhase = 'serving';
   let closed = false;
-  /** Requests whose handler has not ended yet: not all of them are in flight already, or still. */
+  /** Number of requests whose handler is running. It differs from `inFlight`, which has requests with open records. */
   let answering = 0;
 
-  /** Callers that keep their connection are told to open the next one elsewhere. */
+  /** While leaving, adds `connection: close`, so that callers open their next connection to another gateway. */
   const closingWhileLeaving = (response: HttpResponseWriter): HttpResponseWriter => ({
     ...response,
     writeHead: (status, headers) =>
@@ -67,12 +67,12 @@
         answering -= 1;
       }
     },
-    drain: async ({ acceptFor, within } = {}) => {
+    drain: async ({ acceptFor, timeout } = {}) => {
       phase = 'leaving';
-      const end = clock.now() + (within ?? maxTurn);
+      const endAt = clock.now() + (timeout ?? maxTurnDuration);
       if (acceptFor) await time.sleep(clock, acceptFor);
       phase = 'draining';
-      while ((inFlight.size || answering) && clock.now() < end && !closed) await time.sleep(clock, drainPollInterval);
+      while ((inFlight.size || answering) && clock.now() < endAt && !closed) await time.sleep(clock, drainPollInterval);
     },
     close: () => {
       closed = true;
@@ -80,5 +80,5 @@
   };
 };
 
-/** Opens lifecycles. */
+/** Opens the lifecycle of a data plane. */
 export const lifecycle = { open };
--- a/packages/data-plane/src/load-publisher.ts
+++ b/packages/data-plane/src/load-publisher.ts
@@ -1,90 +1,90 @@
 /**
- * Tells the other gateways of this one's load (§4.4, §5.2): over the load exchange soon after a change, so that two
- * gateways seldom see the same slot free; in the news (§3.5) as well, seldom, for operators and for a gateway that the
- * exchange does not reach. Which configuration is in use goes into the news by itself.
+ * Publishes this gateway's load to the other gateways (§4.4, §5.2): over the load exchange soon after a change, so that
+ * two gateways rarely see the same slot as free; and at a lower rate by dissemination (§3.5), for operators and for
+ * gateways that the exchange does not reach. The version of the configuration in use is disseminated separately.
  */
 import type { GatewayMembership } from './gateway-membership.js';
 import { duration, type Clock, type Microseconds } from '@thornsail/runtime';
-import type { Admission, EdgeLoad } from './admission.js';
+import type { Admission, GatewayLoad } from './admission.js';
 import type { LoadExchange } from './load-exchange.js';
 
 /** Publishes one gateway's load. */
 export type LoadPublisher = {
-  /** Something has changed: it is published once the pause since the last time is over. */
+  /** The load has changed: it is published once `pause` has passed since the last publication. */
   changed: () => void;
-  /** Publishes what is new; what only grows tokens waits for `slowInterval`. */
+  /** Publishes the load if it has changed; if only its tokens have, at most every `tokensInterval`. */
   publish: () => void;
-  /** A program was taken over from another gateway: the load names it for a while. */
-  tookOver: (program: string) => void;
+  /** A program was taken over from another gateway: the load lists it for `takeoverTime`. */
+  recordTakeover: (program: string) => void;
 };
 
-/** The longest time between two loads whose tokens alone have changed. */
-const slowInterval = duration.ms(700);
-/** Time between two loads in the news. */
-const newsInterval = duration.ms(1500);
-/** For how long, and of how many programs at most, a load says that they were taken over. */
+/** Minimum time between two loads that differ only in their tokens. */
+const tokensInterval = duration.ms(700);
+/** Minimum time between two disseminated loads. */
+const disseminationInterval = duration.ms(1500);
+/** How long a load lists a program as taken over, and how many programs it lists at most. */
 const takeoverTime = duration.s(3);
 const maxTakeovers = 500;
 
-/** What a publisher needs of its gateway. */
+/** What a publisher needs from its gateway. */
 type PublisherOptions = {
   clock: Clock;
   dissemination: GatewayMembership['dissemination'];
   exchange: LoadExchange;
   self: string;
   admission: () => Admission;
-  /** The mark of the configuration in use. */
+  /** Version of the configuration in use. */
   configInUse: () => number;
-  /** The least time between two loads, at present. */
+  /** The current minimum time between two loads. */
   pause: () => Microseconds;
-  /** When the first load may go, as a time before the start: the pause while slots are plenty. */
+  /** The time before the start at which a load counts as published, for the first `pause`. */
   firstPause: Microseconds;
 };
 
-/** Programs that were taken over lately; the oldest are dropped. */
+/** Programs that were taken over recently; the oldest are dropped. */
 const takeovers = (clock: Clock): { add: (program: string) => void; recent: (now: Microseconds) => string[] } => {
-  const takenAt = new Map<string, Microseconds>();
+  const takenOverAt = new Map<string, Microseconds>();
   return {
-    add: (program) => void takenAt.set(program, clock.now()),
+    add: (program) => void takenOverAt.set(program, clock.now()),
     recent: (now) => {
-      for (const [program, at] of takenAt)
-        if (now - at > takeoverTime || takenAt.size > maxTakeovers) takenAt.delete(program);
-      return [...takenAt.keys()];
+      for (const [program, at] of takenOverAt)
+        if (now - at > takeoverTime || takenOverAt.size > maxTakeovers) takenOverAt.delete(program);
+      return [...takenOverAt.keys()];
     },
   };
 };
 
 const openPublisher = (options: PublisherOptions): LoadPublisher => {
   const { clock, dissemination, exchange, self } = options;
-  const taken = takeovers(clock);
-  let mark = 0;
-  let lastText = '';
+  const recentTakeovers = takeovers(clock);
+  let version = 0;
+  let lastComparable = '';
   let lastPublished = -options.firstPause;
-  let lastNews = -newsInterval;
-  let lastInUse = -1;
+  let lastDisseminated = -disseminationInterval;
+  let lastConfigInUse = -1;
   let isScheduled = false;
-  const putNews = (load: EdgeLoad, now: Microseconds): void => {
-    const isDue = now - lastNews >= newsInterval;
-    // What is in use is told by itself: it lasts, so it finds its way round a relay that hangs. It is put again now and
-    // then, since whoever took this gateway for dead has dropped it.
-    if (isDue || load.uses > lastInUse) dissemination.put(`uses/${self}`, load.uses, {});
-    lastInUse = load.uses;
+  const disseminate = (load: GatewayLoad, now: Microseconds): void => {
+    const isDue = now - lastDisseminated >= disseminationInterval;
+    // The version in use is a separate item that stays valid, so that it gets past a relay that hangs. It is repeated
+    // with each disseminated load, since a node that considered this gateway dead has dropped it.
+    if (isDue || load.uses > lastConfigInUse) dissemination.put(`uses/${self}`, load.uses, {});
+    lastConfigInUse = load.uses;
     if (!isDue) return;
-    lastNews = now;
-    dissemination.put(`load/${self}`, mark, load);
+    lastDisseminated = now;
+    dissemination.put(`load/${self}`, version, load);
   };
   const publish = (): void => {
     const now = clock.now();
-    const took = taken.recent(now);
-    const load: EdgeLoad = { ...options.admission().load(), took, uses: options.configInUse() };
-    // Tokens grow with every event of every stream: that alone is published at the slow interval.
-    const text = JSON.stringify({ ...load, tokens: null });
-    if (text === lastText && now - lastPublished < slowInterval) return;
-    lastText = text;
+    const took = recentTakeovers.recent(now);
+    const load: GatewayLoad = { ...options.admission().load(), took, uses: options.configInUse() };
+    // Tokens grow with each event of each stream, so they are left out of the comparison.
+    const comparable = JSON.stringify({ ...load, tokens: null });
+    if (comparable === lastComparable && now - lastPublished < tokensInterval) return;
+    lastComparable = comparable;
     lastPublished = now;
-    mark += 1;
-    exchange.send({ from: self, mark, load });
-    putNews(load, now);
+    version += 1;
+    exchange.send({ from: self, mark: version, load });
+    disseminate(load, now);
   };
   const changed = (): void => {
     if (isScheduled) return;
@@ -94,8 +94,8 @@
       publish();
     });
   };
-  return { changed, publish, tookOver: taken.add };
+  return { changed, publish, recordTakeover: recentTakeovers.add };
 };
 
-/** Publishes loads. */
+/** Opens load publishers. */
 export const loadPublisher = { open: openPublisher };
--- a/packages/data-plane/src/load-report.ts
+++ b/packages/data-plane/src/load-report.ts
@@ -1,58 +1,58 @@
 /**
- * The load reports between gateways (§4.4, §5.2): when this one publishes its load, and when it takes in what the
- * others have published, by the load exchange or by the news (§3.5).
+ * Load reports between gateways (§4.4, §5.2): schedules the publication of this gateway's load, and passes the loads of
+ * the others, received by the load exchange or by dissemination (§3.5), to admission.
  */
 import type { GatewayMembership } from './gateway-membership.js';
 import type { Rpc } from '@thornsail/rpc';
 import { duration, type Clock, type Microseconds } from '@thornsail/runtime';
-import type { Admission, EdgeLoad } from './admission.js';
+import type { Admission, GatewayLoad } from './admission.js';
 import { gatewayPeers } from './gateway-peers.js';
 import { loadExchange, type LoadExchange, type ReceivedLoad } from './load-exchange.js';
-import { directUpTo } from './load-paths.js';
+import { maxDirectGateways } from './load-paths.js';
 import { loadPublisher } from './load-publisher.js';
 
 /** One gateway's side of the load reports. */
 export type LoadReport = {
-  /** Something has changed here: the other gateways are told soon. */
+  /** This gateway's load has changed: it is published soon. */
   changed: () => void;
-  /** Publishes what is new, and takes in what has aged. */
+  /** Publishes the load if it has changed, and re-evaluates the others' loads, since they expire. */
   tick: () => void;
-  /** A program was taken over from another gateway; the others forget it. */
-  tookOver: (program: string) => void;
-  /** Takes in at once what the others have published. */
-  takeIn: () => void;
-  /** A load has come by the news: it is taken in soon, unless the gateway itself has sent it. */
-  newsArrived: (gateway: string, mark: number) => void;
-  /** When another gateway was heard of last, by the local clock; -Infinity if never. */
-  lastHeardOf: (gateway: string) => Microseconds;
+  /** A program was taken over from another gateway: the load lists it, so that the other one drops its state. */
+  recordTakeover: (program: string) => void;
+  /** Passes the newest loads of the other gateways to admission at once. */
+  applyPeerLoads: () => void;
+  /** A load of version `mark` has arrived by dissemination: applied soon, unless the exchange delivered it before. */
+  disseminatedLoadReceived: (gateway: string, mark: number) => void;
+  /** When a load of another gateway last arrived, by the local clock; -Infinity if never. */
+  lastReceivedAt: (gateway: string) => Microseconds;
 };
-/** What the reports need of their gateway. */
+/** What the load reports need from their gateway. */
 export type LoadReportOptions = {
   clock: Clock;
   rpc: Rpc;
   membership: GatewayMembership;
   self: string;
   admission: () => Admission;
-  /** The mark of the configuration in use. */
+  /** Version of the configuration in use. */
   configInUse: () => number;
 };
 
-/** Time between two loads; shorter while turns wait anywhere, since slots are scarce then. */
-const pauseWhilePlenty = duration.ms(200);
-const pauseWhileScarce = duration.ms(100);
-/** What several gateways publish within this time is taken in together. */
-const gatherTime = duration.ms(25);
-/** The same where load comes in bundles, from many gateways: taking it in looks at all of them. */
-const gatherTimeOfMany = duration.ms(50);
-/** What has aged is taken in this often. */
-const ageInterval = duration.ms(200);
-/** Loads age out with their gateway: by the membership, or when nothing was heard of it for so long. */
-const forgetAfter = duration.s(5);
-/** Before the start, for the time of the first report. */
-const longAgo = duration.ms(700);
+/** Minimum time between two loads; shorter while turns wait at any gateway, since slots are scarce then. */
+const pauseWithoutWaiting = duration.ms(200);
+const pauseWhileWaiting = duration.ms(100);
+/** Loads that arrive within this time are applied together. */
+const batchTime = duration.ms(25);
+/** The same for many gateways, whose loads arrive in bundles: longer, since applying them iterates over all loads. */
+const largeBatchTime = duration.ms(50);
+/** Interval at which loads are applied again, so that expired ones are dropped. */
+const expiryInterval = duration.ms(200);
+/** A load expires when nothing newer has arrived for this long, or when the membership removes its gateway. */
+const loadLifetime = duration.s(5);
+/** Before the start, loads count as applied this long ago. */
+const initialAge = duration.ms(700);
 
-const newsPrefix = 'load/';
-const hasWaitingTurns = ({ load }: EdgeLoad): boolean => Object.keys(load.waiting).length > 0;
+const loadPrefix = 'load/';
+const hasWaitingTurns = ({ load }: GatewayLoad): boolean => Object.keys(load.waiting).length > 0;
 
 type Peers = {
   dissemination: GatewayMembership['dissemination'];
@@ -60,48 +60,48 @@
   liveIds: () => Set<string>;
   self: string;
 };
-/** The newest load of each other gateway, by whichever way it came; drops those of gateways that are gone or silent. */
+/** The newest load of each other gateway, from either channel; drops loads of gateways that are dead or silent. */
 const newestLoads = (
   { dissemination, received, liveIds, self }: Peers,
   now: Microseconds,
 ): Map<string, ReceivedLoad> => {
   const newest = new Map<string, ReceivedLoad>();
-  for (const { name, item } of dissemination.withPrefix(newsPrefix))
-    newest.set(name.slice(newsPrefix.length), {
+  for (const { name, item } of dissemination.withPrefix(loadPrefix))
+    newest.set(name.slice(loadPrefix.length), {
       mark: item.version,
       at: item.receivedAt,
-      load: item.value as EdgeLoad,
+      load: item.value as GatewayLoad,
     });
   const live = liveIds();
-  for (const [id, one] of received)
-    if (!live.has(id) || now - one.at > forgetAfter) received.delete(id);
-    else if (one.mark >= (newest.get(id)?.mark ?? -1)) newest.set(id, one);
+  for (const [id, load] of received)
+    if (!live.has(id) || now - load.at > loadLifetime) received.delete(id);
+    else if (load.mark >= (newest.get(id)?.mark ?? -1)) newest.set(id, load);
   newest.delete(self);
   return newest;
 };
 
-/** Takes in the others' loads; `soon` gathers what comes within a short time. */
-const openIntake = (
+/** Passes the others' loads to admission; `applySoon` batches loads that arrive within a short time. */
+const openPeerLoads = (
   { clock, admission }: LoadReportOptions,
   peers: () => Peers,
-): { takeIn: () => void; soon: () => void; lastTakenIn: () => Microseconds } => {
-  let lastTakenIn = -longAgo;
-  let isGathering = false;
-  const takeIn = (): void => {
+): { apply: () => void; applySoon: () => void; lastApplied: () => Microseconds } => {
+  let lastApplied = -initialAge;
+  let isScheduled = false;
+  const apply = (): void => {
     const now = clock.now();
-    lastTakenIn = now;
-    const fresh = [...newestLoads(peers(), now)].filter(([, { at }]) => now - at < forgetAfter);
+    lastApplied = now;
+    const fresh = [...newestLoads(peers(), now)].filter(([, { at }]) => now - at < loadLifetime);
     admission().setPeerLoads(fresh.map(([id, { load }]) => ({ ...load, id })));
   };
-  const soon = (): void => {
-    if (isGathering) return;
-    isGathering = true;
-    clock.schedule(peers().liveIds().size > directUpTo ? gatherTimeOfMany : gatherTime, () => {
-      isGathering = false;
-      takeIn();
+  const applySoon = (): void => {
+    if (isScheduled) return;
+    isScheduled = true;
+    clock.schedule(peers().liveIds().size > maxDirectGateways ? largeBatchTime : batchTime, () => {
+      isScheduled = false;
+      apply();
     });
   };
-  return { takeIn, soon, lastTakenIn: () => lastTakenIn };
+  return { apply, applySoon, lastApplied: () => lastApplied };
 };
 
 /** Opens the load reports. */
@@ -112,14 +112,14 @@
     const gateways = gatewayPeers.open(membership, self);
     const liveIds = (): Set<string> => new Set(gateways().live.map(({ id }) => id));
     const pause = (): Microseconds => {
-      const isScarce =
+      const areTurnsWaiting =
         admission().hasWaitingTurns() || [...exchange.received.values()].some(({ load }) => hasWaitingTurns(load));
-      return isScarce ? pauseWhileScarce : pauseWhilePlenty;
+      return areTurnsWaiting ? pauseWhileWaiting : pauseWithoutWaiting;
     };
-    const intake = openIntake(options, () => ({ dissemination, received: exchange.received, liveIds, self }));
+    const peerLoads = openPeerLoads(options, () => ({ dissemination, received: exchange.received, liveIds, self }));
     const paths = (): ReturnType<typeof gateways>['paths'] => gateways().paths;
-    const exchange = loadExchange.open({ clock, rpc, me: self, paths, pause, onReceived: intake.soon });
-    const firstPause = pauseWhilePlenty;
+    const exchange = loadExchange.open({ clock, rpc, self, paths, pause, onReceived: peerLoads.applySoon });
+    const firstPause = pauseWithoutWaiting;
     const publisher = loadPublisher.open({
       clock,
       dissemination,
@@ -132,19 +132,19 @@
     });
     return {
       changed: publisher.changed,
-      tookOver: publisher.tookOver,
-      takeIn: intake.takeIn,
-      newsArrived: (gateway, mark) => {
-        if (gateway !== self && (exchange.received.get(gateway)?.mark ?? -1) < mark) intake.soon();
+      recordTakeover: publisher.recordTakeover,
+      applyPeerLoads: peerLoads.apply,
+      disseminatedLoadReceived: (gateway, mark) => {
+        if (gateway !== self && (exchange.received.get(gateway)?.mark ?? -1) < mark) peerLoads.applySoon();
       },
-      lastHeardOf: (gateway) =>
+      lastReceivedAt: (gateway) =>
         Math.max(
           exchange.received.get(gateway)?.at ?? -Infinity,
-          dissemination.get(`${newsPrefix}${gateway}`)?.receivedAt ?? -Infinity,
+          dissemination.get(`${loadPrefix}${gateway}`)?.receivedAt ?? -Infinity,
         ),
       tick: () => {
-        // What is gathered is taken in by itself; this is for what has aged.
-        if (clock.now() - intake.lastTakenIn() >= ageInterval) intake.takeIn();
+        // New loads are applied as they arrive; this drops expired ones.
+        if (clock.now() - peerLoads.lastApplied() >= expiryInterval) peerLoads.apply();
         publisher.publish();
       },
     };
--- a/packages/data-plane/src/phases.ts
+++ b/packages/data-plane/src/phases.ts
@@ -1,10 +1,10 @@
-/** The phases of a request (§5.1). "Not run" may be said only from a phase in which nothing was sent. */
+/** State machine of a request (§5.1). "Not run" may be reported only while nothing has been sent to a worker. */
 import { invariant } from '@thornsail/runtime';
 import { createMachine, interpret, state, transition } from 'robot3';
 
-/** `held`: it waits in the scheduler; `charged`: its budget is reserved, or it needs none. */
+/** `held`: waits in the scheduler; `charged`: its budget is reserved, or it needs none. */
 export type Phase = 'planned' | 'held' | 'admitted' | 'charged' | 'sent' | 'relaying' | 'ended' | 'rejected' | 'lost';
-type Move = 'hold' | 'admit' | 'charge' | 'send' | 'unsent' | 'relay' | 'end' | 'reject' | 'lose' | 'again';
+type PhaseEvent = 'hold' | 'admit' | 'charge' | 'send' | 'unsent' | 'relay' | 'end' | 'reject' | 'lose' | 'again';
 
 const machine = createMachine({
   planned: state(transition('hold', 'held'), transition('admit', 'admitted'), transition('reject', 'rejected')),
@@ -18,17 +18,18 @@
   lost: state(transition('again', 'admitted')),
 });
 
-/** Whether a request has run, as far as its caller may be told: `no` is a promise. */
+/** What may be reported to the caller on whether the request has run: `no` is a promise. */
 export type Execution = 'no' | 'unknown';
-/** Where one request is. */
+/** The phase of one request. */
 export type Phases = {
   current: () => Phase;
-  /** Throws if the phase does not allow the move: a fault of the program. */
-  transition: (move: Move) => void;
+  /** Throws, as a breach of an invariant, if the phase does not allow the event. */
+  transition: (event: PhaseEvent) => void;
+  /** `unknown` once the request may have reached a worker. */
   execution: () => Execution;
 };
 
-/** Opens the phases of requests. */
+/** Opens the state machine of a request. */
 export const phases = {
   open: (): Phases => {
     const service = interpret(machine, () => undefined);
@@ -37,13 +38,13 @@
     const current = (): Phase => service.machine.current as Phase;
     return {
       current,
-      transition: (move) => {
-        const before = current();
-        service.send(move);
-        invariant.hold(current() !== before, `a turn cannot ${move} when it is ${before}`);
-        if (move === 'send') everSent = true;
-        if (move === 'unsent') everSent = false;
-        if (move === 'lose') everLost = true;
+      transition: (event) => {
+        const previous = current();
+        service.send(event);
+        invariant.hold(current() !== previous, `a turn cannot ${event} when it is ${previous}`);
+        if (event === 'send') everSent = true;
+        if (event === 'unsent') everSent = false;
+        if (event === 'lose') everLost = true;
       },
       execution: () => (everSent || everLost ? 'unknown' : 'no'),
     };
--- a/packages/data-plane/src/product-entry.ts
+++ b/packages/data-plane/src/product-entry.ts
@@ -1,4 +1,4 @@
-/** Entry of the product's interface (§5.1): what may be taken now, what the request plans, and who serves it. */
+/** Entry point of the product API (§5.1): checks whether the gateway may serve, plans the request and dispatches it. */
 import { duration, type HttpHandler, type HttpRequest, type HttpResponseWriter } from '@thornsail/runtime';
 import { chat } from './chat.js';
 import type { ClusterView } from './cluster-view.js';
@@ -12,7 +12,7 @@
 const recallTimeout = duration.ms(1500);
 
 /** Answers with a stored conversation. */
-const recall = async (
+const serveConversation = async (
   { conversations, responses }: Gateway,
   id: string,
   response: HttpResponseWriter,
@@ -44,7 +44,7 @@
   const { inContact } = view;
   return async (request: HttpRequest, response: HttpResponseWriter): Promise<void> => {
     gateway.count('requests');
-    // Of a request with a key, a copy may have run elsewhere: before the claim is seen nobody may say "no" (§5.4).
+    // A duplicate of a request with a key may have run elsewhere: "no" is not certain before its claim is read (§5.4).
     const ran = request.headers['idempotency-key'] === undefined ? 'no' : 'unknown';
     const config = view.config();
     if (!config) return responses.reject(response, 'not_ready', 'no configuration yet', ran, 1);
@@ -61,7 +61,7 @@
       case 'reject':
         return rejectPlan(gateway, plan, response, ran);
       case 'recall':
-        return recall(gateway, plan.conversation, response);
+        return serveConversation(gateway, plan.conversation, response);
       case 'job':
         return job(gateway, plan, response);
       case 'chat':
@@ -70,5 +70,5 @@
   };
 };
 
-/** Opens the entry of the product's interface. */
+/** Opens the entry point of the product API. */
 export const productEntry = { open };
--- a/packages/data-plane/src/product-request.ts
+++ b/packages/data-plane/src/product-request.ts
@@ -1,6 +1,6 @@
-/** A request of the product's interface while it is served (§5.1): what chat turns and jobs have in common. */
+/** State and steps that the chat turns and jobs of the product API share (§5.1). */
 import { duration, type Microseconds } from '@thornsail/runtime';
-import { answerCopy } from './answer-copy.js';
+import { answerDuplicate } from './answer-duplicate.js';
 import type { ErrorCode } from './errors.js';
 import type { Execution } from './phases.js';
 import type { ChatPlan, JobPlan } from './plan.js';
@@ -12,29 +12,29 @@
 /** State of a chat turn or of a job, from its arrival to its final answer. */
 export type ProductRequest<Plan extends ChatPlan | JobPlan = ChatPlan | JobPlan> = ActiveRequest & {
   plan: Plan;
-  /** It has claimed its key. */
+  /** Its idempotency key is claimed. */
   claimed: boolean;
-  /** It was given up: its records are being closed behind the answer, which does not wait for the stores. */
+  /** It was rejected: its records are closed in the background, so that the answer does not wait for the stores. */
   closing: boolean;
-  /** Workers that it is not sent to any more. */
+  /** IDs of workers that it must not be sent to. */
   excluded: Set<string>;
 };
 
-/** A client gives up after about two seconds of silence: all that comes before the first byte fits in this (§4.3). */
+/** Time limit for everything before the first byte: a client gives up after about 2 s without any (§4.3). */
 export const firstByteTimeout = duration.ms(1850);
-/** How long a request may wait for a slot, from its arrival. */
+/** Time limit, from arrival, for acquiring a slot. */
 export const slotTimeout = duration.ms(1500);
-/** A request that reaches no worker is sent to another one up to this round, counted from 0. */
-export const lastUnsentRound = 3;
+/** How often a request is sent to another worker after attempts that did not reach theirs. */
+export const maxUnsentRetries = 3;
 
-/** Until the client gives up. Negative once it has. */
+/** Time until the client gives up; negative after that. */
 export const remaining = (request: ProductRequest): Microseconds =>
   Math.min(firstByteTimeout, request.plan.timeLeft) - elapsed(request);
-/** How long a step of the records may take. */
+/** Timeout of a step that uses the stores. */
 export const recordTimeout = (request: ProductRequest): Microseconds =>
   Math.max(minimumRecordTimeout, remaining(request));
 
-/** Gives a request up. `ran` is what the caller is told; by default what the phases say. */
+/** Rejects a request. `ran` is reported to the caller; it defaults to the result of `phases.execution()`. */
 type RejectAs<Request> = (
   request: Request,
   code: ErrorCode,
@@ -43,7 +43,10 @@
   ran?: Execution,
 ) => 'answered';
 
-/** The step that claims a request's key. What is rejected here may have run as an earlier copy: nothing is promised. */
+/**
+ * The step that claims a request's key. Rejections here report `ran: unknown`, since the request may have run as an
+ * earlier duplicate.
+ */
 export const claimKey = <Request extends ProductRequest>(
   reject: RejectAs<Request>,
 ): ((request: Request) => Promise<StepResult>) =>
@@ -61,9 +64,9 @@
       const text = 'the claim could not be kept by a majority';
       return reject(request, 'no_keepers', text, request.gateway.responses.backoff(), 'unknown');
     },
-    answerCopy: (request, claim) => {
+    answerDuplicate: (request, claim) => {
       const { gateway, plan, response, arrivedAt } = request;
       const givesUpAt = arrivedAt + Math.min(firstByteTimeout, plan.timeLeft);
-      return answerCopy({ gateway, plan, response, givesUpAt }, claim);
+      return answerDuplicate({ gateway, plan, response, givesUpAt }, claim);
     },
   });
--- a/packages/data-plane/src/records/budget-accounts.ts
+++ b/packages/data-plane/src/records/budget-accounts.ts
@@ -1,49 +1,50 @@
 /**
- * Budgets of programs (§5.3): a register for each program holds what its turns used, and what those that are open have
- * reserved. Tokens are counted as the scheduler counts them.
+ * Budgets of programs (§5.3): one register for each program holds the tokens that its finished turns used and the
+ * tokens that its open turns have reserved. Tokens are counted as the scheduler counts them.
  */
 import type { Config } from '@thornsail/config-schema';
 import type { Registers, WallClocks, Write } from '@thornsail/register-store';
 import { duration, type Microseconds } from '@thornsail/runtime';
 import { tokenBudget, type BudgetRecord } from '@thornsail/token-budget';
 import type { ChatPlan } from '../plan.js';
-import { maxTurn, retainUntil } from './retention.js';
+import { maxTurnDuration, retainUntil } from './retention.js';
 
-/** A program's account. */
+/** What a program's budget record is identified and limited by. */
 export type BudgetAccount = {
   program: string;
-  /** Tokens that all its turns may use. */
+  /** Tokens that all its turns together may use. */
   budget: number;
-  /** For how long it is remembered at least. */
+  /** Minimum retention of the record. */
   keepSeconds: number;
-  /** This is likely the program's first turn, so that there is no budget record yet. */
-  fresh?: boolean;
-  /** The program's last turn was at another gateway, and so many proposals its record has likely seen (§6.2). */
-  past?: number;
+  /** This is likely the program's first turn: a budget record probably does not exist yet. */
+  likelyNew?: boolean;
+  /** The program's last turn ran at another gateway; its register has likely seen this many proposals (§6.2). */
+  likelyProposals?: number;
 };
-/** What a turn used: tokens charged, the program's context after it in tokens, and the worker that has the context. */
+/** Usage of a turn: tokens charged, size of the program's context after it in tokens, worker that has the context. */
 export type Usage = { actual: number; tokens: number; worker: string | null };
-/** `exhausted`: the budget is used up; `reserved`: open turns hold the rest. `record` is what stands afterwards. */
+/** `exhausted`: the budget is used up; `reserved`: open turns reserve the rest. `record`: the record as written. */
 export type ChargeResult = { type: 'charged'; record: BudgetRecord } | { type: 'exhausted' } | { type: 'reserved' };
-/** The budgets, as one gateway uses them. Time limits are microseconds; `turn` names the charge. */
+/** Operations on budgets. `turn` is the ID of the charge. */
 export type BudgetAccounts = {
+  /** Reads a program's record. Rejects if no majority of stores answers. */
   budgetRecord: (program: string, timeout: Microseconds) => Promise<BudgetRecord | undefined>;
-  /** Reserves tokens. Rejects where no majority answered; the charge may have been written all the same. */
+  /** Reserves tokens. Rejects if no majority of stores answers; the charge may have been written nevertheless. */
   charge: (account: BudgetAccount, turn: string, reserve: number, timeout: Microseconds) => Promise<ChargeResult>;
-  /** Puts what was used in place of what was reserved. Rejects where no majority answered. */
+  /** Replaces the reservation by the actual usage. Rejects if no majority of stores answers. */
   settle: (account: BudgetAccount, turn: string, usage: Usage, timeout: Microseconds) => Promise<void>;
-  /** Takes the charge of a turn back that was not sent. Never rejects. */
+  /** Removes the charge of a turn that was not sent. Never rejects. */
   refund: (account: BudgetAccount, turn: string) => Promise<void>;
 };
 
-/** The account that a turn of the product's interface is charged to. */
+/** The account that a chat turn of the product API is charged to. */
 export const budgetAccountOf = (plan: ChatPlan): BudgetAccount => ({
   program: plan.program,
-  budget: plan.of.budgetTokens,
-  keepSeconds: plan.of.keepSeconds,
+  budget: plan.classSettings.budgetTokens,
+  keepSeconds: plan.classSettings.keepSeconds,
 });
 
-/** A gateway that is dead for so long does not settle its turns any more. */
+/** A gateway that has been dead for this long no longer settles its turns, so its reservations count as lost. */
 const deadGatewayTimeout = duration.s(2);
 const refundTimeout = duration.ms(800);
 const registerOf = (program: string): string => `program/${program}`;
@@ -52,12 +53,13 @@
   registers: Registers;
   id: string;
   limits: () => Config['limits'];
+  /** IDs of this gateway's own requests that are still open. */
   inFlight: ReadonlySet<string>;
-  /** For how long a gateway has been dead by the membership; 0: it is not. */
+  /** How long the membership has considered a gateway dead; 0 if it is not dead. */
   deadFor: (gateway: string) => Microseconds;
 };
 const open = ({ registers, id, limits, inFlight, deadFor }: Options): BudgetAccounts => {
-  /** A budget is remembered at least as long as the program's conversation can be resumed. */
+  /** The record is retained at least as long as the program's conversation can be resumed. */
   const retainRecordUntil = (account: BudgetAccount, wall: WallClocks, promised: Microseconds): Microseconds =>
     retainUntil(wall, promised, Math.max(limits().programKeepSeconds, account.keepSeconds));
   const changeRecord = (
@@ -88,7 +90,7 @@
           isLost: (open) =>
             open.by === id
               ? !inFlight.has(open.turn)
-              : deadFor(open.by) > deadGatewayTimeout || wall.min - open.at > maxTurn,
+              : deadFor(open.by) > deadGatewayTimeout || wall.min - open.at > maxTurnDuration,
         });
         if (charged.type !== 'charged') return { keep: true, result: { type: charged.type } };
         const { record } = charged;
@@ -96,7 +98,7 @@
         return { stored: { value: record, expiresAt }, result: { type: 'charged', record } };
       },
       timeout,
-      { fresh: account.fresh === true, past: account.past ?? 0 },
+      { fresh: account.likelyNew === true, past: account.likelyProposals ?? 0 },
     );
   return {
     budgetRecord: (program, timeout) =>
@@ -109,5 +111,5 @@
   };
 };
 
-/** Opens the budgets for one gateway. */
+/** Opens the budgets of one gateway. */
 export const budgetAccounts = { open };
--- a/packages/data-plane/src/records/idempotency-keys.ts
+++ b/packages/data-plane/src/records/idempotency-keys.ts
@@ -1,6 +1,6 @@
 /**
- * Idempotency keys (§5.4): a register for each key holds its claim, and later the result that a copy of the request is
- * answered with. Registers are changed by compare-and-set.
+ * Idempotency keys (§5.4): one register for each key holds the claim of the first request, and later its result, with
+ * which duplicates are answered. Registers are changed by compare-and-set.
  */
 import type { Config } from '@thornsail/config-schema';
 import type { Registers, Write } from '@thornsail/register-store';
@@ -8,9 +8,9 @@
 import type { ChatPlan, JobPlan } from '../plan.js';
 import { retainUntil } from './retention.js';
 
-/** A key: the name of its register, and the digest of the request that comes with it. */
+/** A key: the name of its register, and the digest of the request (`sum`). */
 export type IdempotencyKey = { name: string; sum: string };
-/** Result of a request of the product's interface, as it is stored. */
+/** Result of a product API request as stored. `finish`: the finish reason; `prompt`, `completion`: tokens. */
 export type RecordedResult = {
   status: number;
   type: string;
@@ -19,11 +19,11 @@
   prompt: number;
   completion: number;
 };
-/** A worker's answer that was forwarded, as it is stored; its body as Latin-1, a character a byte (§5.7). */
+/** A forwarded worker's answer as stored; the body as Latin-1, one character per byte (§5.7). */
 export type RecordedAnswer = { status: number; headers: string[]; body: string };
 /**
- * A claim as it is stored: by which gateway, when (wall-clock time), for which request, and its result once there is
- * one. `sum` is the digest of the request that first came with the key.
+ * A claim as stored. `by`: ID of the claiming gateway; `at`: wall-clock time of the claim; `turn`: ID of the request;
+ * `done`: its result, null while there is none; `sum`: digest of the request that claimed the key.
  */
 export type KeyClaim = {
   by: string;
@@ -32,37 +32,37 @@
   done: RecordedResult | RecordedAnswer | null;
   sum?: string;
 };
-/** `taken`: another request claimed the key before. */
+/** `taken`: another request had already claimed the key. */
 export type ClaimResult = { type: 'claimed' } | { type: 'taken'; claim: KeyClaim };
-/** The idempotency keys, as one gateway uses them. Time limits are microseconds; `turn` names the request. */
+/** Operations on idempotency keys. `turn` is the ID of the request. */
 export type IdempotencyKeys = {
-  /** Rejects where no majority answered; the claim may have been written all the same. */
+  /** Rejects if no majority of stores answers; the claim may have been written nevertheless. */
   claim: (key: IdempotencyKey, turn: string, timeout: Microseconds) => Promise<ClaimResult>;
   /**
-   * Frees the key of a request of which nothing was sent. `quiet`: how long copies of this very attempt may still be on
-   * their way. Never rejects.
+   * Frees the key of a request of which nothing was sent, after `delay`: the time during which duplicates of this
+   * attempt may still arrive. Never rejects.
    */
-  release: (key: IdempotencyKey, turn: string, quiet?: Microseconds) => Promise<void>;
-  /** Stores the result for copies of the request. Never rejects: without it they are told of an unknown outcome. */
+  release: (key: IdempotencyKey, turn: string, delay?: Microseconds) => Promise<void>;
+  /** Stores the result for duplicates of the request. Never rejects: without it they get `outcome_unknown`. */
   recordResult: (key: IdempotencyKey, turn: string, result: RecordedResult | RecordedAnswer) => Promise<void>;
 };
 
-/** The register of a key. */
+/** Name of the register of a key. */
 export const registerOfKey = (key: IdempotencyKey): string => `once/${key.name}`;
-/** The key of a request that has one. */
+/** The key of a request; its plan must have one. */
 export const idempotencyKeyOf = (plan: ChatPlan | JobPlan): IdempotencyKey => ({
-  name: `${plan.cls}/${plan.key!}`,
+  name: `${plan.className}/${plan.key!}`,
   sum: plan.sum,
 });
 
-/** A rejected key is free again after so long by its gateway's own clock: less than the shortest Retry-After (§5.4). */
-const quietAfterReject = duration.ms(900);
+/** Delay before the key of a rejected request is freed: less than the shortest Retry-After, which is 1 s (§5.4). */
+const releaseDelay = duration.ms(900);
 const releaseTimeout = duration.s(2);
 const recordTimeout = duration.ms(900);
-/** Characters of a result's body at most. */
+/** In characters of the body. */
 const maxRecordedLength = 65_536;
 
-/** Type of a result that was too large to be stored: a copy is told that its outcome is not known. */
+/** `type` of a result that was too large to be stored: duplicates get `outcome_unknown`. */
 export const tooLargeType = 'too-large';
 const withoutBody = (result: RecordedResult | RecordedAnswer): RecordedResult | RecordedAnswer =>
   'type' in result ? { ...result, body: '', type: tooLargeType } : { status: 0, headers: [], body: '' };
@@ -85,10 +85,10 @@
       timeout,
       { fresh: true },
     );
-  const release: IdempotencyKeys['release'] = async (key, turn, quiet = quietAfterReject) => {
-    // A copy that was already on its way must not run after "not run" was said: until the caller may come back
-    // the key stays claimed. The time is this gateway's own; no two machines' clocks are compared (§5.4).
-    if (quiet > 0) await time.sleep(runtime.clock, quiet);
+  const release: IdempotencyKeys['release'] = async (key, turn, delay = releaseDelay) => {
+    // A duplicate that is already in transit must not run after the caller got "not run": the key stays claimed until
+    // the caller may retry. Only this gateway's clock is used; clocks of machines are never compared (§5.4).
+    if (delay > 0) await time.sleep(runtime.clock, delay);
     const free = (value: unknown): Write<void> =>
       (value as KeyClaim | undefined)?.turn === turn
         ? { stored: null, result: undefined }
@@ -102,17 +102,17 @@
         registerOfKey(key),
         (value, wall, promised) => {
           const current = value as KeyClaim | undefined;
-          // Only this request's own claim takes its result.
+          // The result is stored only in this request's own claim.
           if (current?.turn !== turn) return { keep: true, result: undefined };
           const expiresAt = retainUntil(wall, promised, limits().onceKeepSeconds);
           return { stored: { value: { ...current, done }, expiresAt }, result: undefined };
         },
         recordTimeout,
       )
-      .catch((error) => log(`a once-result was not recorded: ${fault.text(error)}.`));
+      .catch((error) => log(`the result for an idempotency key was not recorded: ${fault.text(error)}.`));
   };
   return { claim, release, recordResult };
 };
 
-/** Opens the idempotency keys for one gateway. */
+/** Opens the idempotency keys of one gateway. */
 export const idempotencyKeys = { open };
--- a/packages/data-plane/src/relay.ts
+++ b/packages/data-plane/src/relay.ts
@@ -1,29 +1,32 @@
-/** Relays a worker's stream to its caller (§5.6): counted, numbered, ended or visibly cut. */
+/**
+ * Relays a worker's stream to its caller (§5.6): numbers the events, counts tokens, and either ends the stream with its
+ * end marker or breaks the connection.
+ */
 import { workerProtocol, type StreamEvent } from '@thornsail/load-balancer';
 import { fault, type HttpClientResponse, type Microseconds } from '@thornsail/runtime';
 import type { ChatTurn } from './chat-turn.js';
 import { internalErrors } from './errors.js';
 import { budgetAccountOf } from './records/budget-accounts.js';
 import { idempotencyKeyOf } from './records/idempotency-keys.js';
-import { untilRead } from './requests/attempt.js';
+import { waitUntilRead } from './requests/attempt.js';
 import { settleCharge } from './requests/charge.js';
 import { closeTimeout } from './requests/deadline.js';
 import { completion } from './responses.js';
 
-/** `complete`: settled, stored and ended; `empty`: nothing was relayed; `cut`: broken off within. */
+/** `complete`: settled, stored and ended; `empty`: lost before anything was relayed; `cut`: lost after that. */
 export type RelayOutcome = 'complete' | 'empty' | 'cut';
 
 type ToolCall = { id?: string; type: string; function: { name: string; arguments: string } };
 type ToolCallDelta = { index?: number; id?: string; function?: { name?: string; arguments?: string } };
-/** What has come of a stream so far. Tokens are counted by the worker's word, and by events until it tells. */
+/** Progress of a stream. Output tokens are the worker's own count, or the number of events until it reports one. */
 type Progress = {
   /** Events that were written to the client. */
   written: number;
   headSent: boolean;
-  /** Events that carry output. */
+  /** Events with output. */
   outputEvents: number;
   promptTokens: number;
-  /** Null: the worker has not told yet. */
+  /** Null until the worker reports it. */
   outputTokens: number | null;
   content: string;
   finishReason: string | null;
@@ -32,7 +35,7 @@
 
 const outputTokens = (progress: Progress): number => progress.outputTokens ?? progress.outputEvents;
 
-/** Tool calls come in parts: their names and arguments are put together by index. */
+/** Tool calls arrive in parts: concatenates their names and arguments by index. */
 const mergeToolCalls = (into: Map<number, ToolCall>, data: string): void => {
   const event = JSON.parse(data) as { choices?: { delta?: { tool_calls?: ToolCallDelta[] } }[] };
   for (const delta of event.choices?.[0]?.delta?.tool_calls ?? []) {
@@ -45,7 +48,7 @@
   }
 };
 
-/** Writes one event. A slow reader holds the worker's stream back; nothing piles up here. */
+/** Writes one event. Waits for a slow client, so that backpressure reaches the worker and nothing is buffered here. */
 const writeEvent = async (turn: ChatTurn, progress: Progress, workerId: string, data: string): Promise<void> => {
   const { gateway, plan, response } = turn;
   if (!plan.stream || response.isClosed()) return;
@@ -59,18 +62,18 @@
   }
   progress.written += 1;
   if (response.write(`id: ${progress.written}\ndata: ${data.replaceAll('\n', '\ndata: ')}\n\n`)) return;
-  // One that has stopped reading is disconnected; the turn at the worker runs on and is settled (§5.6).
-  await untilRead(gateway, response);
+  // A client that has stopped reading is disconnected; the turn continues at the worker and is settled (§5.6).
+  await waitUntilRead(gateway, response);
 };
 
-/** Settles, stores and records a turn before its end is told. Rejects where the conversation was not appended to. */
+/** Settles and stores a turn before its end is sent. Rejects if the conversation could not be appended to. */
 const closeRecords = async (turn: ChatTurn, progress: Progress, workerId: string): Promise<void> => {
   const { gateway, plan, context } = turn;
   const { content, finishReason, promptTokens: prompt, toolCalls } = progress;
   const output = outputTokens(progress);
   const promptCharged = progress.outputTokens === null ? Math.max(context.reserve - plan.maxTokens, prompt) : prompt;
   const usage = { actual: promptCharged + output, tokens: prompt + output, worker: workerId };
-  // Beside one another: the client hears nothing meanwhile.
+  // Runs concurrently with the append: the client receives nothing meanwhile.
   const settled = settleCharge(gateway, budgetAccountOf(plan), turn.chargeId, usage);
   const reply = { role: 'assistant', content, ...(toolCalls.size ? { tool_calls: [...toolCalls.values()] } : {}) };
   if (plan.conversation !== null)
@@ -112,15 +115,15 @@
   const { gateway, plan, phases, response } = turn;
   if (phases.current() === 'sent') phases.transition('relay');
   turn.timeline.enter('record');
-  turn.timeline.counted({ prompt: progress.promptTokens, output: outputTokens(progress) });
+  turn.timeline.setTokens({ prompt: progress.promptTokens, output: outputTokens(progress) });
   try {
     await closeRecords(turn, progress, workerId);
   } catch (error) {
-    gateway.log(`a conversation was not kept, so its stream is cut: ${fault.text(error)}.`);
+    gateway.log(`a turn was not appended to its conversation, so its stream is cut: ${fault.text(error)}.`);
     return 'cut';
   }
   phases.transition('end');
-  turn.timeline.ended('served');
+  turn.timeline.setOutcome('served');
   gateway.count('results');
   stream.abort();
   if (response.isClosed()) return 'complete';
@@ -129,19 +132,19 @@
   return 'complete';
 };
 
-/** Takes one piece of the stream into account. */
-const take = (turn: ChatTurn, progress: Progress, piece: StreamEvent & { type: 'delta' | 'usage' }): void => {
-  progress.content += piece.text;
-  if (piece.finish !== null) progress.finishReason = piece.finish;
-  if (piece.type === 'usage') {
-    progress.promptTokens = piece.prompt;
-    progress.outputTokens = piece.completion;
-  } else if (piece.text !== '' || piece.toolCall) progress.outputEvents += 1;
-  if (piece.toolCall) mergeToolCalls(progress.toolCalls, piece.data);
+/** Updates the progress with one event. */
+const updateProgress = (turn: ChatTurn, progress: Progress, event: StreamEvent & { type: 'delta' | 'usage' }): void => {
+  progress.content += event.text;
+  if (event.finish !== null) progress.finishReason = event.finish;
+  if (event.type === 'usage') {
+    progress.promptTokens = event.prompt;
+    progress.outputTokens = event.completion;
+  } else if (event.text !== '' || event.toolCall) progress.outputEvents += 1;
+  if (event.toolCall) mergeToolCalls(progress.toolCalls, event.data);
   turn.gateway.admission.contextGrew(turn.plan.program, progress.promptTokens + outputTokens(progress));
 };
 
-/** Relays a stream that began at `sentAt` (clock time) up to its end or its loss. Never rejects. */
+/** Relays the response to a request sent at `sentAt` (clock time) until it ends or is lost. Never rejects. */
 export const relay = async (
   turn: ChatTurn,
   workerId: string,
@@ -149,12 +152,12 @@
   sentAt: Microseconds,
 ): Promise<RelayOutcome> => {
   const { gateway, plan, phases } = turn;
-  const split = workerProtocol.chat.reader();
+  const parse = workerProtocol.chat.reader();
   const progress: Progress = {
     written: 0,
     headSent: false,
     outputEvents: 0,
-    promptTokens: turn.context.guess,
+    promptTokens: turn.context.promptEstimate,
     outputTokens: null,
     content: '',
     finishReason: null,
@@ -162,25 +165,25 @@
   };
   try {
     for await (const text of stream.body) {
-      for (const piece of split(text)) {
-        if (piece.type === 'error')
-          throw internalErrors.create('worker-fault', { step: 'relay', peer: workerId, message: piece.text });
-        if (piece.type === 'done') {
+      for (const event of parse(text)) {
+        if (event.type === 'error')
+          throw internalErrors.create('worker-fault', { step: 'relay', peer: workerId, message: event.text });
+        if (event.type === 'done') {
           gateway.exchangeEnded(workerId, 'answered');
           return await complete(turn, progress, workerId, stream);
         }
         if (phases.current() === 'sent') {
           phases.transition('relay');
           turn.timeline.enter('stream');
-          gateway.admission.observeFirstToken(plan.cls, gateway.runtime.clock.now() - sentAt, turn.forced);
+          gateway.admission.observeFirstToken(plan.className, gateway.runtime.clock.now() - sentAt, turn.forced);
         }
-        take(turn, progress, piece);
-        await writeEvent(turn, progress, workerId, piece.data);
+        updateProgress(turn, progress, event);
+        await writeEvent(turn, progress, workerId, event.data);
       }
     }
     throw internalErrors.create('stream-incomplete', { step: 'relay', peer: workerId });
   } catch (error) {
-    gateway.log(`a turn was lost: ${fault.text(error)}.`);
+    gateway.log(`the stream of a turn was lost: ${fault.text(error)}.`);
     gateway.exchangeEnded(workerId, phases.current() === 'sent' ? 'lost' : 'cut');
     stream.abort();
     const { headSent, written, outputEvents } = progress;
--- a/packages/data-plane/src/request-metrics.ts
+++ b/packages/data-plane/src/request-metrics.ts
@@ -1,30 +1,30 @@
 /**
- * Metrics of requests (§5.11): time by class and stage, outcomes, and what became of what was sent to each worker, in
- * the Prometheus text format; and a log line for each request, for `npm run explain`.
+ * Request metrics in the Prometheus text format (§5.11): time by class and stage, outcomes of requests, and outcomes of
+ * the exchanges with each worker. Also writes a log line for each request, which `npm run explain` reads.
  */
 import type { Log, Microseconds } from '@thornsail/runtime';
 import { Counter, Histogram, Registry } from 'prom-client';
 import { stages, type TimelineObserver, type TimelineSummary } from './request-timeline.js';
 
-/** What became of one exchange with a worker. */
+/** Outcomes of exchanges with workers. */
 const workerOutcomes = ['answered', 'failed', 'lost', 'cut', 'not_run', 'abandoned'] as const;
-/** One of them. */
+/** Outcome of one exchange with a worker. */
 export type WorkerOutcome = (typeof workerOutcomes)[number];
 /** The metrics of one gateway. */
 export type RequestMetrics = {
   observe: TimelineObserver;
   workerOutcome: (worker: string, outcome: WorkerOutcome) => void;
-  /** Forgets the outcomes of all workers but these. */
+  /** Removes the metrics of all workers except these. */
   retainWorkers: (workers: ReadonlySet<string>) => void;
-  /** The metrics as text. */
+  /** All metrics in the Prometheus text format. */
   text: () => Promise<string>;
 };
 
-/** Upper bounds of the histogram's buckets, in seconds: from a cached read to a client's patience. */
+/** Upper bounds of the histogram's buckets in seconds: from a cached read to the longest wait of a client. */
 const buckets = [0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5];
 
 const inMs = (time: Microseconds): number => Math.round(time / 100) / 10;
-/** The log line of a request: field=value, with times in milliseconds. */
+/** The log line of a request: `field=value` pairs, with times in milliseconds. */
 const lineOf = (summary: TimelineSummary): string => {
   const { className, program, byStage, total, outcome, workers, reachedContext, tokens } = summary;
   const times = stages.filter((stage) => byStage.has(stage)).map((stage) => `${stage}=${inMs(byStage.get(stage)!)}`);
@@ -42,7 +42,7 @@
   return fields.join(' ');
 };
 
-/** Opens the metrics of a gateway; `log` gets a line for each request. */
+/** Opens the metrics of a gateway; a line for each request is written to `log`. */
 export const requestMetrics = {
   open: (log: Log): RequestMetrics => {
     const registry = new Registry();
@@ -66,8 +66,8 @@
       labelNames: ['worker', 'outcome'] as const,
       registers,
     });
-    /** Workers that have a counter. */
-    const counted = new Set<string>();
+    /** Workers that have metrics. */
+    const workersWithMetrics = new Set<string>();
     return {
       observe: (summary) => {
         const { className, byStage, outcome } = summary;
@@ -76,13 +76,13 @@
         log(() => lineOf(summary));
       },
       workerOutcome: (worker, outcome) => {
-        counted.add(worker);
+        workersWithMetrics.add(worker);
         exchanges.inc({ worker, outcome });
       },
       retainWorkers: (workers) => {
-        for (const worker of [...counted]) {
+        for (const worker of [...workersWithMetrics]) {
           if (workers.has(worker)) continue;
-          counted.delete(worker);
+          workersWithMetrics.delete(worker);
           for (const outcome of workerOutcomes) exchanges.remove({ worker, outcome });
         }
       },
--- a/packages/data-plane/src/request-timeline.ts
+++ b/packages/data-plane/src/request-timeline.ts
@@ -1,47 +1,48 @@
 /**
- * Where the time of one request goes (§5.11): its stages one after another, the workers that it was sent to, and how it
- * ended. Each interface marks the stages; what is done with a finished timeline is its observer's business.
+ * Records how one request spends its time (§5.11): the duration of its stages, the workers that it was sent to, and its
+ * outcome. The interfaces mark the stages; a closed timeline is passed to an observer.
  */
 import type { Clock, Microseconds } from '@thornsail/runtime';
 
 /**
- * The stages in their usual order. `first_event` begins when a request is handed to its connection and ends with the
- * first byte that is passed on; `record` is what is written to the stores before the answer ends.
+ * The stages in their usual order. `first_event` begins when a request is written to its connection and ends with the
+ * first byte that is relayed; `record` is the time of the writes to the stores before the answer ends.
  */
 export const stages = ['claim', 'context', 'charge', 'hold', 'slot', 'first_event', 'stream', 'record'] as const;
 /** One stage. */
 export type Stage = (typeof stages)[number];
 
-/** A request that has ended. Times are microseconds. */
+/** Summary of a finished request. */
 export type TimelineSummary = {
   /** The class of the request. */
   className: string;
-  /** The program and its line of turns; null for a request that is no turn. */
+  /** The program and, in the forwarding interface, its session; null for a request that is not a turn. */
   program: string | null;
-  /** Time in each stage that the request has been in. */
+  /** Time spent in each stage that the request entered. */
   byStage: ReadonlyMap<Stage, Microseconds>;
   total: Microseconds;
-  /** How it ended: `served`, or the code of the error that its caller got. */
+  /** `served`, the code of the error that the caller got, or another outcome that the interface sets. */
   outcome: string;
-  /** Workers that it was sent to, in this order. */
+  /** IDs of the workers that it was sent to, in order. */
   workers: readonly string[];
-  /** The last of them is the one that has the context of the turn before; null: there was no turn before. */
+  /** Whether the last of them has the context of the previous turn; null if there was no previous turn. */
   reachedContext: boolean | null;
-  /** Tokens of the prompt and of what was passed on. */
+  /** Tokens of the prompt and of the relayed output. */
   tokens: { prompt: number; output: number };
 };
 /** The timeline of a request that is being served. */
 export type Timeline = {
-  /** The stage before ends here. Entering the same stage again adds to it. */
+  /** Ends the current stage and begins `stage`. Entering a stage again adds to its time. */
   enter: (stage: Stage) => void;
+  /** Records that the request was sent to a worker. */
   sentTo: (worker: string, reachedContext: boolean | null) => void;
-  /** How the request ends; what is told last counts. */
-  ended: (outcome: string) => void;
-  counted: (tokens: { prompt: number; output: number }) => void;
-  /** Tells the observer; later calls do nothing. */
+  /** Sets the outcome; the last call counts. */
+  setOutcome: (outcome: string) => void;
+  setTokens: (tokens: { prompt: number; output: number }) => void;
+  /** Passes the summary to the observer; later calls do nothing. */
   close: () => void;
 };
-/** Is told of each request that has ended. */
+/** Called with the summary of each finished request. */
 export type TimelineObserver = (summary: TimelineSummary) => void;
 
 /** What a timeline is opened with. */
@@ -75,10 +76,10 @@
       workers.push(worker);
       reachedContext = reached;
     },
-    ended: (how) => {
-      outcome = how;
+    setOutcome: (newOutcome) => {
+      outcome = newOutcome;
     },
-    counted: (counts) => {
+    setTokens: (counts) => {
       tokens = counts;
     },
     close: () => {
--- a/packages/data-plane/src/requests/attempt.ts
+++ b/packages/data-plane/src/requests/attempt.ts
@@ -1,20 +1,20 @@
 /**
- * What both interfaces do around an attempt at a worker. The loops over workers stay with the interfaces: which
- * failures may be repeated, and how often, is a promise of each (§5.4, §5.7).
+ * Steps around one attempt at a worker, shared by both interfaces. The retry loops stay with the interfaces, because
+ * each makes its own promises on which failures are retried and how often (§5.4, §5.7).
  */
 import type { WorkerEntry } from '@thornsail/load-balancer';
 import { duration, time, type HttpResponseWriter, type Microseconds } from '@thornsail/runtime';
 import type { Gateway } from '../gateway.js';
 import type { ActiveRequest, Reject, StepResult } from './steps.js';
 
-/** How an interface looks at a request for the last time before it is sent. */
-export type LastCheckRules<Request> = {
-  /** Until the caller gives up. */
+/** An interface's rules for the check before a request is sent. */
+export type PreSendCheckRules<Request> = {
+  /** Time until the caller gives up. */
   remaining: (request: Request) => Microseconds;
-  /** With no more time than this a request is not sent any more. */
+  /** A request with no more than this time remaining is not sent. */
   minimumTime: Microseconds;
   reject: Reject<Request>;
-  /** In seconds. */
+  /** Value of Retry-After in seconds. */
   retryAfter: (request: Request) => number;
   clientDisconnected: (request: Request) => 'answered';
 };
@@ -24,11 +24,11 @@
 export const lateText = 'the time left ran out before anything was sent';
 
 /**
- * The last check before sending: a fresh membership (`refreshed`), a worker that stays, a client that still waits.
- * Returns the worker as it is known now; `continue` where another one is to be chosen.
+ * The last check before sending: the membership is fresh (`refreshed`), the worker is not leaving, the client is still
+ * connected and time remains. Returns the current entry of the worker, or `continue` to choose another worker.
  */
-export const lastCheck =
-  <Request extends ActiveRequest>(rules: LastCheckRules<Request>) =>
+export const preSendCheck =
+  <Request extends ActiveRequest>(rules: PreSendCheckRules<Request>) =>
   (request: Request, worker: WorkerEntry, refreshed: boolean): WorkerEntry | StepResult => {
     if (!refreshed) return rules.reject(request, 'stale', staleText, rules.retryAfter(request));
     const current = request.gateway.admission.worker(worker.id);
@@ -39,15 +39,15 @@
     return current;
   };
 
-/** A reader that takes nothing for so long is disconnected. */
+/** A client that reads nothing for this long is disconnected. */
 const slowReaderTimeout = duration.s(5);
-/** Resolves when the client has read what was written, or was disconnected because it stopped reading (§5.6). */
-export const untilRead = async (gateway: Gateway, response: HttpResponseWriter): Promise<void> => {
-  const isStuck = await Promise.race([
+/** Resolves when the client has read all that was written, or was disconnected because it stopped reading (§5.6). */
+export const waitUntilRead = async (gateway: Gateway, response: HttpResponseWriter): Promise<void> => {
+  const timedOut = await Promise.race([
     response.drained().then(() => false),
     time.sleep(gateway.runtime.clock, slowReaderTimeout).then(() => true),
   ]);
-  if (!isStuck || response.isClosed()) return;
+  if (!timedOut || response.isClosed()) return;
   gateway.count('slow_cut');
   response.abort();
 };
--- a/packages/data-plane/src/requests/charge.ts
+++ b/packages/data-plane/src/requests/charge.ts
@@ -1,5 +1,5 @@
 /**
- * Reserves the most that a turn may use in its program's budget, before it is sent (§5.3), and settles it afterwards.
+ * Reserves a turn's maximum usage in its program's budget before it is sent (§5.3), and settles it afterwards.
  */
 import type { BudgetRecord } from '@thornsail/token-budget';
 import { tokenBudget } from '@thornsail/token-budget';
@@ -11,37 +11,39 @@
 
 /** How an interface charges turns. Tokens are counted as the scheduler counts them. */
 export type ChargeRules<Request> = {
-  /** It was charged before, for a worker that did not get it. */
+  /** Whether it is already charged, from an attempt that did not reach its worker. */
   isCharged: (request: Request) => boolean;
-  /** Names the charge; another one for each time that the turn is sent and lost. */
+  /** ID of the charge; a new one after each time that the turn was sent and lost. */
   idOf: (request: Request) => string;
+  /** Tokens to reserve. */
   amount: (request: Request) => number;
   timeout: (request: Request) => Microseconds;
-  /** Until the caller gives up. */
+  /** Time until the caller gives up. */
   remaining: (request: Request) => Microseconds;
+  /** Called when the charge is written; `record` is the record that contains it. */
   charged: (request: Request, account: BudgetAccount, record: BudgetRecord) => void;
-  /** The charge may have been written although no majority answered: it is refunded with the others if so. */
+  /** Called when no majority answered: the charge may have been written, so it has to be refunded like one that was. */
   uncertain: (request: Request, account: BudgetAccount) => void;
   reject: Reject<Request>;
   rejectUnavailable: (request: Request, text: string) => 'answered';
-  /** In seconds, for a turn that waits for another one of its program. */
+  /** Value of Retry-After in seconds, for a turn that waits for another turn of its program. */
   retryAfter: (request: Request) => number;
-  /** What follows if the client has disconnected before a wait; null: the wait ends by itself, and it is tried. */
+  /** Ends a request whose client disconnected before a wait; null: the wait is cut short and the charge retried. */
   clientDisconnected: ((request: Request) => 'answered') | null;
 };
 
-/** A turn that waits for room in its budget is rejected when so little of its time remains. */
+/** A turn that waits for its budget is rejected when less than this remains of its time. */
 const minimumWait = duration.ms(400);
-/** A waiting turn charges now and then though nothing seems to have changed: only that finds a turn that was lost. */
+/** A waiting turn retries its charge at least this often: only a charge detects reservations of lost turns. */
 const chargeInterval = duration.ms(600);
-/** Between two looks at the budget record: this, and up to as much again by chance. In milliseconds. */
+/** Minimum interval between reads of the budget record, in milliseconds; a random jitter of up to as much is added. */
 const pollMs = 40;
 
 /**
- * Other turns of the program have reserved the rest of its budget: waits until that has changed (§5.3). It reads the
- * register and proposes nothing, since a proposal would stand in the way of the turn that is to settle.
+ * Waits until other turns no longer reserve the rest of the program's budget, or until a charge is to be retried
+ * (§5.3). It only reads the register: a proposal would compete with the turn that is about to settle.
  */
-const untilBudgetFrees = async (
+const waitForBudget = async (
   { gateway, response }: ActiveRequest,
   { program, budget }: BudgetAccount,
   limit: Microseconds,
@@ -58,13 +60,13 @@
   }
 };
 
-/** The step that charges a turn. Waits while other turns of its program have reserved the rest of the budget. */
+/** The step that charges a turn. Waits while other turns of its program reserve the rest of the budget. */
 export const chargeStep =
   <Request extends ActiveRequest>(rules: ChargeRules<Request>) =>
   async (request: Request, account: BudgetAccount): Promise<StepResult> => {
     const { gateway, response } = request;
     if (!rules.isCharged(request)) request.timeline.enter('charge');
-    const begun = gateway.runtime.clock.now();
+    const startedAt = gateway.runtime.clock.now();
     while (!rules.isCharged(request)) {
       let result: ChargeResult;
       try {
@@ -83,20 +85,20 @@
         gateway.count('budget_rejected');
         return rules.reject(request, 'budget_spent', 'the budget of this program is spent', null);
       }
-      // Other turns of the program hold the rest of its budget: one may be settling right now.
+      // Other turns of the program reserve the rest of its budget: one of them may settle soon.
       const wait = rules.remaining(request) - minimumWait;
       if (wait < 0) {
         const text = 'other turns of this program hold its budget';
         return rules.reject(request, 'turn_open', text, rules.retryAfter(request));
       }
       if (rules.clientDisconnected && response.isClosed()) return rules.clientDisconnected(request);
-      await untilBudgetFrees(request, account, wait);
+      await waitForBudget(request, account, wait);
     }
-    gateway.admission.observeCharge(gateway.runtime.clock.now() - begun);
+    gateway.admission.observeCharge(gateway.runtime.clock.now() - startedAt);
     return 'continue';
   };
 
-/** Settles what a turn used. Never rejects: a turn that could not be settled stays charged (§5.3). */
+/** Settles a turn's usage. Never rejects: a turn that could not be settled stays charged (§5.3). */
 export const settleCharge = (gateway: Gateway, account: BudgetAccount, id: string, usage: Usage): Promise<void> =>
   gateway.budgets
     .settle(account, id, usage, closeTimeout)
--- a/packages/data-plane/src/requests/claim.ts
+++ b/packages/data-plane/src/requests/claim.ts
@@ -1,9 +1,9 @@
 /**
- * Claims the idempotency key of a request, whichever gateway and interface it comes by (§5.4): by a majority, and
- * before anything is waited for, so that a copy of it at another gateway finds the claim.
+ * Claims the idempotency key of a request at either interface (§5.4): at a majority of stores, and before any queueing,
+ * so that a duplicate at another gateway finds the claim.
  *
- * What a copy is answered differs between the interfaces and stays with them: the product's looks for the reply in the
- * conversation too and fences the turn, and a forwarded request has no conversation.
+ * The answer to a duplicate differs between the interfaces and is given by them: the product API also looks for the
+ * reply in the conversation and fences the turn; a forwarded request has no conversation.
  */
 import { fault, type Microseconds } from '@thornsail/runtime';
 import type { ClaimResult, IdempotencyKey, KeyClaim } from '../records/idempotency-keys.js';
@@ -12,8 +12,8 @@
 /** How an interface claims keys. */
 export type ClaimRules<Request> = {
   /**
-   * What follows a freeze. `refresh`: each attempt has an id of its own, so it is enough that the membership is fresh;
-   * `reject`: the request itself may be an old copy.
+   * What to do after the process was suspended. `refresh`: each attempt has its own ID, so a refreshed membership is
+   * enough; `reject`: the request itself may be an old duplicate.
    */
   whenStale: 'refresh' | 'reject';
   hasKey: (request: Request) => boolean;
@@ -21,10 +21,10 @@
   timeout: (request: Request) => Microseconds;
   claimed: (request: Request, key: IdempotencyKey) => void;
   rejectStale: (request: Request) => 'answered';
-  /** No majority took the claim; it may have been written all the same. */
+  /** No majority of stores answered the claim; it may have been written nevertheless. */
   rejectUnavailable: (request: Request, key: IdempotencyKey) => 'answered';
-  /** Answers a request whose key was claimed by another one. */
-  answerCopy: (request: Request, claim: KeyClaim, key: IdempotencyKey) => Promise<void>;
+  /** Answers a request whose key was already claimed by another one. */
+  answerDuplicate: (request: Request, claim: KeyClaim, key: IdempotencyKey) => Promise<void>;
 };
 
 /** The step that claims a request's key, if it has one. */
@@ -49,6 +49,6 @@
       return 'continue';
     }
     request.phases.transition('reject');
-    await rules.answerCopy(request, result.claim, key);
+    await rules.answerDuplicate(request, result.claim, key);
     return 'answered';
   };
--- a/packages/data-plane/src/requests/deadline.ts
+++ b/packages/data-plane/src/requests/deadline.ts
@@ -1,11 +1,11 @@
-/** How much of its time a request has used, and the least that a step needs of it. */
+/** Time used by a request, and time limits of the steps that use the stores. */
 import { duration, type Microseconds } from '@thornsail/runtime';
 import type { ActiveRequest } from './steps.js';
 
-/** A claim, a charge or a read gets at least so long, where it is to succeed at all. */
+/** Minimum timeout of a claim, charge or read: with less none of them would succeed. */
 export const minimumRecordTimeout = duration.ms(50);
-/** How long the records of a request may take to close before its answer ends. */
+/** Timeout for settling and storing the records of a request before its answer ends. */
 export const closeTimeout = duration.ms(900);
 
-/** Since the request arrived. */
+/** Time since the request arrived. */
 export const elapsed = ({ gateway, arrivedAt }: ActiveRequest): Microseconds => gateway.runtime.clock.now() - arrivedAt;
--- a/packages/data-plane/src/requests/timeline.ts
+++ b/packages/data-plane/src/requests/timeline.ts
@@ -1,9 +1,9 @@
-/** Opens the timeline of a request, whichever interface it comes by. */
+/** Opens the timeline of a request of either interface. */
 import type { Microseconds } from '@thornsail/runtime';
 import type { Gateway } from '../gateway.js';
 import { requestTimeline, type Timeline } from '../request-timeline.js';
 
-/** A timeline that the gateway is told of when it closes. `arrivedAt` is now, unless the request came before. */
+/** A timeline whose summary goes to the gateway when it closes. `arrivedAt` defaults to now. */
 export const openTimeline = (
   { runtime, requestEnded }: Gateway,
   className: string,
--- a/packages/data-plane/src/responses.ts
+++ b/packages/data-plane/src/responses.ts
@@ -1,12 +1,12 @@
-/** Responses of the product's interface that are not a worker's stream (§4.3, §5.4). */
+/** Responses of the product API other than relayed streams (§4.3, §5.4). */
 import type { HttpResponseWriter, Random } from '@thornsail/runtime';
 import { errors, type ErrorCode } from './errors.js';
 import type { Execution } from './phases.js';
 
-/** Writes whole responses. Nothing is written to a client that has disconnected. */
+/** Writes complete responses. Nothing is written to a client that has disconnected. */
 export type Responses = {
   json: (response: HttpResponseWriter, status: number, body: unknown, headers?: Record<string, string>) => void;
-  /** The final answer of a request that is given up, at once. `retryAfter` in seconds; null: none is told (§4.3). */
+  /** Writes an error response. `retryAfter` in seconds; null: no Retry-After header (§4.3). */
   reject: (
     response: HttpResponseWriter,
     error: ErrorCode,
@@ -14,11 +14,11 @@
     ran: Execution,
     retryAfter: number | null,
   ) => void;
-  /** Whole seconds from 1 to 3, spread out so that those rejected together do not come back together. */
+  /** Random Retry-After of 1 to 3 seconds, so that clients rejected together do not retry together. */
   backoff: () => number;
 };
 
-/** Chat completions in the form that clients of model servers know. `prompt` and `count` are tokens. */
+/** Builds chat completions in the usual format of model servers. `prompt` and `count` are tokens. */
 export const completion = {
   complete: (content: string, finish: string | null, toolCalls: unknown[], prompt: number, count: number): unknown => ({
     object: 'chat.completion',
--- a/packages/data-plane/src/warm-up/cluster.ts
+++ b/packages/data-plane/src/warm-up/cluster.ts
@@ -1,4 +1,4 @@
-/** The cluster that a warm-up plays in: a gateway, stores in memory, a worker, and a membership that never changes. */
+/** The cluster of a warm-up: a gateway, stores in memory, a worker, and a membership that never changes. */
 import { configSchema, type Config } from '@thornsail/config-schema';
 import { agreedState, type AgreedState } from '@thornsail/consensus';
 import type { Dissemination } from '@thornsail/dissemination';
@@ -10,13 +10,13 @@
 import type { GatewayMembership } from '../gateway-membership.js';
 import { openMemoryDisk } from './memory-disk.js';
 
-/** The routes and the service of a warm-up. */
+/** Host, path prefixes and service of a warm-up's routes. */
 export const warmUpNames = { host: 'warm-up', turns: '/turns/', calls: '/calls/', service: 'warm-up' } as const;
-/** As many stores as a usual group has. */
+/** The usual size of a store group. */
 const storeCount = 3;
 const gatewayId = 'warm-up-gateway';
 
-const document = (): unknown => {
+const configDocument = (): unknown => {
   const { host, turns, calls, service } = warmUpNames;
   const targets = [{ service, weight: 1 }];
   const common = { host, targets, class: service, deadlineMs: 5000, aimMs: 1000, urgency: 0, maxAttempts: 1 };
@@ -30,16 +30,16 @@
   };
 };
 const configOf = (): Config => {
-  const checked = configSchema.check(document());
+  const checked = configSchema.check(configDocument());
   invariant.hold(checked.ok, "the warm-up's configuration is valid");
   return (checked as { value: Config }).value;
 };
 
-/** Opens stores in this process. */
-const openStores = async (runtime: Runtime, at: Address): Promise<{ id: string; rpc: Rpc }[]> =>
+/** Opens the stores in this process. */
+const openStores = async (runtime: Runtime, address: Address): Promise<{ id: string; rpc: Rpc }[]> =>
   Promise.all(
     Array.from({ length: storeCount }, async () => {
-      const endpoint = await rpc.open(runtime, at);
+      const endpoint = await rpc.open(runtime, address);
       const durable = await durableStore.open(openMemoryDisk());
       const { id } = await store.open({ runtime, rpc: endpoint, durable });
       return { id, rpc: endpoint };
@@ -68,8 +68,8 @@
   };
 };
 
-/** News that never change, but for the time at which they came. */
-const openNews = (now: () => number, workers: WorkerEntry[]): Dissemination => {
+/** Dissemination with a constant list of workers, which always appears to have just arrived. */
+const openStaticDissemination = (now: () => number, workers: WorkerEntry[]): Dissemination => {
   const item = (): { version: number; receivedAt: number; value: unknown } => ({
     version: 1,
     receivedAt: now(),
@@ -88,13 +88,17 @@
     close: () => undefined,
   };
 };
-/** The cluster around a gateway that does not exist outside this process. */
+/** The open cluster: the gateway's RPC endpoint and membership. Nothing of it exists outside this process. */
 export type WarmUpCluster = { rpc: Rpc; membership: GatewayMembership; close: () => Promise<void> };
 
-/** Opens a cluster on loopback addresses; `worker` is where its one worker listens. */
-export const openWarmUpCluster = async (runtime: Runtime, at: Address, worker: Address): Promise<WarmUpCluster> => {
-  const gateway = await rpc.open(runtime, at);
-  const stores = await openStores(runtime, at);
+/** Opens a cluster whose nodes listen at `address`; `worker` is the address of its only worker. */
+export const openWarmUpCluster = async (
+  runtime: Runtime,
+  address: Address,
+  worker: Address,
+): Promise<WarmUpCluster> => {
+  const gateway = await rpc.open(runtime, address);
+  const stores = await openStores(runtime, address);
   const state = stateOf(stores, gateway);
   const workers: WorkerEntry[] = [
     { id: 'warm-up-worker', at: worker, kind: 'model', leaving: false, service: warmUpNames.service, slots: 8 },
@@ -103,7 +107,7 @@
     rpc: gateway,
     membership: {
       id: gatewayId,
-      dissemination: openNews(runtime.clock.now, workers),
+      dissemination: openStaticDissemination(runtime.clock.now, workers),
       state: () => state,
       stale: () => false,
       refresh: () => Promise.resolve(true),
@@ -111,7 +115,7 @@
       onState: () => undefined,
     },
     close: async () => {
-      await Promise.all([gateway.close(), ...stores.map((one) => one.rpc.close())]);
+      await Promise.all([gateway.close(), ...stores.map((storeNode) => storeNode.rpc.close())]);
     },
   };
 };
--- a/packages/data-plane/src/warm-up/memory-disk.ts
+++ b/packages/data-plane/src/warm-up/memory-disk.ts
@@ -1,7 +1,7 @@
-/** A disk in memory, for the stores of a warm-up: nothing that they write outlives it. */
+/** A disk in memory for the stores of a warm-up. */
 import type { Disk } from '@thornsail/runtime';
 
-/** Opens an empty disk. */
+/** Opens an empty disk, whose content is lost with the object. */
 export const openMemoryDisk = (): Disk => {
   const files = new Map<string, string>();
   const done = Promise.resolve();
--- a/packages/data-plane/src/warm-up/warm-up.ts
+++ b/packages/data-plane/src/warm-up/warm-up.ts
@@ -1,8 +1,8 @@
 /**
- * Warms a gateway up (§5.10): before the first request comes, the whole way of a request is gone many times in this
- * process, at a data plane of its own with stores in memory and a worker on a loopback address. The engine compiles
- * and optimizes by function, not by instance, so the data plane that serves has it already: the first requests do not
- * pay for code that has never run. Nothing of it is seen outside the process.
+ * Warms a gateway up (§5.10): before the first real request, synthetic requests run through the complete request path
+ * in this process, in a separate data plane with stores in memory and a worker on a loopback address. V8 compiles and
+ * optimizes functions, not instances, so the data plane that serves benefits too, and its first requests do not run
+ * cold code. Nothing of the warm-up is visible outside the process.
  */
 import {
   duration,
@@ -18,7 +18,7 @@
 import { openWarmUpCluster, warmUpNames } from './cluster.js';
 import { openWarmUpWorker } from './worker.js';
 
-/** The header names of a warm-up: no others are needed, as nobody else reads them. */
+/** Header names of the warm-up's dialect; only the warm-up reads them. */
 const names: HeaderNames = {
   attempt: 'warm-up-attempt',
   deadlineMs: 'warm-up-deadline-ms',
@@ -38,34 +38,34 @@
   load: 'warm-up-load',
 };
 const loopback: Address = '127.0.0.1:0';
-/** Small: what counts is the code that runs, and memory is short on small machines. */
+/** Body of a turn: small, since only the executed code matters and small machines have little memory. */
 const turnBody = Buffer.from('z'.repeat(2000));
-const largestRequest = 1 << 20;
-const connectWithin = duration.s(1);
-/** The configuration is taken over within this. */
+const maxBodyBytes = 1 << 20;
+const connectTimeout = duration.s(1);
+/** By then the data plane uses the configuration. */
 const settleTime = duration.ms(600);
 
-/** How much is done. */
+/** Options of a warm-up. */
 export type WarmUpOptions = {
   runtime: Runtime;
-  /** Programs that are played: each has some turns, with calls of tools between them. */
+  /** Maximum number of programs to run: each has some turns, with tool calls between them. */
   programs: number;
-  /** The longest time that it takes. */
-  within: Microseconds;
-  /** It ends once a request takes no longer than this: on a fast machine there is little to gain. */
-  goodEnough: Microseconds;
-  /** Asked before each program: false ends the warm-up, as when real requests have come. */
+  /** No further program is started after this time. */
+  timeout: Microseconds;
+  /** The warm-up ends when a request takes no longer than this on average: then there is little more to gain. */
+  targetRequestTime: Microseconds;
+  /** Called before each program: false ends the warm-up, for example when real requests have arrived. */
   shouldContinue: () => boolean;
 };
-/** What a warm-up did; `failed` requests had another status than 200, or none. */
+/** Number of requests of a warm-up; `failed` ones had no response or a status other than 200. */
 export type WarmUpResult = { requests: number; failed: number };
 
 const turnsPerProgram = 4;
 const callsPerTurn = 2;
 const requestsPerProgram = turnsPerProgram * (1 + callsPerTurn);
 
-/** Sends one request and reads its answer to the end; its status, 0 without an answer. */
-const exchangeOnce = (connection: HttpConnection, target: string, headers: string[], body: Buffer): Promise<number> =>
+/** Sends one request and reads the response to its end. Returns the status, or 0 without a complete response. */
+const sendRequest = (connection: HttpConnection, target: string, headers: string[], body: Buffer): Promise<number> =>
   new Promise((resolve) => {
     let status = 0;
     connection.exchange(
@@ -87,8 +87,8 @@
     );
   });
 
-/** Plays one program: its turns one after another, each behind the one before, with calls between them. */
-const playProgram = async (
+/** Runs one program: its turns in sequence, each continuing the previous one, with tool calls between them. */
+const runProgram = async (
   send: (target: string, headers: string[], body: Buffer) => Promise<void>,
   program: number,
 ): Promise<void> => {
@@ -104,64 +104,72 @@
   ];
   for (let turn = 0; turn < turnsPerProgram; turn++) {
     const previous = turn === 0 ? [] : [names.previous, `t${program}.${turn - 1}`];
-    const own = [names.attempt, `t${program}.${turn}`, names.budget, '100000', names.usage, '2000,10', ...previous];
-    await send(`${warmUpNames.turns}x`, [...common, ...own], turnBody);
+    const turnHeaders = [
+      names.attempt,
+      `t${program}.${turn}`,
+      names.budget,
+      '100000',
+      names.usage,
+      '2000,10',
+      ...previous,
+    ];
+    await send(`${warmUpNames.turns}x`, [...common, ...turnHeaders], turnBody);
     for (let call = 0; call < callsPerTurn; call++)
       await send(`${warmUpNames.calls}x`, [...common, names.attempt, `c${program}.${turn}.${call}`], Buffer.alloc(0));
   }
 };
 
-/** Opens all that a warm-up needs, and gives a connection to its gateway; what is open is closed by `cleanups`. */
-const openStage = async (runtime: Runtime, cleanups: (() => unknown)[]): Promise<HttpConnection> => {
+/** Opens worker, cluster and gateway, and returns a connection to the gateway. Adds the functions that close them. */
+const openConnection = async (runtime: Runtime, cleanups: (() => unknown)[]): Promise<HttpConnection> => {
   const worker = await openWarmUpWorker(runtime, loopback, names);
   cleanups.push(worker.close);
   const cluster = await openWarmUpCluster(runtime, loopback, worker.at);
   cleanups.push(cluster.close);
   const plane = dataPlane.open({ runtime, rpc: cluster.rpc, membership: cluster.membership });
   cleanups.push(plane.close);
-  const gateway = await runtime.net.serveHttp(loopback, plane.forward(dialect.byHeaders(names)), largestRequest);
+  const gateway = await runtime.net.serveHttp(loopback, plane.forward(dialect.byHeaders(names)), maxBodyBytes);
   cleanups.push(gateway.close);
-  const connection = runtime.net.connectHttp(gateway.at, { connectWithin });
+  const connection = runtime.net.connectHttp(gateway.at, { connectWithin: connectTimeout });
   cleanups.push(connection.close);
   return connection;
 };
 
-/** Plays programs until the time is up, they are fast enough, or no more may be played. */
-const playPrograms = async (options: WarmUpOptions, connection: HttpConnection): Promise<WarmUpResult> => {
-  const { programs, within, goodEnough, shouldContinue, runtime } = options;
+/** Runs programs until the timeout, until requests are fast enough, or until `shouldContinue` returns false. */
+const runPrograms = async (options: WarmUpOptions, connection: HttpConnection): Promise<WarmUpResult> => {
+  const { programs, timeout, targetRequestTime, shouldContinue, runtime } = options;
   const { now } = runtime.clock;
   const result: WarmUpResult = { requests: 0, failed: 0 };
   const send = async (target: string, headers: string[], body: Buffer): Promise<void> => {
     result.requests += 1;
-    if ((await exchangeOnce(connection, target, headers, body)) !== 200) result.failed += 1;
+    if ((await sendRequest(connection, target, headers, body)) !== 200) result.failed += 1;
   };
-  const end = now() + within;
-  let perRequest: Microseconds = Infinity;
-  for (let program = 0; program < programs && perRequest > goodEnough; program++) {
-    if (now() >= end || !shouldContinue()) break;
-    const begun = now();
-    await playProgram(send, program);
-    perRequest = (now() - begun) / requestsPerProgram;
+  const endAt = now() + timeout;
+  let averageTime: Microseconds = Infinity;
+  for (let program = 0; program < programs && averageTime > targetRequestTime; program++) {
+    if (now() >= endAt || !shouldContinue()) break;
+    const startedAt = now();
+    await runProgram(send, program);
+    averageTime = (now() - startedAt) / requestsPerProgram;
   }
   return result;
 };
 
 const run = async (options: WarmUpOptions): Promise<WarmUpResult> => {
-  const quiet: Runtime = { ...options.runtime, log: () => () => undefined };
+  const silentRuntime: Runtime = { ...options.runtime, log: () => () => undefined };
   const cleanups: (() => unknown)[] = [];
   try {
-    const connection = await openStage(quiet, cleanups);
-    await time.sleep(quiet.clock, settleTime);
-    return await playPrograms(options, connection);
+    const connection = await openConnection(silentRuntime, cleanups);
+    await time.sleep(silentRuntime.clock, settleTime);
+    return await runPrograms(options, connection);
   } finally {
-    // What was opened last is closed first.
+    // In reverse order of opening.
     await Promise.all(cleanups.reverse().map((close) => close()));
   }
 };
 
-/** Warms gateways up. */
+/** Runs warm-ups. */
 export const warmUp = {
-  /** Never rejects: a gateway serves without it, too. */
+  /** Never rejects: a gateway can serve without a warm-up. */
   run: async (options: WarmUpOptions): Promise<WarmUpResult> => {
     const log = options.runtime.log('warm-up');
     try {
@@ -169,7 +177,7 @@
       log(`${result.requests} requests, ${result.failed} failed.`);
       return result;
     } catch (error) {
-      log(`not warmed up: ${fault.text(error)}.`);
+      log(`warm-up failed: ${fault.text(error)}.`);
       return { requests: 0, failed: 0 };
     }
   },
--- a/packages/data-plane/src/worker-request.ts
+++ b/packages/data-plane/src/worker-request.ts
@@ -1,32 +1,33 @@
-/** One request of the product's interface to a worker: a chat turn or a job, over a connection of its own (§5.8). */
+/** Sends a request of the product API, a chat turn or a job, to a worker over a new connection (§5.8). */
 import type { WorkerEntry } from '@thornsail/load-balancer';
 import { duration, fault, type HttpClientResponse, type Microseconds, type Runtime } from '@thornsail/runtime';
 
-/** `failed`: no response; `unsent` says whether it is certain that no byte reached the worker. */
+/** `failed`: no response; `unsent`: it is certain that no byte reached the worker. */
 export type WorkerReply = { type: 'response'; response: HttpClientResponse } | { type: 'failed'; unsent: boolean };
 type WorkerRequest = {
   path: string;
   body: string;
   headers: Record<string, string>;
-  /** Until the whole response must have arrived. */
+  /** Timeout for the head of the response. */
   timeLeft: Microseconds;
 };
 
-/** A worker that sends nothing for so long counts as lost. */
+/** A worker that sends nothing for this long within a response body counts as lost. */
 const readTimeout = duration.s(20);
 
 /** Sends requests to workers. */
-export const worker = {
-  /** Never rejects: a failure to reach the worker is a reply of type `failed`. */
-  send: async (runtime: Runtime, to: WorkerEntry, request: WorkerRequest): Promise<WorkerReply> => {
+export const workerClient = {
+  /** Never rejects: a request without a response resolves to a reply of type `failed`. */
+  send: async (runtime: Runtime, target: WorkerEntry, request: WorkerRequest): Promise<WorkerReply> => {
     try {
       const response = await runtime.net.request({
-        at: to.at,
+        at: target.at,
         method: 'POST',
         path: request.path,
         headers: { 'content-type': 'application/json', ...request.headers },
         body: request.body,
-        // These workers name no request in their answers: none may come in another's place (§5.8).
+        // Responses of these workers do not identify their request, so on a reused connection a response could be
+        // matched to the wrong request (§5.8).
         newConnection: true,
         headersTimeout: request.timeLeft,
         bodyTimeout: readTimeout,
--- a/packages/data-plane/src/workers.ts
+++ b/packages/data-plane/src/workers.ts
@@ -1,26 +1,26 @@
-/** The model workers, as the cluster's updates list them. */
+/** The workers, from the lists that the agents disseminate. */
 import type { Dissemination } from '@thornsail/dissemination';
 import type { WorkerEntry } from '@thornsail/load-balancer';
 import { duration, type Microseconds } from '@thornsail/runtime';
 
-/** What the platform's list looks like in an update: one item for each agent that reads it. */
-export type WorkersNews = { list: WorkerEntry[] };
+/** A disseminated update: the platform's list of workers as one agent read it. Each agent publishes its own. */
+export type WorkerListUpdate = { list: WorkerEntry[] };
 
-/** An agent's list counts for so long when workers are marked as leaving. */
-const freshFor = duration.s(4);
+/** Maximum age of a list that may mark workers as leaving. */
+const maxLeavingAge = duration.s(4);
 
-/** The workers at `now`: the newest list, and leaving wherever any fresh list says so (§3.8). */
+/** The workers of the newest list at `now`; a worker is leaving if any recent list marks it so (§3.8). */
 export const workersOf = (dissemination: Dissemination, now: Microseconds): WorkerEntry[] => {
-  const lists = dissemination
-    .withPrefix('workers/')
-    .map((update) => ({
-      name: update.name,
-      at: update.item.receivedAt,
-      list: (update.item.value as WorkersNews).list,
-    }));
+  const lists = dissemination.withPrefix('workers/').map((update) => ({
+    name: update.name,
+    at: update.item.receivedAt,
+    list: (update.item.value as WorkerListUpdate).list,
+  }));
   if (lists.length === 0) return [];
-  const fresh = lists.filter((entry) => now - entry.at < freshFor);
+  const recent = lists.filter((entry) => now - entry.at < maxLeavingAge);
   const newest = [...lists].sort((a, b) => b.at - a.at)[0]!;
-  const leaving = new Set(fresh.flatMap((entry) => entry.list.filter((each) => each.leaving).map((each) => each.id)));
-  return newest.list.map((entry) => ({ ...entry, leaving: entry.leaving || leaving.has(entry.id) }));
+  const leaving = new Set(
+    recent.flatMap((entry) => entry.list.filter((worker) => worker.leaving).map((worker) => worker.id)),
+  );
+  return newest.list.map((worker) => ({ ...worker, leaving: worker.leaving || leaving.has(worker.id) }));
 };
--- a/packages/data-plane/test/request-timeline.test.ts
+++ b/packages/data-plane/test/request-timeline.test.ts
@@ -4,39 +4,40 @@
 import { requestMetrics } from '../src/request-metrics.js';
 import { requestTimeline, type TimelineSummary } from '../src/request-timeline.js';
 
-const clockAt = (): { clock: Clock; pass: (time: number) => void } => {
+/** A fake clock that starts at 0; `advance` moves it forward. */
+const fakeClock = (): { clock: Clock; advance: (time: number) => void } => {
   let now = 0;
   const clock = { now: () => now, wallTime: () => now, schedule: () => () => undefined };
   return {
     clock,
-    pass: (time) => {
+    advance: (time) => {
       now += time;
     },
   };
 };
 
-test('the stages of a request add up to its whole time, also one that is entered twice', () => {
-  const { clock, pass } = clockAt();
-  const seen: TimelineSummary[] = [];
-  const observe = (summary: TimelineSummary): void => void seen.push(summary);
+test('the stages of a request add up to its total time, also if a stage is entered twice', () => {
+  const { clock, advance } = fakeClock();
+  const summaries: TimelineSummary[] = [];
+  const observe = (summary: TimelineSummary): void => void summaries.push(summary);
   const timeline = requestTimeline.open({ clock, className: 'chat', program: 'p', arrivedAt: 0, observe });
   timeline.enter('context');
-  pass(3000);
+  advance(3000);
   timeline.enter('slot');
-  pass(1000);
+  advance(1000);
   timeline.enter('first_event');
   timeline.sentTo('w1', false);
-  pass(5000);
+  advance(5000);
   timeline.enter('slot');
-  pass(2000);
+  advance(2000);
   timeline.enter('first_event');
   timeline.sentTo('w2', true);
-  pass(4000);
-  timeline.ended('served');
+  advance(4000);
+  timeline.setOutcome('served');
   timeline.close();
   timeline.close();
-  assert.is(seen.length, 1);
-  const { byStage, total, workers, reachedContext, outcome } = seen[0]!;
+  assert.is(summaries.length, 1);
+  const { byStage, total, workers, reachedContext, outcome } = summaries[0]!;
   assert.equal(
     [...byStage],
     [
@@ -50,15 +51,15 @@
   assert.is(reachedContext, true);
   assert.is(outcome, 'served');
 });
-test('metrics have the time by class and stage, outcomes, and what became of exchanges', async () => {
-  const { clock, pass } = clockAt();
+test('metrics contain the time by class and stage, and the outcomes of requests and of exchanges', async () => {
+  const { clock, advance } = fakeClock();
   const lines: string[] = [];
   const metrics = requestMetrics.open((text) => void lines.push(typeof text === 'string' ? text : text()));
   const { observe } = metrics;
   const timeline = requestTimeline.open({ clock, className: 'chat', program: 'p/1', arrivedAt: 0, observe });
   timeline.enter('charge');
-  pass(12_340);
-  timeline.ended('busy');
+  advance(12_340);
+  timeline.setOutcome('busy');
   timeline.close();
   metrics.workerOutcome('w1', 'failed');
   const text = await metrics.text();
@@ -68,7 +69,7 @@
   metrics.workerOutcome('w2', 'answered');
   metrics.retainWorkers(new Set(['w2']));
   const later = await metrics.text();
-  assert.not.match(later, 'worker="w1"', 'a worker that is gone leaves nothing behind');
+  assert.not.match(later, 'worker="w1"', 'the metrics of a removed worker are removed');
   assert.match(later, 'thornsail_worker_outcomes_total{worker="w2",outcome="answered"} 1');
   assert.equal(lines, [
     'class=chat program=p/1 outcome=busy total=12.3 charge=12.3 workers=- at_context=- prompt=0 output=0',
--- a/packages/data-plane/test/sends.test.ts
+++ b/packages/data-plane/test/sends.test.ts
@@ -1,38 +1,39 @@
-// Chat turns and jobs (§5.8): their workers' answers name no request, so that none may come over a kept connection.
+// Chat turns and jobs (§5.8): responses of their workers do not identify the request. A worker that sends a response
+// twice on a reused connection would therefore answer the next request with it.
 import net from 'node:net';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import type { WorkerEntry } from '@thornsail/load-balancer';
 import { real, duration, readText } from '@thornsail/runtime';
-import { worker } from '../src/worker-request.js';
+import { workerClient } from '../src/worker-request.js';
 
 const runtime = real.runtime('/nonexistent');
-const answer = (body: string): string => `HTTP/1.1 200 X\r\ncontent-length: ${body.length}\r\n\r\n${body}`;
+const responseWith = (body: string): string => `HTTP/1.1 200 X\r\ncontent-length: ${body.length}\r\n\r\n${body}`;
 
-test('an answer that is given twice is not taken for the answer to the next request', async () => {
+test('a response that is sent twice is not taken as the response to the next request', async () => {
   const sockets = new Set<net.Socket>();
   const server = net.createServer((socket) => {
     sockets.add(socket);
-    let before: string | undefined;
+    let previousBody: string | undefined;
     socket.on('error', () => undefined);
     socket.on('data', (bytes: Buffer) => {
       const body = bytes.toString('latin1').split('\r\n\r\n')[1] ?? '';
-      // The former answer once more, in the place of this one.
-      socket.write((before === undefined ? '' : answer(before)) + answer(body));
-      before = body;
+      // Repeats the previous response before the response to this request.
+      socket.write((previousBody === undefined ? '' : responseWith(previousBody)) + responseWith(body));
+      previousBody = body;
     });
   });
-  await new Promise<void>((up) => void server.listen(0, '127.0.0.1', up));
-  const at = `127.0.0.1:${(server.address() as net.AddressInfo).port}`;
+  await new Promise<void>((resolve) => void server.listen(0, '127.0.0.1', resolve));
+  const address = `127.0.0.1:${(server.address() as net.AddressInfo).port}`;
   for (const body of ['first', 'second', 'third']) {
-    const sent = await worker.send(runtime, { id: 'w', at } as WorkerEntry, {
+    const reply = await workerClient.send(runtime, { id: 'w', at: address } as WorkerEntry, {
       path: '/run',
       body,
       headers: {},
       timeLeft: duration.s(1),
     });
-    assert.is(sent.type, 'response');
-    if (sent.type === 'response') assert.is(await readText(sent.response.body), body);
+    assert.is(reply.type, 'response');
+    if (reply.type === 'response') assert.is(await readText(reply.response.body), body);
   }
   for (const socket of sockets) socket.destroy();
   server.close();
--- a/programs/thornsail/src/roles.ts
+++ b/programs/thornsail/src/roles.ts
@@ -1,6 +1,6 @@
 // The roles (§1.2). Each is given its runtime and its checked options, and runs as well in the simulator as on a
 // machine.
-import { workersOf, dataPlane, type Drain, type EdgeLoad, type DataPlane } from '@thornsail/data-plane';
+import { workersOf, dataPlane, type DrainOptions, type GatewayLoad, type DataPlane } from '@thornsail/data-plane';
 import type { GatewayOptions, StoreOptions, AgentOptions, CoordinatorOptions } from '@thornsail/config-schema';
 import { serviceCatalog, type PlatformWorker } from '@thornsail/service-catalog';
 import { registers, store, type Registers } from '@thornsail/register-store';
@@ -36,7 +36,7 @@
   ready: () => { ok: boolean; why: string[] };
   counts: () => Record<string, number>;
   /** Stops taking new work, finishes what runs, and leaves the roster. */
-  drain: (o?: Drain) => Promise<void>;
+  drain: (o?: DrainOptions) => Promise<void>;
   close: () => Promise<void>;
   /** Calls back if this node must stop: its disk failed, and nothing it says of its state would be safe (§6.1). */
   onFailed: (fn: (why: string) => void) => void;
@@ -69,7 +69,7 @@
   ...Object.fromEntries(Object.entries(m.dissemination.counts()).map(([k, v]) => [`news_${k}`, v])),
 });
 type Parts = Omit<SignalNode, 'drain'> & {
-  drain: (o?: Drain) => Promise<void>;
+  drain: (o?: DrainOptions) => Promise<void>;
   /** Waits, once the leave is told, until another node has this one's place in its group. */
   replaced?: () => Promise<void>;
   http: Address;
@@ -102,7 +102,7 @@
 /** What all roles share: the operators' HTTP, draining by a sibling's word, closing in order. */
 const serve = async (x: Parts): Promise<Node> => {
   let draining: Promise<void> | undefined;
-  const drain = (o?: Drain): Promise<void> =>
+  const drain = (o?: DrainOptions): Promise<void> =>
     (draining ??= (async () => {
       // Nothing new is taken from now on, even if the core cannot be told.
       const done = x.drain(o);
@@ -180,7 +180,7 @@
       usedVersion: (id) => {
         const used = here.membership?.dissemination.get(`uses/${id}`);
         if (used) return used.version;
-        const l = here.membership?.dissemination.get(`load/${id}`)?.value as Partial<EdgeLoad> | undefined;
+        const l = here.membership?.dissemination.get(`load/${id}`)?.value as Partial<GatewayLoad> | undefined;
         // A front of the release before does not say; it is taken at its word that news reaches it.
         return l === undefined ? -1 : (l.uses ?? Infinity);
       },
--- a/programs/thornsail/src/warm-up.ts
+++ b/programs/thornsail/src/warm-up.ts
@@ -16,5 +16,6 @@
   if (!dataPlane) return;
   const isUnused = (): boolean => dataPlane.counts()['requests'] === 0;
   await time.sleep(runtime.clock, firstRequestsWithin);
-  if (isUnused()) await warmUp.run({ runtime, programs, within: longest, goodEnough, shouldContinue: isUnused });
+  if (isUnused())
+    await warmUp.run({ runtime, programs, timeout: longest, targetRequestTime: goodEnough, shouldContinue: isUnused });
 };
