--- a/tools/simulation/src/guards/data-plane.ts
+++ b/tools/simulation/src/guards/data-plane.ts
@@ -1,33 +1,33 @@
-// Guards of the lines of `data-plane` that keep a rule.
+/** Guards of `data-plane`: each removes a line that a rule depends on and names the run that must notice it. */
 import { guard, type Guard } from './guard.js';
 
 /** Guards of `data-plane`. */
 export const dataPlaneGuards: readonly Guard[] = [
   guard({
-    name: 'a hold leaves room for a slow first token',
+    name: 'a hold leaves time for a slow first token',
     rule: '2 hold',
     file: 'data-plane/src/relay.js',
-    find: 'gateway.admission.observeFirstToken(plan.cls, gateway.runtime.clock.now() - sentAt, turn.forced);',
+    find: 'gateway.admission.observeFirstToken(plan.className, gateway.runtime.clock.now() - sentAt, turn.forced);',
     replacement: '',
     noticedBy: { scenario: 'hold', from: 2, to: 2 },
     also: [
       {
         file: 'data-plane/src/admission/service-times.js',
-        find: 'forcedFirstTokens.get(className)?.likely() ?? expectedService(className)',
+        find: 'forcedFirstTokens.get(className)?.upperBound() ?? expectedService(className)',
         replacement: '0',
       },
     ],
   }),
   guard({
-    name: 'a drain waits for running turns',
+    name: 'a drain waits for turns in flight',
     rule: '3 uncut',
     file: 'data-plane/src/lifecycle.js',
-    find: 'while ((inFlight.size || answering) && clock.now() < end && !closed)',
+    find: 'while ((inFlight.size || answering) && clock.now() < endAt && !closed)',
     replacement: 'while (false)',
     noticedBy: { scenario: 'uncut' },
   }),
   guard({
-    name: 'a key is claimed once',
+    name: 'an idempotency key is claimed only once',
     rule: '4 once',
     file: 'data-plane/src/records/idempotency-keys.js',
     find: 'if (current && current.turn !== turn)',
@@ -37,38 +37,42 @@
     },
   }),
   guard({
-    name: 'what may have been sent is not repeated',
+    name: 'a request that may have been sent is not retried',
     rule: '4 once',
     file: 'data-plane/src/job.js',
-    find: 'mayRepeat && !plan.once && plan.key === null && remaining(job) > 0 && gateway.takeRetry()',
-    replacement: 'mayRepeat',
+    find: 'mayRetry && !plan.once && plan.key === null && remaining(job) > 0 && gateway.takeRetry()',
+    replacement: 'mayRetry',
     noticedBy: { scenario: 'once' },
   }),
   guard({
-    name: 'another request under a used key is refused',
+    name: 'a different request under a used key is rejected',
     rule: '4 once',
-    file: 'data-plane/src/answer-copy.js',
+    file: 'data-plane/src/answer-duplicate.js',
     find: 'claim.sum !== undefined && claim.sum !== plan.sum',
     replacement: 'false',
     noticedBy: { test: 'simulation/test/keep.test.js' },
   }),
   guard({
-    name: 'a refused key stays quiet',
+    name: 'the key of a rejected request is freed after a delay',
     rule: '5 not run',
     file: 'data-plane/src/records/idempotency-keys.js',
-    find: 'if (quiet > 0) await time.sleep(runtime.clock, quiet);',
+    find: 'if (delay > 0) await time.sleep(runtime.clock, delay);',
     replacement: '',
     noticedBy: { scenario: 'notrun', to: 6 },
   }),
   guard({
-    name: 'a kept turn stands there once',
+    name: 'a turn is appended to its conversation only once',
     rule: '6 kept',
     file: 'data-plane/src/records/conversations.js',
-    find: 'if (current.marks.includes(mark)) return',
+    find: 'if (current.marks.includes(turnId)) return',
     replacement: 'if (false) return',
     noticedBy: { test: 'simulation/test/keep.test.js' },
     also: [
-      { file: 'data-plane/src/answer-copy.js', find: 'if (result) return replay(copy, result);', replacement: '' },
+      {
+        file: 'data-plane/src/answer-duplicate.js',
+        find: 'if (result) return replay(duplicate, result);',
+        replacement: '',
+      },
       {
         file: 'data-plane/src/records/idempotency-keys.js',
         find: 'if (current && current.turn !== turn)',
@@ -82,15 +86,15 @@
     ],
   }),
   guard({
-    name: 'a turn told to be of unknown outcome does not come afterwards',
+    name: 'a turn reported with an unknown outcome is not appended later',
     rule: '6 kept',
     file: 'data-plane/src/records/conversations.js',
-    find: 'if (current.fenced?.includes(mark))',
+    find: 'if (current.fenced?.includes(turnId))',
     replacement: 'if (false)',
     noticedBy: { test: 'simulation/test/keep.test.js' },
   }),
   guard({
-    name: 'what was promised is not cut',
+    name: 'a promised retention is not shortened',
     rule: '6 kept',
     file: 'data-plane/src/records/retention.js',
     find: 'Math.max(promised, wall.max + duration.s(seconds))',
@@ -98,7 +102,7 @@
     noticedBy: { test: 'simulation/test/keep.test.js' },
   }),
   guard({
-    name: 'a woken edge refreshes before it sends',
+    name: 'a gateway that resumes after a pause refreshes its membership before it sends',
     rule: '7 leaving',
     file: 'data-plane/src/cluster-view.js',
     find: 'if (!membership.stale())',
@@ -106,7 +110,7 @@
     noticedBy: { test: 'simulation/test/freeze.test.js' },
   }),
   guard({
-    name: 'a gateway that is cut off takes nothing new',
+    name: 'a gateway without contact to the cluster accepts no new requests',
     rule: '8 configuration',
     file: 'data-plane/src/product-entry.js',
     find: "if (!inContact() && (ran === 'unknown' || !(await membership.refresh()) || !inContact()))",
@@ -114,7 +118,7 @@
     noticedBy: { test: 'simulation/test/config.test.js' },
   }),
   guard({
-    name: 'a cut stream is broken off',
+    name: 'the connection of a cut stream is aborted',
     rule: '10 streams',
     file: 'data-plane/src/chat.js',
     find: "gateway.count('cut'); response.abort();",
@@ -134,15 +138,15 @@
     noticedBy: { test: 'simulation/test/streams.test.js' },
   }),
   guard({
-    name: "a row's load is passed on to the other rows",
+    name: "a row's load is forwarded to the other rows",
     rule: 'urgent',
     file: 'data-plane/src/load-exchange.js',
-    find: 'passOn(message);\n            options.onReceived();',
+    find: 'forwardToOtherRows(message);\n            options.onReceived();',
     replacement: 'options.onReceived();',
     noticedBy: { test: 'simulation/test/load.test.js' },
   }),
   guard({
-    name: 'a connection is not kept for a worker that left the list',
+    name: 'a connection is not reused for a worker that left the list',
     rule: 'answers',
     file: 'data-plane/src/forward/connections.js',
     find: 'if (pool.kept && connection.isOpen()',
@@ -150,7 +154,7 @@
     noticedBy: { test: 'data-plane/test/connections.test.js' },
   }),
   guard({
-    name: 'connections in use count until their answers',
+    name: 'connections in use count until their exchanges end',
     rule: 'answers',
     file: 'data-plane/src/forward/connections.js',
     find: 'if (pool.used === 0)',
@@ -158,7 +162,7 @@
     noticedBy: { test: 'data-plane/test/connections.test.js' },
   }),
   guard({
-    name: 'no answer that names no request over a kept connection',
+    name: 'requests whose responses do not identify them use new connections',
     rule: 'answers',
     file: 'data-plane/src/worker-request.js',
     find: 'newConnection: true',
--- a/tools/simulation/src/measurement/capacity/fixtures.ts
+++ b/tools/simulation/src/measurement/capacity/fixtures.ts
@@ -8,7 +8,7 @@
   configuration,
   snapshotCodec,
 } from '@thornsail/consensus';
-import type { EdgeLoad } from '@thornsail/data-plane';
+import type { GatewayLoad } from '@thornsail/data-plane';
 import { rpc } from '@thornsail/rpc';
 import { type Runtime, type Microseconds, duration } from '@thornsail/runtime';
 import { type World, world } from '../../world/index.js';
@@ -98,7 +98,7 @@
   Array.from({ length: n }, (_, i) => `session-${String(i).padStart(28, '0')}`);
 
 /** What an edge tells when each of its turns runs at a worker of its own. */
-export const loadOf = (edge: number, running: number, workers: number): EdgeLoad => {
+export const loadOf = (edge: number, running: number, workers: number): GatewayLoad => {
   const at = (i: number): string => `worker-${String((edge * running + i * 16) % workers).padStart(5, '0')}`;
   const ids = [...new Set(Array.from({ length: running }, (_, i) => at(i)))];
   return {
--- a/tools/simulation/src/measurement/capacity/state.ts
+++ b/tools/simulation/src/measurement/capacity/state.ts
@@ -1,6 +1,6 @@
 // Bytes of what nodes send whole: versions, lists of workers, loads, digests.
 import type { AgreedState } from '@thornsail/consensus';
-import type { EdgeLoad } from '@thornsail/data-plane';
+import type { GatewayLoad } from '@thornsail/data-plane';
 import type { Point } from '../fit.js';
 import { workerList } from '../hollow.js';
 import {
@@ -19,7 +19,7 @@
 
 export const state: Part = async (sizes) => {
   const bytes = (s: AgreedState): Promise<number> => frameBytes('beam.news', newsOf(version(s)));
-  const load = (l: EdgeLoad): Promise<number> => frameBytes('load', { from: nodeOf(20).id, mark: 99, load: l });
+  const load = (l: GatewayLoad): Promise<number> => frameBytes('load', { from: nodeOf(20).id, mark: 99, load: l });
   const roster = pick(sizes, [50, 100, 200, 400, 800], [10, 20, 30, 40]);
   const few = withRoster(6);
   const by = (k: 'classes' | 'routes' | 'services', x: number): AgreedState =>
--- a/tools/simulation/test/load.test.ts
+++ b/tools/simulation/test/load.test.ts
@@ -1,18 +1,18 @@
 // How the edges tell each other of load (§3.5): over a grid where there are many, directly where there are few.
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { loadPaths, type EdgePeer } from '@thornsail/data-plane';
+import { loadPaths, type GatewayPeer } from '@thornsail/data-plane';
 import { invariant, duration } from '@thornsail/runtime';
 import { hollow, total, type Hollow, type HollowNode } from '../src/measurement/hollow.js';
 
-const peers = (count: number, zones = 3): EdgePeer[] =>
+const peers = (count: number, zones = 3): GatewayPeer[] =>
   Array.from({ length: count }, (_, i) => ({ id: `e${i}`, place: `10.0.0.${i}:1`, zone: `z${i % zones}` }));
-const idAt = (all: EdgePeer[], place: string): string => all.find((p) => p.place === place)!.id;
+const idAt = (all: GatewayPeer[], place: string): string => all.find((p) => p.place === place)!.id;
 
 test('few edges tell each other directly', () => {
   const all = peers(16);
   for (const { id } of all) {
-    const paths = loadPaths.of(all, id);
+    const paths = loadPaths.compute(all, id);
     assert.is(paths.row.length, 15);
     assert.equal(paths.otherRows, []);
   }
@@ -21,7 +21,7 @@
 test('of many edges each hears of each other one, once, and the messages grow with the root of their number', () => {
   for (const count of [17, 18, 23, 31, 47, 66, 75, 100, 380]) {
     const all = peers(count, 4);
-    const paths = new Map(all.map((p) => [p.id, loadPaths.of(all, p.id)]));
+    const paths = new Map(all.map((p) => [p.id, loadPaths.compute(all, p.id)]));
     const rowOf = (id: string): string[] => [id, ...paths.get(id)!.row.map((place) => idAt(all, place))];
     const heard = new Map<string, string[]>(all.map((p) => [p.id, []]));
     for (const { id } of all) {
@@ -38,7 +38,7 @@
 });
 
 test('an edge that the roster does not have yet tells all of them', () => {
-  assert.is(loadPaths.of(peers(66), 'newcomer').row.length, 66);
+  assert.is(loadPaths.compute(peers(66), 'newcomer').row.length, 66);
 });
 
 const edges = 24;
