--- a/packages/admin-api/src/control.ts
+++ b/packages/admin-api/src/control.ts
@@ -80,7 +80,7 @@
         const { value } = await core.request({ type: 'drain', id: n.id, on: true }, leftUntil(end));
         if (!value) return 'too-few';
         return drained(name, leftUntil(end)).catch((e: unknown) => {
-          throw fault.make({ step: 'drain', sibling: name, code: 'unknown' }, fault.text(e), e);
+          throw fault.make({ step: 'drain', peer: name, code: 'unknown' }, fault.text(e), e);
         });
       },
     };
--- a/packages/data-plane/src/forward/connections.ts
+++ b/packages/data-plane/src/forward/connections.ts
@@ -90,7 +90,7 @@
           return leased(w.id, pool, kept, true);
         }
         c.opened += 1;
-        return leased(w.id, pool, o.net.connectHttp(w.at, { connectWithin }), false);
+        return leased(w.id, pool, o.net.connectHttp(w.at, { connectTimeout: connectWithin }), false);
       },
       retain: (ids) => {
         for (const [id, pool] of [...pools]) if (!ids.has(id)) giveUp(id, pool);
--- a/packages/durable-files/src/batch-reservation.ts
+++ b/packages/durable-files/src/batch-reservation.ts
@@ -1,21 +1,23 @@
 /**
- * Names of batch files, made before they are needed (§6.1): many with one sync of the folder, so that a batch needs the
- * sync of its own file alone.
+ * Preallocates the directory entries of batch files (§6.1). Many empty files are created with one sync of the folder,
+ * so that writing a batch later needs only the sync of its own file.
  */
 import type { Disk } from '@thornsail/runtime';
 import { recordFormat } from './record-format.js';
 
-/** The names of batch files that exist ahead of their use. Batches are numbered from 1. */
+/** Tracks which empty batch files have been created ahead of their use. Batches are numbered from 1. */
 export type BatchReservation = {
-  /** Resolves once the name of this batch is durable. Fails as `Disk.reserve` does. */
-  upTo: (batch: number) => Promise<void>;
-  /** Makes more names while there still are some; one that fails is tried again by `upTo`. */
-  ahead: (nextBatch: number) => void;
-  /** What a start found: all names up to this one are durable. */
-  found: (lastBatch: number) => void;
+  /** Resolves once the file name of this batch is durable. Fails as `Disk.reserveFiles` does. */
+  ensureReserved: (batch: number) => Promise<void>;
+  /**
+   * Reserves more names in the background when few are left. A failure is ignored: `ensureReserved` tries again.
+   */
+  replenish: (nextBatch: number) => void;
+  /** Sets the state found in the folder at startup: all names up to this batch are durable. */
+  restore: (lastBatch: number) => void;
 };
 
-/** Opens the reservation of a folder: `count` names are made at a time, and more when half of them are left. */
+/** Opens the reservation of a folder: reserves `count` names at a time, and more once fewer than half are left. */
 export const openBatchReservation = (disk: Pick<Disk, 'reserveFiles'>, count: number): BatchReservation => {
   let lastReserved = 0;
   let inFlight: Promise<void> | undefined;
@@ -31,13 +33,13 @@
     return inFlight;
   };
   return {
-    upTo: async (batch) => {
+    ensureReserved: async (batch) => {
       while (lastReserved < batch) await reserveOnce(batch);
     },
-    ahead: (nextBatch) => {
+    replenish: (nextBatch) => {
       if (lastReserved - nextBatch < count / 2) void reserveOnce(nextBatch).catch(() => undefined);
     },
-    found: (lastBatch) => {
+    restore: (lastBatch) => {
       lastReserved = lastBatch;
     },
   };
--- a/packages/durable-files/src/batch-writer.ts
+++ b/packages/durable-files/src/batch-writer.ts
@@ -1,30 +1,38 @@
 /**
- * Group commit (§6.1): all changes that wait while a sync is under way go together into one file, a batch, with one
- * sync. Batches are numbered without a gap, in files made before (batch-reservation.ts).
+ * Group commit (§6.1): all changes that are queued while a sync is in progress are written together into one file, a
+ * batch, with one sync. Batch numbers have no gaps; the files are created in advance (batch-reservation.ts).
  */
 import type { BatchReservation } from './batch-reservation.js';
 import { recordFormat, type StoredRecord } from './record-format.js';
 import type { RecordFolder } from './record-folder.js';
 
-/** A change that waits for its batch; a later one of the same key takes its place, and both wait for the same sync. */
+/**
+ * A change queued for the next batch. A later change of the same key replaces its value; the callers of both are
+ * acknowledged by the same sync.
+ */
 type PendingChange<T> = {
   value: T | undefined;
+  /** The change as a line of the batch file. */
   line: string;
   resolve: (() => void)[];
   reject: ((error: Error) => void)[];
 };
-type Pending<T> = Map<string, PendingChange<T>>;
-/** Writes the changes of one folder. */
+/** Queued changes by key, in the order in which their keys were first queued. */
+type PendingChanges<T> = Map<string, PendingChange<T>>;
+/** Writes the changes of one folder in batches. */
 export type BatchWriter<T> = {
-  /** Resolves once the batch with this value, or removal, is synced and indexed. Fails as `Disk.put` does. */
+  /**
+   * Resolves once the batch with this value is synced and indexed; `undefined` removes the key. Fails as
+   * `Disk.reserveFiles` and `Disk.writeReserved` do.
+   */
   write: (key: string, value: T | undefined) => Promise<void>;
-  /** Forgets the changes that wait. */
+  /** Discards the queued changes; their promises never settle. */
   clear: () => void;
 };
 
-/** Takes as many changes as one batch may hold, one at least, in the order in which their keys came. */
-const takeBatch = <T>(pending: Pending<T>, batchBytes: number): Pending<T> => {
-  const taken: Pending<T> = new Map();
+/** Removes the changes of the next batch from the queue: at most `batchBytes` characters, but at least one change. */
+const takeBatch = <T>(pending: PendingChanges<T>, batchBytes: number): PendingChanges<T> => {
+  const taken: PendingChanges<T> = new Map();
   let bytes = 0;
   for (const [key, change] of pending) {
     if (taken.size > 0 && bytes + change.line.length > batchBytes) break;
@@ -35,8 +43,8 @@
   return taken;
 };
 
-/** Shows a synced batch in the table, and tells those who wait for it. */
-const acknowledge = <T>({ table, next, counters }: RecordFolder<T>, batch: Pending<T>): void => {
+/** Adds the records of a synced batch to the table. */
+const applyBatch = <T>({ table, next, counters }: RecordFolder<T>, batch: PendingChanges<T>): void => {
   const file = table.addFile('batch', next.batch);
   for (const [key, { value, line }] of batch) {
     const record: StoredRecord<T> = { key, batch: next.batch, ...(value === undefined ? {} : { value }) };
@@ -47,35 +55,36 @@
   counters.records += batch.size;
 };
 
-/** Opens the writer of a folder. `onBatch` is called after each batch, whether it was written or not. */
+/** Opens the writer of a folder. `onBatch` is called after each batch, whether its write succeeded or failed. */
 export const openBatchWriter = <T>(
   folder: RecordFolder<T>,
   reservation: BatchReservation,
   onBatch: () => void,
 ): BatchWriter<T> => {
   const { disk, limits, next, codec } = folder;
-  let pending: Pending<T> = new Map();
+  let pending: PendingChanges<T> = new Map();
   let committing = false;
-  const take = (): Pending<T> => takeBatch(pending, limits.batchBytes);
-  const commitOne = async (): Promise<void> => {
+  const take = (): PendingChanges<T> => takeBatch(pending, limits.batchBytes);
+  const commitBatch = async (): Promise<void> => {
     const name = recordFormat.fileName('batch', next.batch);
-    let batch: Pending<T> | undefined;
+    let batch: PendingChanges<T> | undefined;
     try {
-      await reservation.upTo(next.batch);
+      await reservation.ensureReserved(next.batch);
       await disk.writeReserved(name, () => recordFormat.seal([...(batch = take()).values()].map(({ line }) => line)));
     } catch (error) {
-      for (const { reject } of (batch ?? take()).values()) for (const fail of reject) fail(error as Error);
+      for (const { reject } of (batch ?? take()).values())
+        for (const rejectCaller of reject) rejectCaller(error as Error);
       return;
     }
-    acknowledge(folder, batch!);
-    reservation.ahead(next.batch);
-    for (const { resolve } of batch!.values()) for (const done of resolve) done();
+    applyBatch(folder, batch!);
+    reservation.replenish(next.batch);
+    for (const { resolve } of batch!.values()) for (const resolveCaller of resolve) resolveCaller();
   };
   const commit = async (): Promise<void> => {
     if (committing) return;
     committing = true;
     while (pending.size > 0) {
-      await commitOne();
+      await commitBatch();
       onBatch();
     }
     committing = false;
@@ -83,12 +92,12 @@
   return {
     write: (key, value) =>
       new Promise((resolve, reject) => {
-        const former = pending.get(key);
+        const previous = pending.get(key);
         pending.set(key, {
           value,
           line: recordFormat.batchLine(key, value, codec),
-          resolve: [...(former?.resolve ?? []), resolve],
-          reject: [...(former?.reject ?? []), reject],
+          resolve: [...(previous?.resolve ?? []), resolve],
+          reject: [...(previous?.reject ?? []), reject],
         });
         void commit();
       }),
--- a/packages/durable-files/src/compaction.ts
+++ b/packages/durable-files/src/compaction.ts
@@ -1,15 +1,15 @@
-/** Compaction (§6.1): what is still needed of some record files is copied into one base file, and they are removed. */
+/** Compaction (§6.1): copies the live records of some record files into one base file, then removes these files. */
 import { planCompaction } from './compaction-plan.js';
 import { isDiskFull } from './errors.js';
 import { removeRecordFile, writeBaseFile, type RecordFolder } from './record-folder.js';
 import { recordFormat } from './record-format.js';
 import { isTombstone, type NewestRecord, type RecordFile, type RecordTable } from './record-table.js';
 
-/** A record that is copied: as the table had it at the start, its line in the base file, and the file it was in. */
-type Moved<T> = Map<string, { record: NewestRecord<T>; line: string; from: RecordFile }>;
+/** Copied records by key: the table's entry when the copy began, its line in the base file, and its source file. */
+type MovedRecords<T> = Map<string, { record: NewestRecord<T>; line: string; from: RecordFile }>;
 
-/** For removed keys whose record is in another file: how many of these files hold older versions. */
-const countOlder = <T>({ tombstones }: RecordTable<T>, files: RecordFile[]): Map<string, number> => {
+/** For removed keys whose tombstone is in another file: counts the given files that hold an older version. */
+const countOlderVersions = <T>({ tombstones }: RecordTable<T>, files: RecordFile[]): Map<string, number> => {
   const older = new Map<string, number>();
   for (const file of files)
     for (const key of file.keys) {
@@ -19,10 +19,13 @@
   return older;
 };
 
-/** The records of these files that are the newest of their key, without removals that nothing needs any more. */
-const selectNeeded = <T>({ table, codec }: RecordFolder<T>, files: RecordFile[]): Moved<T> => {
-  const older = countOlder(table, files);
-  const moved: Moved<T> = new Map();
+/**
+ * Selects the records of these files that are the newest version of their key. Drops a tombstone if all older versions
+ * of its key are in these files.
+ */
+const selectLive = <T>({ table, codec }: RecordFolder<T>, files: RecordFile[]): MovedRecords<T> => {
+  const older = countOlderVersions(table, files);
+  const moved: MovedRecords<T> = new Map();
   for (const file of files)
     for (const key of file.keys) {
       const record = table.newest(key);
@@ -35,11 +38,11 @@
   return moved;
 };
 
-/** Brings the table up to date once the base file is in effect. */
+/** Updates the table after the base file has been written and replaces the compacted files. */
 const applyCompaction = <T>(
   table: RecordTable<T>,
   compacted: RecordFile[],
-  moved: Moved<T>,
+  moved: MovedRecords<T>,
   baseNumber: number,
 ): void => {
   const removed = new Set(compacted);
@@ -57,10 +60,10 @@
     for (const key of file.keys) if (table.tombstones.get(key)?.file === file) table.tombstones.delete(key);
 };
 
-/** Copies what is needed of some files into one base file; in effect with that file's name, all at once. */
+/** Compacts some files into one base file. Takes effect atomically when the base file appears under its name. */
 const compactFiles = async <T>(folder: RecordFolder<T>, compacted: RecordFile[]): Promise<void> => {
   const { disk, table, next } = folder;
-  const moved = selectNeeded(folder, compacted);
+  const moved = selectLive(folder, compacted);
   const baseNumber = next.base++;
   const lastMergedBatch = Math.max(
     ...compacted.filter(({ kind }) => kind === 'batch').map(({ number }) => number),
@@ -74,11 +77,11 @@
   for (const { kind, number } of compacted) await removeRecordFile(disk, kind, number);
 };
 
-/** Opens the compaction of a folder: the function that it gives compacts whatever is due, one run at a time. */
+/** Opens the compaction of a folder. The returned function runs all compactions that are due, one run at a time. */
 export const openCompaction = <T>(folder: RecordFolder<T>): (() => Promise<void>) => {
   const { limits, table, next } = folder;
   let running = false;
-  /** After a full disk: nothing is compacted before this batch. */
+  /** After a full disk, compaction is suspended until this batch. */
   let resumeAtBatch = 0;
   const plan = (): RecordFile[] | undefined =>
     planCompaction({ batches: table.files.batch, bases: table.files.base }, limits);
@@ -88,7 +91,7 @@
     try {
       for (let files = plan(); files; files = plan()) await compactFiles(folder, files);
     } catch (error) {
-      // Without room it is tried again later; a disk that failed has stopped the durable store.
+      // A full disk is retried some batches later; after any other error the durable store accepts no more writes.
       resumeAtBatch = isDiskFull(error) ? next.batch + (limits.batchFiles >> 2) : Infinity;
     }
     running = false;
--- a/packages/durable-files/src/document-names.ts
+++ b/packages/durable-files/src/document-names.ts
@@ -1,28 +1,31 @@
-/** Names of the files of documents: `<escaped name>.<version, 12 digits>`. */
+/** File names of documents: `<escaped name>.<version, 12 digits>`. */
 
-const documentFile = /^(.+)\.(\d{12})$/;
-/** The first parts of the names of record files (record-format.ts), which are no documents. */
+const documentFilePattern = /^(.+)\.(\d{12})$/;
+/** Prefixes of the names of record files (record-format.ts), which are not documents. */
 const recordFilePrefix = /^(b|base)$/;
 
 const escape = (name: string): string =>
-  // A document with the name of a record file has its first letter escaped.
+  // A document whose name equals a record file prefix gets its first letter escaped.
   recordFilePrefix.test(name)
     ? `%${name.charCodeAt(0).toString(16)}${name.slice(1)}`
     : encodeURIComponent(name).replace(/\*/g, '%2A').replace(/\./g, '%2E');
 
-/** The file of one version of a document. */
+/** Returns the file name of one version of a document. */
 export const documentFileName = (name: string, version: number): string =>
   `${escape(name)}.${String(version).padStart(12, '0')}`;
 
-/** The document and version that a file holds; undefined for files of records and of others. */
+/** Parses a file name into a document name and version; undefined for record files and unrelated files. */
 export const parseDocumentFileName = (file: string): { name: string; version: number } | undefined => {
-  const [, name, version] = documentFile.exec(file) ?? [];
+  const [, name, version] = documentFilePattern.exec(file) ?? [];
   if (name === undefined || recordFilePrefix.test(name)) return undefined;
   return { name: decodeURIComponent(name), version: Number(version) };
 };
 
-/** Whether a file is one of ours, a document or records: these are what erasing a folder removes. */
-export const isDataFile = (file: string): boolean => documentFile.test(file);
+/** Whether a file belongs to this package, as a document or a record file. Erasing a folder removes these files. */
+export const isDataFile = (file: string): boolean => documentFilePattern.test(file);
 
-/** A document that exists while a damaged folder is being erased; a half-erased folder must not be taken for valid. */
+/**
+ * Name of a document that exists while a damaged folder is being erased, so that a partly erased folder is not treated
+ * as valid at the next start.
+ */
 export const erasingMarker = 'wiping';
--- a/packages/durable-files/src/durable-store.ts
+++ b/packages/durable-files/src/durable-store.ts
@@ -1,4 +1,4 @@
-/** Documents kept on disk, one file for each version, with a checksum by which a torn file is recognised (§6.1). */
+/** Versioned documents on disk, one file per version, with a checksum that detects torn files (§6.1). */
 import { hash, lock, type Disk } from '@thornsail/runtime';
 import { checksummedFormat } from './checksummed.js';
 import { documentFileName, erasingMarker, isDataFile, parseDocumentFileName } from './document-names.js';
@@ -7,28 +7,28 @@
 
 /** The documents of one data folder. Writes fail with the disk's codes `full` and `failed`. */
 export type DurableStore = {
-  /** The newest version of a document that reads back; undefined if there is none. */
+  /** Returns the newest version whose checksum is valid; undefined if there is none. */
   read: <T>(name: string) => Promise<{ version: number; value: T } | undefined>;
-  /** Resolves once synced. Older versions are removed only afterwards. */
+  /** Resolves once the version is synced. Older versions are removed only after that. */
   write: (name: string, version: number, value: unknown) => Promise<void>;
-  /** Resolves once the folder is synced: from then on none of these documents comes back. */
+  /** Resolves once the folder is synced: a power loss after that can't bring any of these documents back. */
   remove: (names: string[]) => Promise<void>;
-  /** The documents that there are. */
+  /** The names of all documents in the folder. */
   names: () => string[];
-  /** Removes everything: a damaged folder is an empty one, and its machine a new identity (§6.1). */
+  /** Removes all data files. A damaged folder is erased, and the machine gets a new identity (§6.1). */
   erase: () => Promise<void>;
-  /** Writes that were synced, and files that did not read back. */
+  /** `syncs`: writes that were synced. `torn`: files that were torn, corrupted or missing. */
   counts: () => { syncs: number; torn: number };
-  /** The folder itself, for what is kept in it in other forms than documents; a failed disk is not written again. */
+  /** The folder, for data other than documents. Rejects every write after a failed one (guarded-disk.ts). */
   disk: Disk;
-  /** Counts damage that was found in files of other forms. */
+  /** Counts corruption that was found in files other than documents. */
   reportCorruption: () => void;
 };
 
-/** The documents of a folder with the versions on disk, in ascending order. */
+/** The versions on disk by document name, in ascending order. */
 type Versions = Map<string, number[]>;
 const format = checksummedFormat(hash.of);
-const removalsAtOnce = 64;
+const concurrentRemovals = 64;
 const ascending = (a: number, b: number): number => a - b;
 
 const listVersions = (files: string[]): Versions => {
@@ -60,15 +60,15 @@
   (disk: Disk, versions: Versions): DurableStore['write'] =>
   async (name, version, value) => {
     await disk.writeDocument(documentFileName(name, version), format.seal(JSON.stringify(value)));
-    const others = (versions.get(name) ?? []).filter((one) => one !== version);
+    const others = (versions.get(name) ?? []).filter((other) => other !== version);
     versions.set(name, [...others, version].sort(ascending));
     const newest = Math.max(version, ...others);
-    for (const old of others.filter((one) => one < newest)) {
-      // An old version that stays does no harm: the newest counts.
+    for (const old of others.filter((other) => other < newest)) {
+      // A failed removal is harmless: reads return the newest version.
       await disk.remove(documentFileName(name, old)).catch(() => undefined);
       versions.set(
         name,
-        (versions.get(name) ?? []).filter((one) => one !== old),
+        (versions.get(name) ?? []).filter((other) => other !== old),
       );
     }
   };
@@ -80,7 +80,8 @@
     await write(erasingMarker, 1, {});
     for (const file of await disk.list()) if (isDataFile(file) && file !== marker) await disk.remove(file);
     versions.clear();
-    // The marker goes last: its name must not be lost while others come back.
+    // The removals are synced before the marker is removed: otherwise a power loss could drop the marker and restore
+    // other files.
     await disk.syncExisting([]);
     await disk.remove(marker);
     await disk.syncExisting([]);
@@ -88,15 +89,16 @@
 
 const open = async (folder: Disk, onFailed: (error: Error) => void = () => undefined): Promise<DurableStore> => {
   const files = await folder.list();
-  // Names that a killed process left may be seen by now, and yet be lost with the power: they are synced before use.
+  // Names that a killed process created or removed may be visible but not yet durable: sync the folder before use.
   await folder.syncExisting([]);
   const versions = listVersions(files);
   const counters: Counters = { syncs: 0, torn: 0 };
   const disk = guardDisk(folder, () => (counters.syncs += 1), onFailed);
   const exclusive = lock.keyed();
-  const writeNow = writer(disk, versions);
-  const write: DurableStore['write'] = (name, version, value) => exclusive(name, () => writeNow(name, version, value));
-  const removeOne = (name: string): Promise<void> =>
+  const writeUnlocked = writer(disk, versions);
+  const write: DurableStore['write'] = (name, version, value) =>
+    exclusive(name, () => writeUnlocked(name, version, value));
+  const removeDocument = (name: string): Promise<void> =>
     exclusive(name, async () => {
       for (const version of versions.get(name) ?? []) await disk.remove(documentFileName(name, version));
       versions.delete(name);
@@ -105,7 +107,7 @@
     read: reader(disk, versions, counters),
     write,
     remove: async (names) => {
-      await forEachConcurrent(names, removalsAtOnce, removeOne);
+      await forEachConcurrent(names, concurrentRemovals, removeDocument);
       await disk.syncExisting([]);
     },
     names: () => [...versions.keys()],
@@ -119,8 +121,8 @@
 /** Documents in a data folder. */
 export const durableStore = {
   /**
-   * Opens a folder; `recoverFolder` (recovery.ts) reads it. `onFailed` is told of the first write that failed for any
-   * reason but want of room; from then on nothing is written (§6.1).
+   * Opens a folder; `recoverFolder` (recovery.ts) reads its contents. `onFailed` is called with the error of the first
+   * write that failed for a reason other than a full disk; no write is accepted after that (§6.1).
    */
   open,
 };
--- a/packages/durable-files/src/errors.ts
+++ b/packages/durable-files/src/errors.ts
@@ -1,6 +1,6 @@
 /**
- * The errors of this package. A write also fails with the errors of the disk itself (runtime): `full` if there was no
- * room and nothing has changed, `failed` if nobody knows what the disk holds.
+ * The errors of this package. Writes also fail with the error codes of the disk (package `runtime`): `full` if the disk
+ * is full and nothing has changed, `failed` if the contents of the disk are unknown.
  */
 import { errorCatalogue, fault } from '@thornsail/runtime';
 
@@ -9,5 +9,5 @@
   'invalid-limits': { message: 'limits of the data folder out of range', retryable: false },
 });
 
-/** Whether a disk refused a write for want of room: nothing has changed then, and a later try may succeed. */
+/** Whether a write failed because the disk is full: nothing has changed, and a retry may succeed. */
 export const isDiskFull = (error: unknown): boolean => fault.info(error).code === 'full';
--- a/packages/durable-files/src/for-each-concurrent.ts
+++ b/packages/durable-files/src/for-each-concurrent.ts
@@ -1,12 +1,17 @@
-/** Calls `visit` for each item, at most `concurrency` at a time, and resolves once all are done. */
+/** Bounded concurrency over a list of items. */
+
+/**
+ * Calls `visit` for each item, at most `concurrency` at a time. Resolves once all calls have; rejects with the first
+ * error.
+ */
 export const forEachConcurrent = async <Item>(
   items: Iterable<Item>,
   concurrency: number,
   visit: (item: Item) => Promise<void>,
 ): Promise<void> => {
-  const left = items[Symbol.iterator]();
-  const work = async (): Promise<void> => {
-    for (let next = left.next(); !next.done; next = left.next()) await visit(next.value);
+  const remaining = items[Symbol.iterator]();
+  const runWorker = async (): Promise<void> => {
+    for (let next = remaining.next(); !next.done; next = remaining.next()) await visit(next.value);
   };
-  await Promise.all(Array.from({ length: concurrency }, work));
+  await Promise.all(Array.from({ length: concurrency }, runWorker));
 };
--- a/packages/durable-files/src/guarded-disk.ts
+++ b/packages/durable-files/src/guarded-disk.ts
@@ -1,18 +1,18 @@
-/** A disk that is not written again once a write has failed (§6.1). */
+/** A disk that accepts no more writes once a write has failed (§6.1). */
 import type { Disk } from '@thornsail/runtime';
 import { isDiskFull } from './errors.js';
 
 /**
- * `onFailed` is told of the first write that failed for any reason but want of room; every later write fails with the
- * same error. What the disk holds is not known then, and a second attempt that seems to work would prove nothing.
- * `onSynced` is called after each write that succeeded.
+ * Wraps a disk. `onFailed` is called with the error of the first write that failed for a reason other than a full disk;
+ * every later write fails with the same error. The contents of the disk are unknown then, and a retry that appears to
+ * succeed doesn't prove that the data is durable. `onSynced` is called after each successful write.
  */
 export const guardDisk = (folder: Disk, onSynced: () => void, onFailed: (error: Error) => void): Disk => {
   let failed: Error | undefined;
-  const guarded = async (work: () => Promise<void>): Promise<void> => {
+  const guardWrite = async (write: () => Promise<void>): Promise<void> => {
     if (failed) throw failed;
     try {
-      await work();
+      await write();
       onSynced();
     } catch (error) {
       if (isDiskFull(error) || failed) throw error;
@@ -23,8 +23,8 @@
   };
   return {
     ...folder,
-    writeDocument: (name, text) => guarded(() => folder.writeDocument(name, text)),
-    reserveFiles: (names) => guarded(() => folder.reserveFiles(names)),
-    writeReserved: (name, text) => guarded(() => folder.writeReserved(name, text)),
+    writeDocument: (name, text) => guardWrite(() => folder.writeDocument(name, text)),
+    reserveFiles: (names) => guardWrite(() => folder.reserveFiles(names)),
+    writeReserved: (name, text) => guardWrite(() => folder.writeReserved(name, text)),
   };
 };
--- a/packages/durable-files/src/index.ts
+++ b/packages/durable-files/src/index.ts
@@ -1,4 +1,5 @@
-export { planCompaction, type FilesInEffect } from './compaction-plan.js';
+/** Durable documents and records in one folder (§6.1). */
+export { planCompaction, type LiveRecordFiles } from './compaction-plan.js';
 export { durableStore, type DurableStore } from './durable-store.js';
 export { durableErrors } from './errors.js';
 export { checkedLimits, defaultLimits, type Limits } from './limits.js';
--- a/packages/durable-files/src/legacy-documents.ts
+++ b/packages/durable-files/src/legacy-documents.ts
@@ -1,11 +1,14 @@
-/** Records of the form before batches, one document each, are moved into base files at the first start (§6.1). */
+/**
+ * Migrates records of the former storage format, one document per record, into base files at the first start (§6.1).
+ */
 import type { DurableStore } from './durable-store.js';
 import { writeBaseFile, type RecordFolder } from './record-folder.js';
 import { recordFormat } from './record-format.js';
 
+/** The records of one base file. */
 type Piece<T> = { key: string; value: T; line: string }[];
 
-/** Splits the records into pieces of at most `pieceBytes`, one record at least. */
+/** Splits the records into pieces of at most `pieceBytes` characters, with at least one record each. */
 const splitIntoPieces = <T>({ limits, codec }: RecordFolder<T>, records: ReadonlyMap<string, T>): Piece<T>[] => {
   const pieces: Piece<T>[] = [];
   let bytes = Infinity;
@@ -21,13 +24,16 @@
   return pieces;
 };
 
-/** Writes the records into base files; none is in effect before the last one exists. Fails as `Disk.put` does. */
+/**
+ * Writes the records into base files. Only the header of the last one lists them, so that none takes effect before all
+ * are written. Fails as `Disk.writeDocument` does.
+ */
 export const moveLegacyRecords = async <T>(folder: RecordFolder<T>, records: ReadonlyMap<string, T>): Promise<void> => {
   const { disk, table, next } = folder;
   const pieces = splitIntoPieces(folder, records);
-  const first = next.base;
+  const firstNumber = next.base;
   for (const [i, piece] of pieces.entries()) {
-    const baseFiles = i === pieces.length - 1 ? pieces.map((_, j) => first + j) : [];
+    const baseFiles = i === pieces.length - 1 ? pieces.map((_, j) => firstNumber + j) : [];
     const lines = piece.map(({ line }) => line);
     await writeBaseFile(disk, next.base, { lastMergedBatch: 0, baseFiles }, lines);
     const file = table.addFile('base', next.base++);
@@ -35,7 +41,7 @@
   }
 };
 
-/** Removes the documents of the former form, whose records are in base files now; what stays does no harm. */
+/** Removes the documents whose records have been migrated to base files. Documents that remain are harmless. */
 export const removeLegacyDocuments = async (durable: DurableStore, prefix: string): Promise<void> => {
   const names = durable.names().filter((name) => name.startsWith(prefix));
   if (names.length > 0) await durable.remove(names).catch(() => undefined);
--- a/packages/durable-files/src/limits.ts
+++ b/packages/durable-files/src/limits.ts
@@ -1,21 +1,24 @@
-/** How many record files a folder may have, and how large they may be (§6.1). */
+/** Limits on the number and size of the record files of a folder (§6.1). */
 import { durableErrors } from './errors.js';
 
 /** Limits of the record files of one folder; all are positive integers. */
 export type Limits = {
-  /** Batch files, beyond which the older half is compacted; 4 at least. */
+  /** Maximum number of batch files; beyond it the older half is compacted. At least 4. */
   batchFiles: number;
-  /** Bytes of one batch; a single record may be larger. */
+  /** Maximum bytes of one batch; a single record may be larger. */
   batchBytes: number;
-  /** Bytes of the live records of one compaction; a single record may be larger. */
+  /** Maximum bytes of live records copied by one compaction; a single record may be larger. */
   pieceBytes: number;
-  /** Bytes on disk beyond twice the live ones. */
+  /** Bytes allowed on disk in addition to twice the live bytes; beyond them files are compacted. */
   slackBytes: number;
-  /** Names of batch files that are made with one sync of the folder; never less than a release before made. */
+  /**
+   * Batch files reserved with one sync of the folder. Must not be lowered between releases: recovery takes a batch file
+   * further ahead than this as evidence that earlier files were lost.
+   */
   reservedFiles: number;
 };
 
-/** The limits unless others are given. */
+/** The limits used where none are given. */
 export const defaultLimits: Limits = {
   batchFiles: 256,
   batchBytes: 1 << 20,
@@ -23,13 +26,13 @@
   slackBytes: 16 << 20,
   reservedFiles: 32,
 };
-const leastBatchFiles = 4;
+const minBatchFiles = 4;
 
-/** The default limits with others in their place. Throws `invalid-limits`. */
+/** Returns the default limits, overridden by `given`. Throws `invalid-limits`. */
 export const checkedLimits = (given: Partial<Limits> = {}): Limits => {
   const limits = { ...defaultLimits, ...given };
   const areValid = Object.values(limits).every((limit) => Number.isSafeInteger(limit) && limit > 0);
-  if (areValid && limits.batchFiles >= leastBatchFiles) return limits;
+  if (areValid && limits.batchFiles >= minBatchFiles) return limits;
   const message = `limits of the data folder out of range: ${JSON.stringify(limits)}`;
   throw durableErrors.create('invalid-limits', { step: 'records.open', message });
 };
--- a/packages/durable-files/src/record-folder.ts
+++ b/packages/durable-files/src/record-folder.ts
@@ -1,28 +1,30 @@
-/** What the modules of one folder of records share. */
+/** State and file operations shared by the modules that work on one folder of records. */
 import type { Disk } from '@thornsail/runtime';
 import type { Limits } from './limits.js';
 import { recordFormat, type BaseHeader, type RecordFileKind, type ValueCodec } from './record-format.js';
 import type { RecordTable } from './record-table.js';
 
-/** One folder of records. */
+/** The state of one folder of records. */
 export type RecordFolder<T> = {
   disk: Disk;
   limits: Limits;
   codec: ValueCodec<T>;
   table: RecordTable<T>;
-  /** The numbers of the next files. */
+  /** The number of the next file of each kind. */
   next: Record<RecordFileKind, number>;
   counters: { batches: number; records: number; merges: number };
 };
 
-/** Writes a base file, whose header says what is in effect once it is there. Fails as `Disk.put` does. */
+/**
+ * Writes a base file. From then on its header defines which record files are live. Fails as `Disk.writeDocument` does.
+ */
 export const writeBaseFile = (disk: Disk, number: number, header: BaseHeader, lines: string[]): Promise<void> =>
   disk.writeDocument(
     recordFormat.fileName('base', number),
     recordFormat.seal([recordFormat.headerLine(header), ...lines]),
   );
 
-/** Removes a file that is no longer in effect. */
+/** Removes a record file that is no longer live. */
 export const removeRecordFile = (disk: Disk, kind: RecordFileKind, number: number): Promise<void> =>
-  // One that stays does no harm: the newest base file says what is in effect.
+  // A failed removal is harmless: the header of the newest base file defines which files are live.
   disk.remove(recordFormat.fileName(kind, number)).catch(() => undefined);
--- a/packages/durable-files/src/record-format.ts
+++ b/packages/durable-files/src/record-format.ts
@@ -1,23 +1,24 @@
 /**
- * The files of records on disk (§6.1): a checksum line, then one record a line. A batch file (`b.<number>`) holds what
- * was written with one sync; a base file (`base.<number>`) holds what compaction left of older files, after a header.
+ * The on-disk format of record files (§6.1): a checksum line, then one record per line. A batch file (`b.<number>`)
+ * holds the records written with one sync. A base file (`base.<number>`) holds a header line, then the live records
+ * that compaction copied from older files.
  */
 import { crc32 } from 'node:zlib';
 import { checksummedFormat } from './checksummed.js';
 
-/** What kind of file records are in. */
+/** The kind of a record file. */
 export type RecordFileKind = 'batch' | 'base';
-/** The newest base file says what is in effect: these base files, and the batches after `lastMergedBatch`. */
+/** The header of the newest base file defines the live files: `baseFiles`, and all batches after `lastMergedBatch`. */
 export type BaseHeader = { lastMergedBatch: number; baseFiles: number[] };
-/** A record as it is in a file: the number of the batch that it came in, and no value if its key was removed. */
+/** A record as stored: the number of the batch that it was written in, and no value if its key was removed. */
 export type StoredRecord<T> = { key: string; batch: number; value?: T };
 
-/** A base header on disk. */
+/** A base file header on disk: `upTo` is `lastMergedBatch`, `parts` is `baseFiles`. */
 type HeaderDocument = { upTo: number; parts: number[] };
-/** How values stand in files, where that differs from their form in memory. */
+/** Converts values between their form in memory and their JSON form in files. */
 export type ValueCodec<T> = { encode: (value: T) => unknown; decode: (stored: unknown) => T };
 const filePrefixes: Record<RecordFileKind, string> = { batch: 'b', base: 'base' };
-const fileNumber = /^\d{12}$/;
+const fileNumberPattern = /^\d{12}$/;
 const format = checksummedFormat((content) => crc32(content));
 
 const storedRecord = <T>(key: string, batch: number, value: T | undefined): StoredRecord<T> =>
@@ -27,16 +28,16 @@
 export const recordFormat = {
   fileName: (kind: RecordFileKind, number: number): string =>
     `${filePrefixes[kind]}.${String(number).padStart(12, '0')}`,
-  /** The numbers of the files of one kind, in ascending order. */
+  /** Returns the numbers of the files of one kind, in ascending order. */
   fileNumbers: (files: string[], kind: RecordFileKind): number[] => {
     const prefix = `${filePrefixes[kind]}.`;
     return files
-      .filter((file) => file.startsWith(prefix) && fileNumber.test(file.slice(prefix.length)))
+      .filter((file) => file.startsWith(prefix) && fileNumberPattern.test(file.slice(prefix.length)))
       .map((file) => Number(file.slice(prefix.length)))
       .sort((a, b) => a - b);
   },
   seal: (lines: string[]): string => format.seal(lines.join('\n')),
-  /** The lines of a file; undefined if it is missing, torn or damaged. */
+  /** Returns the lines of a file; undefined if it is missing, torn or corrupted. */
   unseal: (raw: string | undefined): string[] | undefined =>
     raw === undefined ? undefined : format.unseal(raw)?.split('\n'),
   headerLine: ({ lastMergedBatch, baseFiles }: BaseHeader): string =>
@@ -45,7 +46,7 @@
     const { upTo, parts } = JSON.parse(line) as HeaderDocument;
     return { lastMergedBatch: upTo, baseFiles: parts };
   },
-  /** A line of a batch file, whose number is that of all its records; no value if the key was removed. */
+  /** Formats a line of a batch file; no value if the key was removed. The batch number is that of the file. */
   batchLine: <T>(key: string, value: T | undefined, codec: ValueCodec<T>): string =>
     JSON.stringify(value === undefined ? [key] : [key, codec.encode(value)]),
   readBatchLine: <T>(line: string, batch: number, codec: ValueCodec<T>): StoredRecord<T> => {
--- a/packages/durable-files/src/record-loader.ts
+++ b/packages/durable-files/src/record-loader.ts
@@ -1,11 +1,11 @@
-/** Reads the record files of a folder at a start, and tells a torn last batch from a damaged disk (§6.1). */
+/** Loads the record files of a folder at startup, and distinguishes a torn last batch from a damaged folder (§6.1). */
 import type { BatchReservation } from './batch-reservation.js';
 import { forEachConcurrent } from './for-each-concurrent.js';
 import { removeRecordFile, type RecordFolder } from './record-folder.js';
 import { recordFormat, type BaseHeader, type RecordFileKind } from './record-format.js';
 
-/** A few at a time: whole files are in memory while they are read. */
-const filesAtOnce = 8;
+/** Files read concurrently; low, because each is held in memory whole while it is read. */
+const concurrentReads = 8;
 
 const readLines = async <T>(
   { disk }: RecordFolder<T>,
@@ -13,7 +13,7 @@
   number: number,
 ): Promise<string[] | undefined> => recordFormat.unseal(await disk.read(recordFormat.fileName(kind, number)));
 
-/** Reads the base files in effect; undefined if one is missing or damaged. */
+/** Loads the live base files into the table; undefined if one is missing or damaged. */
 const loadBases = async <T>(folder: RecordFolder<T>, files: string[]): Promise<BaseHeader | undefined> => {
   const { table, next, codec } = folder;
   const last = recordFormat.fileNumbers(files, 'base').pop();
@@ -23,7 +23,7 @@
   if (headerLine === undefined) return undefined;
   const header = recordFormat.readHeaderLine(headerLine);
   let isValid = true;
-  await forEachConcurrent(header.baseFiles, filesAtOnce, async (number) => {
+  await forEachConcurrent(header.baseFiles, concurrentReads, async (number) => {
     const lines = await readLines(folder, 'base', number);
     if (!lines) isValid = false;
     const file = table.addFile('base', number);
@@ -32,24 +32,25 @@
   return isValid ? header : undefined;
 };
 
-/** Reads the batches of these numbers; gives those files that exist, and whether each is empty. */
+/** Loads these batches into the table; returns, by batch number, whether its file is empty. */
 const readBatches = async <T>(folder: RecordFolder<T>, batches: number[]): Promise<Map<number, { empty: boolean }>> => {
   const { disk, table, codec } = folder;
-  const found = new Map<number, { empty: boolean }>();
-  await forEachConcurrent(batches, filesAtOnce, async (batch) => {
+  const batchFiles = new Map<number, { empty: boolean }>();
+  await forEachConcurrent(batches, concurrentReads, async (batch) => {
     const raw = await disk.read(recordFormat.fileName('batch', batch));
     const lines = recordFormat.unseal(raw);
-    found.set(batch, { empty: raw === '' });
+    batchFiles.set(batch, { empty: raw === '' });
     if (!lines) return;
     const file = table.addFile('batch', batch);
     for (const line of lines) table.add(recordFormat.readBatchLine(line, batch, codec), file, line.length);
   });
-  return found;
+  return batchFiles;
 };
 
 /**
- * Reads the batches after the last merged one, which have no gap up to the last file that isn't empty: those after it
- * were only reserved. That one may be torn: it was not acknowledged then. False if any other is missing or damaged.
+ * Loads the batches after the last merged one. They must have no gap up to the last non-empty file; the empty files
+ * after it are reservations. That last file may be torn: its batch was not acknowledged then. Returns false if any
+ * other file is missing or damaged.
  */
 const loadBatches = async <T>(
   folder: RecordFolder<T>,
@@ -59,22 +60,22 @@
 ): Promise<boolean> => {
   const { disk, limits, table, next } = folder;
   const batches = recordFormat.fileNumbers(files, 'batch').filter((batch) => batch > lastMerged);
-  const found = await readBatches(folder, batches);
-  const last = Math.max(lastMerged, ...batches.filter((batch) => !found.get(batch)!.empty));
+  const batchFiles = await readBatches(folder, batches);
+  const last = Math.max(lastMerged, ...batches.filter((batch) => !batchFiles.get(batch)!.empty));
   const valid = new Set(table.files.batch.map(({ number }) => number));
   for (let batch = lastMerged + 1; batch < last; batch++) if (!valid.has(batch)) return false;
-  // Names are reserved from the next batch on: others further up show that what came before them is lost.
+  // Names are reserved from the next batch on, so names further ahead mean that earlier files were lost.
   if (batches.length > 0 && last === lastMerged && batches[0]! > lastMerged + limits.reservedFiles) return false;
   next.batch = last > lastMerged && !valid.has(last) ? last : last + 1;
   let lastReserved = last;
-  while (found.has(lastReserved + 1)) lastReserved += 1;
-  reservation.found(lastReserved);
-  // A killed process may have left the last one without its sync: seen from now on, it must be durable.
+  while (batchFiles.has(lastReserved + 1)) lastReserved += 1;
+  reservation.restore(lastReserved);
+  // A killed process may not have synced the last batch. It is visible from now on, so it must be durable.
   if (valid.has(last)) await disk.syncExisting([recordFormat.fileName('batch', last)]);
   return true;
 };
 
-/** Removes files that are no longer in effect; one that stays does no harm. */
+/** Removes files that are no longer live. Files that remain are harmless. */
 const removeObsolete = async <T>(
   { disk, table }: RecordFolder<T>,
   files: string[],
@@ -83,11 +84,11 @@
   const bases = new Set(table.files.base.map(({ number }) => number));
   const oldBatches = recordFormat.fileNumbers(files, 'batch').filter((batch) => batch <= lastMerged);
   const oldBases = recordFormat.fileNumbers(files, 'base').filter((base) => !bases.has(base));
-  await forEachConcurrent(oldBatches, filesAtOnce, (batch) => removeRecordFile(disk, 'batch', batch));
-  await forEachConcurrent(oldBases, filesAtOnce, (base) => removeRecordFile(disk, 'base', base));
+  await forEachConcurrent(oldBatches, concurrentReads, (batch) => removeRecordFile(disk, 'batch', batch));
+  await forEachConcurrent(oldBases, concurrentReads, (base) => removeRecordFile(disk, 'base', base));
 };
 
-/** Reads the folder into its table; undefined if it is damaged. Fails with the disk's code `failed`. */
+/** Loads the folder into its table; returns undefined if it is damaged. Fails with the disk's code `failed`. */
 export const loadRecords = async <T>(
   folder: RecordFolder<T>,
   reservation: BatchReservation,
--- a/packages/durable-files/src/record-store.ts
+++ b/packages/durable-files/src/record-store.ts
@@ -1,6 +1,6 @@
 /**
- * Records by key (§6.1): group commit into batch files (batch-writer.ts), which compaction brings into base files
- * (compaction.ts) little by little.
+ * Records by key (§6.1): written to batch files by group commit (batch-writer.ts), and merged into base files by
+ * incremental compaction (compaction.ts).
  */
 import { openBatchReservation } from './batch-reservation.js';
 import { openBatchWriter } from './batch-writer.js';
@@ -17,36 +17,37 @@
 export type RecordStore<T> = {
   /** Resolves once the batch with this version is synced and the index shows it. */
   write: (key: string, value: T) => Promise<void>;
-  /** As `write`: a removal is a record, too. */
+  /** Removes a key by writing a tombstone; resolves as `write` does. */
   remove: (key: string) => Promise<void>;
-  /** A record of the form before batches, one document each; to be given before `load`. */
+  /** Adds a record of the former storage format, one document per record. Call before `load`. */
   addLegacy: (key: string, stored: unknown) => void;
-  /** Reads the folder; false if it is damaged (§6.1). */
+  /** Loads the folder; returns false if it is damaged (§6.1). */
   load: () => Promise<boolean>;
-  /** Forgets everything, after the folder was erased. */
+  /** Resets all state in memory, after the folder was erased. */
   clear: () => void;
-  /** Batches and records written, compactions, files in effect, their bytes, and the bytes that are still needed. */
+  /** Batches and records written, compactions (`merges`), live files, their bytes, and the bytes of live records. */
   counts: () => { batches: number; records: number; merges: number; files: number; bytes: number; live: number };
 };
 
+/** Options of `recordStore.open`; the index receives the synced records. */
 type RecordStoreOptions<T> = {
   durable: DurableStore;
   index: RecordIndex<T>;
-  /** What the names of documents of the former form begin with. */
+  /** Prefix of the names of documents in the former storage format. */
   prefix: string;
   limits?: Partial<Limits>;
-  /** As they are, unless it is given. */
+  /** Conversion of values for storage; by default values are stored as they are. */
   codec?: ValueCodec<T>;
 };
 
-const plainCodec = <T>(): ValueCodec<T> => ({ encode: (value) => value, decode: (stored) => stored as T });
+const identityCodec = <T>(): ValueCodec<T> => ({ encode: (value) => value, decode: (stored) => stored as T });
 
 const open = <T>({ durable, index, prefix, limits, codec }: RecordStoreOptions<T>): RecordStore<T> => {
   const { disk } = durable;
   const folder: RecordFolder<T> = {
     disk,
     limits: checkedLimits(limits),
-    codec: codec ?? plainCodec<T>(),
+    codec: codec ?? identityCodec<T>(),
     table: openRecordTable(index),
     next: { batch: 1, base: 1 },
     counters: { batches: 0, records: 0, merges: 0 },
@@ -78,7 +79,7 @@
       writer.clear();
       next.batch = 1;
       next.base = 1;
-      reservation.found(0);
+      reservation.restore(0);
     },
     counts: () => ({ ...counters, ...table.sizes() }),
   };
@@ -86,6 +87,6 @@
 
 /** Records in a data folder. */
 export const recordStore = {
-  /** Opens the records of a folder. `prefix` names the documents of the former form. Throws `invalid-limits`. */
+  /** Opens the records of a folder. Throws `invalid-limits`. */
   open,
 };
--- a/packages/durable-files/src/record-table.ts
+++ b/packages/durable-files/src/record-table.ts
@@ -1,70 +1,72 @@
 /**
- * What a process knows of its record files: where the newest version of each key is, and how many bytes of each file
- * are still needed.
+ * The in-memory state of the record files: which file holds the newest version of each key, and how many bytes of each
+ * file are live.
  */
 import type { RecordFileKind, StoredRecord } from './record-format.js';
 
-/** A file in effect: the keys of its records, their bytes, and the bytes of the records that are still needed. */
+/** A live record file: the keys of its records, the total size of the records, and the size of its live records. */
 export type RecordFile = { kind: RecordFileKind; number: number; keys: string[]; bytes: number; liveBytes: number };
 /** The newest version of a record. */
 export type RecordEntry<T> = {
   key: string;
   value: T;
-  /** The batch it came in. */
+  /** The batch in which it was written. */
   batch: number;
   file: RecordFile;
-  /** Its bytes in that file. */
+  /** Size of its line in that file. */
   bytes: number;
-  /** How many files in effect hold older versions. */
+  /** Number of live files that hold older versions. */
   olderVersions: number;
 };
-/** Where the newest versions are kept in memory: only what is synced gets there. */
+/** The in-memory index of the newest version of each record. Contains synced records only. */
 export type RecordIndex<T> = {
   get: (key: string) => RecordEntry<T> | undefined;
   set: (key: string, entry: RecordEntry<T>) => void;
   delete: (key: string) => void;
   clear: () => void;
 };
-/** A removed key. Its record is needed as long as another file in effect holds an older version. */
+/** A removed key. Its record is live as long as another live file holds an older version. */
 export type Tombstone = Omit<RecordEntry<never>, 'value'> & { value?: undefined };
-/** The newest record of a key, whether a value or a removal. */
+/** The newest record of a key: a value or a tombstone. */
 export type NewestRecord<T> = RecordEntry<T> | Tombstone;
 
-/** Whether the newest record of a key is a removal. */
+/** Whether the newest record of a key is a tombstone. */
 export const isTombstone = <T>(record: NewestRecord<T>): record is Tombstone => record.value === undefined;
-const isNeeded = <T>(record: NewestRecord<T>): boolean => !isTombstone(record) || record.olderVersions > 0;
+/** Whether a record must be preserved by compaction. */
+const isLive = <T>(record: NewestRecord<T>): boolean => !isTombstone(record) || record.olderVersions > 0;
 
 /** The records and files of one folder. */
 export type RecordTable<T> = {
   files: Record<RecordFileKind, RecordFile[]>;
   newest: (key: string) => NewestRecord<T> | undefined;
   tombstones: Map<string, Tombstone>;
-  /** Adds an empty file that is in effect from now on. */
+  /** Adds a live file without records. */
   addFile: (kind: RecordFileKind, number: number) => RecordFile;
-  /** A record that was found, or has just been synced, in this file. */
+  /** Adds a record that was loaded from this file, or has just been synced to it. */
   add: (record: StoredRecord<T>, file: RecordFile, bytes: number) => void;
-  /** A record that compaction has copied into this file; `record` may have been superseded meanwhile. */
+  /** Notes that compaction copied `record` into this file; a newer version may have replaced it in the meantime. */
   move: (record: NewestRecord<T>, file: RecordFile, bytes: number) => void;
-  /** One file less holds an older version of this record. */
+  /** Notes that one live file fewer holds an older version of this record. */
   releaseOlder: (record: NewestRecord<T>) => void;
+  /** The number of live files, their bytes, and the bytes of live records. */
   sizes: () => { files: number; bytes: number; live: number };
   clear: () => void;
 };
 
 const sizesOf = (files: RecordFile[]): { files: number; bytes: number; live: number } => {
-  const sum = (of: 'bytes' | 'liveBytes'): number => files.reduce((total, file) => total + file[of], 0);
-  return { files: files.length, bytes: sum('bytes'), live: sum('liveBytes') };
+  const sumOf = (size: 'bytes' | 'liveBytes'): number => files.reduce((total, file) => total + file[size], 0);
+  return { files: files.length, bytes: sumOf('bytes'), live: sumOf('liveBytes') };
 };
 const retainOlder = <T>(record: NewestRecord<T>): void => {
-  if (!isNeeded(record)) record.file.liveBytes += record.bytes;
+  if (!isLive(record)) record.file.liveBytes += record.bytes;
   record.olderVersions += 1;
 };
 const releaseOlder = <T>(record: NewestRecord<T>): void => {
   record.olderVersions -= 1;
-  if (!isNeeded(record)) record.file.liveBytes -= record.bytes;
+  if (!isLive(record)) record.file.liveBytes -= record.bytes;
 };
 
-/** Opens an empty table over an index. */
+/** Creates a table for an empty index. */
 export const openRecordTable = <T>(index: RecordIndex<T>): RecordTable<T> => {
   const tombstones = new Map<string, Tombstone>();
   const files: RecordTable<T>['files'] = { batch: [], base: [] };
@@ -73,7 +75,7 @@
     if (value === undefined) {
       index.delete(entry.key);
       tombstones.set(entry.key, entry);
-      if (isNeeded(entry)) entry.file.liveBytes += entry.bytes;
+      if (isLive(entry)) entry.file.liveBytes += entry.bytes;
     } else {
       tombstones.delete(entry.key);
       index.set(entry.key, { ...entry, value });
@@ -90,24 +92,24 @@
       return file;
     },
     add: (record, file, bytes) => {
-      const former = newest(record.key);
-      // One string for a key, however often it comes.
-      const key = former?.key ?? record.key;
+      const previous = newest(record.key);
+      // Reuses the key string of the earlier version, to save memory.
+      const key = previous?.key ?? record.key;
       file.keys.push(key);
       file.bytes += bytes;
-      if (former && former.batch > record.batch) return retainOlder(former);
-      if (former && isNeeded(former)) former.file.liveBytes -= former.bytes;
-      const olderVersions = former ? former.olderVersions + 1 : 0;
+      if (previous && previous.batch > record.batch) return retainOlder(previous);
+      if (previous && isLive(previous)) previous.file.liveBytes -= previous.bytes;
+      const olderVersions = previous ? previous.olderVersions + 1 : 0;
       setNewest({ key, batch: record.batch, file, bytes, olderVersions }, record.value);
     },
     move: (record, file, bytes) => {
       file.keys.push(record.key);
       file.bytes += bytes;
-      // A newer version that came meanwhile counts this one among its older ones, wherever it is.
+      // A newer version already counts this one in its `olderVersions`, whichever file holds it.
       if (newest(record.key) !== record) return;
       record.file = file;
       record.bytes = bytes;
-      if (isNeeded(record)) file.liveBytes += bytes;
+      if (isLive(record)) file.liveBytes += bytes;
     },
     releaseOlder,
     sizes: () => sizesOf([...files.batch, ...files.base]),
--- a/packages/durable-files/test/compaction.test.ts
+++ b/packages/durable-files/test/compaction.test.ts
@@ -1,109 +1,129 @@
-// Files and bytes stay bounded by what is live (§6.1).
+// Compaction keeps the number and size of files bounded by the live records (§6.1).
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { checkedLimits, defaultLimits, planCompaction, type Limits, type RecordFile } from '@thornsail/durable-files';
 import { duration } from '@thornsail/runtime';
-import { batchFiles, open, openHost, tight, finish, value } from './builders.js';
+import { writtenBatchFiles, openRecords, openHost, smallLimits, finish, value } from './builders.js';
 
-test('files and bytes stay bounded by what is live, also when nothing but removals comes', async () => {
-  const { w, h } = openHost(6);
+test('files and bytes stay bounded by the live records, even if only removals are written', async () => {
+  const { world, host } = openHost(6);
   const limits = { batchFiles: 16, batchBytes: 4000, pieceBytes: 8000, slackBytes: 20_000 };
-  const o = await finish(w, open(w, h, limits));
-  const r = w.rand;
+  const opened = await finish(world, openRecords(world, host, limits));
+  const random = world.rand;
   const pad = 'z'.repeat(300);
   const work: Promise<void>[] = [];
-  let most = 0;
-  const round = async (fn: (k: string) => Promise<void>): Promise<void> => {
+  let maxBatchFiles = 0;
+  const round = async (change: (key: string) => Promise<void>): Promise<void> => {
     for (let i = 0; i < 400; i++) {
-      work.push(fn(`k${r.int(300)}`));
-      if (i % 4 === 0) await w.run(w.now() + duration.ms(2));
-      most = Math.max(most, batchFiles(h).length);
+      work.push(change(`k${random.int(300)}`));
+      if (i % 4 === 0) await world.run(world.now() + duration.ms(2));
+      maxBatchFiles = Math.max(maxBatchFiles, writtenBatchFiles(host).length);
     }
-    await finish(w, Promise.all(work));
-    await w.run(w.now() + duration.s(2));
-    const bytes = [...h.files.values()].reduce((a, t) => a + t.length, 0);
-    const c = o.records.counts();
-    const live = [...o.at].reduce((a, [k, s]) => a + k.length + s.value.pad.length + 20, 0);
-    // A removal is a short record as long as an older one of its key is in a file.
-    assert.ok(bytes <= 2 * live + 20_000 + 300 * 40 + 8000, `${bytes} bytes on disk, ${live} live`);
-    assert.ok(c.files <= 16 + 8 + (2 * live) / 2000, `${c.files} files`);
-    const written = [...h.files].filter(([name, text]) => /^b(ase)?\./.test(name) && text !== '').length;
-    assert.is(written, c.files, 'files that are not in effect');
-    assert.ok(h.files.size - written <= 2 * defaultLimits.reservedFiles, `${h.files.size - written} reserved files`);
+    await finish(world, Promise.all(work));
+    await world.run(world.now() + duration.s(2));
+    const bytes = [...host.files.values()].reduce((total, text) => total + text.length, 0);
+    const counts = opened.records.counts();
+    const liveBytes = [...opened.entries].reduce(
+      (total, [key, entry]) => total + key.length + entry.value.pad.length + 20,
+      0,
+    );
+    // A tombstone is a short record that exists as long as a file holds an older version of its key.
+    assert.ok(bytes <= 2 * liveBytes + 20_000 + 300 * 40 + 8000, `${bytes} bytes on disk, ${liveBytes} live`);
+    assert.ok(counts.files <= 16 + 8 + (2 * liveBytes) / 2000, `${counts.files} files`);
+    const written = [...host.files].filter(([name, text]) => /^b(ase)?\./.test(name) && text !== '').length;
+    assert.is(written, counts.files, 'files that are not live');
+    assert.ok(
+      host.files.size - written <= 2 * defaultLimits.reservedFiles,
+      `${host.files.size - written} reserved files`,
+    );
   };
-  for (let i = 0; i < 4; i++) await round((k) => o.records.write(k, { n: i, pad }));
-  for (let i = 0; i < 3; i++) await round((k) => (r.int(2) ? o.records.remove(k) : o.records.write(k, { n: i, pad })));
-  for (let i = 0; i < 300; i++) work.push(o.records.remove(`k${i}`));
-  for (let i = 0; i < 6; i++) await round(() => o.records.remove(`other${r.int(50)}`));
-  assert.is(o.at.size, 0);
-  assert.ok(most <= 16 + 10, `${most} batch files at once`);
-  assert.ok(o.records.counts().merges > 20);
-  // Keys that come once and go: nothing stays of them.
+  for (let i = 0; i < 4; i++) await round((key) => opened.records.write(key, { n: i, pad }));
+  for (let i = 0; i < 3; i++)
+    await round((key) => (random.int(2) ? opened.records.remove(key) : opened.records.write(key, { n: i, pad })));
+  for (let i = 0; i < 300; i++) work.push(opened.records.remove(`k${i}`));
+  for (let i = 0; i < 6; i++) await round(() => opened.records.remove(`other${random.int(50)}`));
+  assert.is(opened.entries.size, 0);
+  assert.ok(maxBatchFiles <= 16 + 10, `${maxBatchFiles} batch files at once`);
+  assert.ok(opened.records.counts().merges > 20);
+  // Keys that are written and removed once leave nothing behind.
   for (let i = 0; i < 3000; i++) {
     const key = `passing/${i}`;
-    work.push(o.records.write(key, { n: i, pad: '' }).then(() => o.records.remove(key)));
-    if (i % 10 === 0) await w.run(w.now() + duration.ms(2));
+    work.push(opened.records.write(key, { n: i, pad: '' }).then(() => opened.records.remove(key)));
+    if (i % 10 === 0) await world.run(world.now() + duration.ms(2));
   }
-  await round((k) => o.records.remove(k));
-  // A start finds the same as the process that ended knew.
-  const { files, bytes, live } = o.records.counts();
-  w.kill(h, 'power');
-  w.start(h);
-  const again = (await finish(w, open(w, h, limits))).records.counts();
-  assert.equal([again.files, again.bytes, again.live], [files, bytes, live]);
+  await round((key) => opened.records.remove(key));
+  // A restarted process computes the same counts as the previous one.
+  const { files, bytes, live: liveBytes } = opened.records.counts();
+  world.kill(host, 'power');
+  world.start(host);
+  const reopened = (await finish(world, openRecords(world, host, limits))).records.counts();
+  assert.equal([reopened.files, reopened.bytes, reopened.live], [files, bytes, liveBytes]);
 });
-test('what a process knows of its files is what a start finds in them', async () => {
+test('a restart computes the same entries and sizes as the running process had', async () => {
   for (let seed = 1; seed <= 40; seed++) {
-    const { w, h } = openHost(seed);
-    const o = await finish(w, open(w, h, tight));
+    const { world, host } = openHost(seed);
+    const opened = await finish(world, openRecords(world, host, smallLimits));
     for (let i = 0; i < 60; i++) {
-      const key = `k${w.rand.int(12)}`;
-      void (w.rand.int(3) === 0 ? o.records.remove(key) : o.records.write(key, value(i)));
-      if (w.rand.int(3) === 0) await w.run(w.now() + w.rand.int(duration.ms(6)));
+      const key = `k${world.rand.int(12)}`;
+      void (world.rand.int(3) === 0 ? opened.records.remove(key) : opened.records.write(key, value(i)));
+      if (world.rand.int(3) === 0) await world.run(world.now() + world.rand.int(duration.ms(6)));
     }
-    await w.run(w.now() + duration.s(1));
-    const { files, bytes, live } = o.records.counts();
-    w.kill(h, 'power');
-    w.start(h);
-    const again = await finish(w, open(w, h, tight));
-    const c = again.records.counts();
-    assert.equal([c.files, c.bytes, c.live], [files, bytes, live], `seed ${seed}`);
+    await world.run(world.now() + duration.s(1));
+    const { files, bytes, live: liveBytes } = opened.records.counts();
+    world.kill(host, 'power');
+    world.start(host);
+    const reopened = await finish(world, openRecords(world, host, smallLimits));
+    const counts = reopened.records.counts();
+    assert.equal([counts.files, counts.bytes, counts.live], [files, bytes, liveBytes], `seed ${seed}`);
     assert.equal(
-      [...again.at].map(([k, s]) => [k, s.value.n]).sort(),
-      [...o.at].map(([k, s]) => [k, s.value.n]).sort(),
+      [...reopened.entries].map(([key, entry]) => [key, entry.value.n]).sort(),
+      [...opened.entries].map(([key, entry]) => [key, entry.value.n]).sort(),
     );
   }
 });
-test('the plan of merges: the older half of many batches, else the poorest base files, else many small ones', () => {
-  const f = (kind: RecordFile['kind'], number: number, bytes: number, liveBytes: number): RecordFile => ({
+test('compaction selects the older half of many batches, else sparse base files, else many small ones', () => {
+  const recordFile = (kind: RecordFile['kind'], number: number, bytes: number, liveBytes: number): RecordFile => ({
     kind,
     number,
     keys: [],
     bytes,
     liveBytes,
   });
-  const l: Limits = { batchFiles: 8, batchBytes: 100, pieceBytes: 100, slackBytes: 50, reservedFiles: 2 };
-  const some = (n: number, live: number): RecordFile[] =>
-    Array.from({ length: n }, (_, i) => f('batch', i + 1, 20, live));
-  const ns = (x: RecordFile[] | undefined): string | undefined =>
-    x?.map((y) => `${y.kind === 'batch' ? 'b' : 'base'}${y.number}`).join();
-  assert.is(planCompaction({ batches: some(8, 20), bases: [] }, l), undefined);
-  assert.is(ns(planCompaction({ batches: some(9, 20), bases: [] }, l)), 'b1,b2,b3,b4');
-  assert.is(ns(planCompaction({ batches: some(9, 40), bases: [] }, l)), 'b1,b2');
-  assert.is(ns(planCompaction({ batches: some(9, 400), bases: [] }, l)), 'b1', 'one at least');
-  const bases = [f('base', 1, 100, 90), f('base', 2, 100, 30), f('base', 3, 100, 0), f('base', 4, 100, 10)];
-  assert.is(ns(planCompaction({ batches: [], bases }, l)), 'base3,base4,base2');
-  assert.is(planCompaction({ batches: [], bases: bases.slice(0, 2) }, l), undefined, 'within the bound');
+  const limits: Limits = { batchFiles: 8, batchBytes: 100, pieceBytes: 100, slackBytes: 50, reservedFiles: 2 };
+  const batchesOf = (n: number, liveBytes: number): RecordFile[] =>
+    Array.from({ length: n }, (_, i) => recordFile('batch', i + 1, 20, liveBytes));
+  const namesOf = (files: RecordFile[] | undefined): string | undefined =>
+    files?.map((file) => `${file.kind === 'batch' ? 'b' : 'base'}${file.number}`).join();
+  assert.is(planCompaction({ batches: batchesOf(8, 20), bases: [] }, limits), undefined);
+  assert.is(namesOf(planCompaction({ batches: batchesOf(9, 20), bases: [] }, limits)), 'b1,b2,b3,b4');
+  assert.is(namesOf(planCompaction({ batches: batchesOf(9, 40), bases: [] }, limits)), 'b1,b2');
+  assert.is(namesOf(planCompaction({ batches: batchesOf(9, 400), bases: [] }, limits)), 'b1', 'at least one file');
+  const bases = [
+    recordFile('base', 1, 100, 90),
+    recordFile('base', 2, 100, 30),
+    recordFile('base', 3, 100, 0),
+    recordFile('base', 4, 100, 10),
+  ];
+  assert.is(namesOf(planCompaction({ batches: [], bases }, limits)), 'base3,base4,base2');
+  assert.is(planCompaction({ batches: [], bases: bases.slice(0, 2) }, limits), undefined, 'within the size limit');
   assert.is(
-    ns(planCompaction({ batches: some(8, 0), bases: [f('base', 1, 100, 40)] }, { ...l, slackBytes: 10 })),
+    namesOf(
+      planCompaction(
+        { batches: batchesOf(8, 0), bases: [recordFile('base', 1, 100, 40)] },
+        { ...limits, slackBytes: 10 },
+      ),
+    ),
     'base1',
   );
-  assert.is(ns(planCompaction({ batches: some(8, 0), bases: [f('base', 1, 100, 60)] }, l)), 'b1,b2,b3,b4');
-  const small = Array.from({ length: 8 }, (_, i) => f('base', i + 1, 20, 20));
-  assert.is(ns(planCompaction({ batches: [], bases: small }, l)), 'base1,base2,base3,base4,base5');
-  assert.is(planCompaction({ batches: [], bases: small.slice(1) }, l), undefined);
+  assert.is(
+    namesOf(planCompaction({ batches: batchesOf(8, 0), bases: [recordFile('base', 1, 100, 60)] }, limits)),
+    'b1,b2,b3,b4',
+  );
+  const small = Array.from({ length: 8 }, (_, i) => recordFile('base', i + 1, 20, 20));
+  assert.is(namesOf(planCompaction({ batches: [], bases: small }, limits)), 'base1,base2,base3,base4,base5');
+  assert.is(planCompaction({ batches: [], bases: small.slice(1) }, limits), undefined);
   assert.is(checkedLimits().batchFiles, defaultLimits.batchFiles);
-  for (const bad of [{ batchFiles: 3 }, { pieceBytes: 0 }, { slackBytes: 1.5 }])
-    assert.throws(() => checkedLimits(bad));
+  for (const invalid of [{ batchFiles: 3 }, { pieceBytes: 0 }, { slackBytes: 1.5 }])
+    assert.throws(() => checkedLimits(invalid));
 });
 test.run();
--- a/packages/durable-files/test/group-commit.test.ts
+++ b/packages/durable-files/test/group-commit.test.ts
@@ -1,30 +1,33 @@
-// Changes that wait while a sync is under way share the next one (§6.1).
+// Changes queued while a sync is in progress share the next one (§6.1).
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { duration } from '@thornsail/runtime';
-import { open, openHost, finish, value } from './builders.js';
+import { openRecords, openHost, finish, value } from './builders.js';
 
-test('changes that come together go into one file with one sync, and no reply comes before that sync', async () => {
-  const { w, h } = openHost(1);
-  const o = await finish(w, open(w, h));
-  const before = w.syncs();
-  const acked: { k: string; syncs: number }[] = [];
-  const all = Array.from({ length: 200 }, (_, i) =>
-    o.records.write(`k${i}`, value(i)).then(() => acked.push({ k: `k${i}`, syncs: w.syncs() - before })),
+test('concurrent changes are written to one file with one sync, and none is acknowledged before it', async () => {
+  const { world, host } = openHost(1);
+  const opened = await finish(world, openRecords(world, host));
+  const initialSyncs = world.syncs();
+  const acknowledged: { key: string; syncs: number }[] = [];
+  const writes = Array.from({ length: 200 }, (_, i) =>
+    opened.records
+      .write(`k${i}`, value(i))
+      .then(() => acknowledged.push({ key: `k${i}`, syncs: world.syncs() - initialSyncs })),
   );
-  assert.is(o.at.size, 0, 'seen before it was synced');
-  await finish(w, Promise.all(all));
-  assert.ok(w.syncs() - before <= 2, `${w.syncs() - before} syncs for 200 changes`);
-  assert.ok(acked.every((a) => a.syncs >= 1));
-  assert.is(o.at.size, 200);
-  // Those that come while a sync is under way wait for the next one, all together.
-  const more: Promise<void>[] = [];
-  for (let i = 0; i < 50; i++) w.scheduleAt(w.now() + i * 100, () => more.push(o.records.write(`m${i}`, value(i))));
-  const mark = w.syncs();
-  await w.run(w.now() + duration.ms(40));
-  await finish(w, Promise.all(more));
-  assert.is(o.at.size, 250);
-  assert.ok(w.syncs() - mark <= 8, `${w.syncs() - mark} syncs`);
+  assert.is(opened.entries.size, 0, 'indexed before it was synced');
+  await finish(world, Promise.all(writes));
+  assert.ok(world.syncs() - initialSyncs <= 2, `${world.syncs() - initialSyncs} syncs for 200 changes`);
+  assert.ok(acknowledged.every((write) => write.syncs >= 1));
+  assert.is(opened.entries.size, 200);
+  // Changes that arrive during a sync are written together with the next one.
+  const laterWrites: Promise<void>[] = [];
+  for (let i = 0; i < 50; i++)
+    world.scheduleAt(world.now() + i * 100, () => laterWrites.push(opened.records.write(`m${i}`, value(i))));
+  const syncsBefore = world.syncs();
+  await world.run(world.now() + duration.ms(40));
+  await finish(world, Promise.all(laterWrites));
+  assert.is(opened.entries.size, 250);
+  assert.ok(world.syncs() - syncsBefore <= 8, `${world.syncs() - syncsBefore} syncs`);
 });
 
 test.run();
--- a/packages/durable-files/test/restarts.test.ts
+++ b/packages/durable-files/test/restarts.test.ts
@@ -1,87 +1,91 @@
-// What a process knows and acknowledged is what a start finds, whenever the process ended (§6.1).
+// Acknowledged changes survive a process kill or a power loss at any moment (§6.1).
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { type Limits } from '@thornsail/durable-files';
 import { duration } from '@thornsail/runtime';
-import { open, openHost, tight, finish, value } from './builders.js';
+import { openRecords, openHost, smallLimits, finish, value } from './builders.js';
 
-/** Writers at work on one folder, whose process or power ends at some moment, restarted time after time. */
-const restarts = async (
+/** Runs concurrent writers on one folder, with several process kills or power losses at random moments. */
+const runWithRestarts = async (
   seed: number,
   limits: Partial<Limits> = {},
-): Promise<{ acks: number; merges: number; lost: string[] }> => {
-  const { w, h } = openHost(seed);
-  const r = w.rand;
-  /** For each key the versions tried since the last one that was acknowledged, and that one; 0 is "removed". */
-  const may = new Map<string, number[]>();
-  let acks = 0;
+): Promise<{ acknowledged: number; merges: number; lost: string[] }> => {
+  const { world, host } = openHost(seed);
+  const random = world.rand;
+  /** For each key, the last acknowledged version and all versions written since; 0 means "removed". */
+  const allowed = new Map<string, number[]>();
+  let acknowledged = 0;
   let merges = 0;
-  let n = 0;
+  let lastVersion = 0;
   const lost: string[] = [];
   for (let run = 0; run < 6; run++) {
-    const o = await finish(w, open(w, h, limits));
-    if (!o.isValid) lost.push(`run ${run}: taken for damaged`);
-    for (const [k, list] of may) {
-      const got = o.at.get(k)?.value.n ?? 0;
-      if (!list.includes(got)) lost.push(`run ${run}: ${k} is ${got}, not one of ${list.join()}`);
-      // What a start shows stays, whatever happens next.
-      may.set(k, [got]);
+    const opened = await finish(world, openRecords(world, host, limits));
+    if (!opened.isValid) lost.push(`run ${run}: treated as damaged`);
+    for (const [key, versions] of allowed) {
+      const actual = opened.entries.get(key)?.value.n ?? 0;
+      if (!versions.includes(actual)) lost.push(`run ${run}: ${key} is ${actual}, not one of ${versions.join()}`);
+      // A version found at startup must be found again at all later ones.
+      allowed.set(key, [actual]);
     }
-    for (const k of o.at.keys()) if (!may.has(k)) lost.push(`run ${run}: ${k} was never written`);
-    const incarnation = h.incarnation;
+    for (const key of opened.entries.keys()) if (!allowed.has(key)) lost.push(`run ${run}: ${key} was never written`);
+    const incarnation = host.incarnation;
     const writer = async (id: number): Promise<void> => {
-      while (h.incarnation === incarnation) {
-        const key = `w${id}k${r.int(6)}`;
-        const v = r.int(5) === 0 ? 0 : ++n;
-        const list = may.get(key) ?? [0];
-        may.set(key, [...list, v]);
-        await (v === 0 ? o.records.remove(key) : o.records.write(key, value(v)));
-        may.set(key, [v]);
-        acks += 1;
-        if (r.int(3) === 0) await new Promise<void>((fin) => w.scheduleAt(w.now() + r.int(duration.ms(4)), fin));
+      while (host.incarnation === incarnation) {
+        const key = `w${id}k${random.int(6)}`;
+        const version = random.int(5) === 0 ? 0 : ++lastVersion;
+        const versions = allowed.get(key) ?? [0];
+        allowed.set(key, [...versions, version]);
+        await (version === 0 ? opened.records.remove(key) : opened.records.write(key, value(version)));
+        allowed.set(key, [version]);
+        acknowledged += 1;
+        if (random.int(3) === 0)
+          await new Promise<void>((resolve) => world.scheduleAt(world.now() + random.int(duration.ms(4)), resolve));
       }
     };
     for (let i = 0; i < 8; i++) void writer(i);
-    await w.run(w.now() + r.int(duration.ms(300)));
-    w.kill(h, r.int(3) === 0 ? 'process' : 'power');
-    merges += o.records.counts().merges;
-    if (r.int(2) === 0) w.kill(h, 'power');
-    w.start(h);
+    await world.run(world.now() + random.int(duration.ms(300)));
+    world.kill(host, random.int(3) === 0 ? 'process' : 'power');
+    merges += opened.records.counts().merges;
+    if (random.int(2) === 0) world.kill(host, 'power');
+    world.start(host);
   }
-  return { acks, merges, lost };
+  return { acknowledged, merges, lost };
 };
-test('what was acknowledged, or seen at a start, survives every end', async () => {
-  let acks = 0;
+test('what was acknowledged, or found at startup, survives every kill and power loss', async () => {
+  let acknowledged = 0;
   for (let seed = 1; seed <= 120; seed++) {
-    const l = await restarts(seed);
-    assert.equal(l.lost, [], `seed ${seed}`);
-    acks += l.acks;
+    const result = await runWithRestarts(seed);
+    assert.equal(result.lost, [], `seed ${seed}`);
+    acknowledged += result.acknowledged;
   }
-  assert.ok(acks > 120 * 100, `only ${acks} acknowledged`);
+  assert.ok(acknowledged > 120 * 100, `only ${acknowledged} acknowledged`);
 });
 
-test('the same while files are merged all the time', async () => {
-  const all = { acks: 0, merges: 0 };
+test('what was acknowledged, or found at startup, survives with frequent compaction', async () => {
+  const totals = { acknowledged: 0, merges: 0 };
   for (let seed = 1; seed <= 160; seed++) {
-    const l = await restarts(seed, tight);
-    assert.equal(l.lost, [], `seed ${seed}`);
-    all.acks += l.acks;
-    all.merges += l.merges;
+    const result = await runWithRestarts(seed, smallLimits);
+    assert.equal(result.lost, [], `seed ${seed}`);
+    totals.acknowledged += result.acknowledged;
+    totals.merges += result.merges;
   }
-  assert.ok(all.acks > 160 * 100 && all.merges > 160 * 20, JSON.stringify(all));
+  assert.ok(totals.acknowledged > 160 * 100 && totals.merges > 160 * 20, JSON.stringify(totals));
 });
 
-test('thousands of records are read back in well under a second of CPU', async () => {
-  const { w, h } = openHost(9);
-  const o = await finish(w, open(w, h));
+test('thousands of records are loaded in well under a second of CPU time', async () => {
+  const { world, host } = openHost(9);
+  const opened = await finish(world, openRecords(world, host));
   const pad = 'v'.repeat(2000);
-  await finish(w, Promise.all(Array.from({ length: 5000 }, (_, i) => o.records.write(`key/${i}`, { n: i, pad }))));
-  w.kill(h, 'process');
-  w.start(h);
-  const begun = process.cpuUsage();
-  const again = await finish(w, open(w, h));
-  const used = process.cpuUsage(begun);
-  assert.is(again.at.size, 5000);
-  assert.ok(used.user + used.system < 700_000, `${Math.round((used.user + used.system) / 1000)} ms of CPU`);
+  await finish(
+    world,
+    Promise.all(Array.from({ length: 5000 }, (_, i) => opened.records.write(`key/${i}`, { n: i, pad }))),
+  );
+  world.kill(host, 'process');
+  world.start(host);
+  const cpuBefore = process.cpuUsage();
+  const reopened = await finish(world, openRecords(world, host));
+  const cpuUsed = process.cpuUsage(cpuBefore);
+  assert.is(reopened.entries.size, 5000);
+  assert.ok(cpuUsed.user + cpuUsed.system < 700_000, `${Math.round((cpuUsed.user + cpuUsed.system) / 1000)} ms of CPU`);
 });
 test.run();
--- a/packages/register-store/src/replica-storage.ts
+++ b/packages/register-store/src/replica-storage.ts
@@ -87,7 +87,7 @@
   };
   // What does not read back, and was acknowledged, shows that the disk is damaged (§6.1).
   if (!(await recoverFolder(durable, log, onDocument, records.load))) records.clear();
-  const exclusive = lock.one();
+  const exclusive = lock.single();
   const get = (key: string): Replica | undefined => table.get(key)?.value;
   return {
     table,
--- a/packages/register-store/src/store-group.ts
+++ b/packages/register-store/src/store-group.ts
@@ -98,7 +98,7 @@
 export const openStoreGroup = async (options: StoreGroupOptions): Promise<StoreGroup> => {
   const { runtime, rpc, durable, storage, id } = options;
   const state = await loadState(durable);
-  const exclusive = lock.one();
+  const exclusive = lock.single();
   const learn = (group: Group): Promise<void> => exclusive(() => learnGroup(options, state, group));
   /** Whether the group has this store at the address where it was asked: a version alone names no store. */
   const isHere = (): boolean => state.group!.members.some((member) => member.id === id && member.at === rpc.address);
--- a/packages/runtime/src/address.ts
+++ b/packages/runtime/src/address.ts
@@ -1,15 +1,16 @@
-/** Addresses of processes. */
+/** Network addresses of processes. */
 
-const pattern = /^(\d{1,3}\.){3}\d{1,3}:\d{1,5}$/;
+const addressPattern = /^(\d{1,3}\.){3}\d{1,3}:\d{1,5}$/;
 const highestPort = 65_535;
 
-/** An IPv4 address and a port, `"ip:port"`. Names are not looked up. */
+/** An IPv4 address and a port, `"ip:port"`. Host names are not resolved. */
 export type Address = string;
 
-/** The parts of an address. `host` and `port` expect one that passes `ok`. */
+/** Parses and validates addresses. `host` and `port` expect an address for which `ok` returns true. */
 export const address = {
-  host: (at: Address): string => at.slice(0, at.lastIndexOf(':')),
-  port: (at: Address): number => Number(at.slice(at.lastIndexOf(':') + 1)),
-  /** Whether a value has the form of an address. */
-  ok: (at: unknown): at is Address => typeof at === 'string' && pattern.test(at) && address.port(at) <= highestPort,
+  host: (text: Address): string => text.slice(0, text.lastIndexOf(':')),
+  port: (text: Address): number => Number(text.slice(text.lastIndexOf(':') + 1)),
+  /** Whether a value is a valid address. */
+  ok: (value: unknown): value is Address =>
+    typeof value === 'string' && addressPattern.test(value) && address.port(value) <= highestPort,
 };
--- a/packages/runtime/src/clock.ts
+++ b/packages/runtime/src/clock.ts
@@ -1,32 +1,32 @@
-/** Clocks and the timers that are made of them (§2.1). */
+/** Clocks, and timers built on them (§2.1). */
 import type { Microseconds } from './duration.js';
 
-/** Cancels a timer; calling it again, or after the timer has fired, does nothing. */
+/** Cancels a timer. Calls after the first one, or after the timer has fired, have no effect. */
 export type Cancel = () => void;
 
-/** A source of time. Only `now` decides anything within a process: the time of day may jump. */
+/** A source of time. Decisions within a process use `now` only, because the wall clock may jump. */
 export type Clock = {
-  /** Monotonic; means nothing outside this process. */
+  /** Monotonic time; its origin is arbitrary, so values are not comparable between processes. */
   now: () => Microseconds;
-  /** Wall-clock time since 1970, for what other processes read. */
+  /** Wall-clock time since the Unix epoch, for values that other processes read. */
   wallTime: () => Microseconds;
-  /** Calls `fn` once, `after` microseconds from now or a little later. */
-  schedule: (after: Microseconds, fn: () => void) => Cancel;
+  /** Calls `callback` once, `delay` microseconds from now or slightly later. */
+  schedule: (delay: Microseconds, callback: () => void) => Cancel;
 };
 
-const sleep = (clock: Clock, after: Microseconds): Promise<void> =>
-  new Promise((resolve) => void clock.schedule(after, resolve));
+const sleep = (clock: Clock, delay: Microseconds): Promise<void> =>
+  new Promise((resolve) => void clock.schedule(delay, resolve));
 
-const every = (clock: Clock, interval: Microseconds, fn: () => void | Promise<void>): Cancel => {
+const every = (clock: Clock, interval: Microseconds, callback: () => void | Promise<void>): Cancel => {
   let stopped = false;
   let cancel: Cancel = () => undefined;
-  const runRound = (): void =>
+  const runOnce = (): void =>
     void Promise.resolve()
-      .then(fn)
+      .then(callback)
       .catch(() => undefined)
       .then(scheduleNext);
   const scheduleNext = (): void => {
-    if (!stopped) cancel = clock.schedule(interval, runRound);
+    if (!stopped) cancel = clock.schedule(interval, runOnce);
   };
   scheduleNext();
   return () => {
@@ -35,9 +35,9 @@
   };
 };
 
-const limit = <T>(clock: Clock, timeLeft: Microseconds, work: Promise<T>, late: () => Error): Promise<T> =>
+const withTimeout = <T>(clock: Clock, timeout: Microseconds, work: Promise<T>, timeoutError: () => Error): Promise<T> =>
   new Promise((resolve, reject) => {
-    const cancel = clock.schedule(timeLeft, () => reject(late()));
+    const cancel = clock.schedule(timeout, () => reject(timeoutError()));
     work.then(
       (value) => {
         cancel();
@@ -50,15 +50,15 @@
     );
   });
 
-/** Waiting by a clock. */
+/** Timers on a given clock. */
 export const time = {
-  /** Resolves after `after` microseconds. */
+  /** Resolves after `delay` microseconds. */
   sleep,
   /**
-   * Calls `fn` every `interval` microseconds until it is cancelled. A slow round delays the next one and never overlaps
-   * it; the error of a failed round is dropped.
+   * Calls `callback` repeatedly until it is cancelled, each time `interval` microseconds after the previous call ended,
+   * so that calls never overlap. Errors of the callback are ignored.
    */
   every,
-  /** The outcome of `work`, or a rejection with `late()` after `timeLeft` microseconds. The work itself goes on. */
-  limit,
+  /** Settles as `work` does, or rejects with `timeoutError()` after `timeout` microseconds. Does not cancel `work`. */
+  withTimeout,
 };
--- a/packages/runtime/src/connection.ts
+++ b/packages/runtime/src/connection.ts
@@ -1,5 +1,7 @@
-// One connection to a worker, by undici's client (§5.7). What is kept, for how long and how many there may be is for
-// `data plane` to say: here is only the exchange itself, and whether anything of it was sent.
+/**
+ * One HTTP connection to a worker, on undici's client (§5.7). Performs single exchanges and reports whether anything of
+ * a request was sent; how many connections are pooled, and for how long, is decided by the data plane.
+ */
 import type net from 'node:net';
 import { Client, type Dispatcher } from 'undici';
 import { connector } from './connector.js';
@@ -8,51 +10,61 @@
 import { fault } from './fault.js';
 import type { Net } from './net.js';
 
-/** Names and values as they came, where the library still has them as bytes. */
-const rawOf = (c: Dispatcher.DispatchController, headers: Record<string, string | string[] | undefined>): string[] => {
-  const raw = (c as unknown as { rawHeaders?: (Buffer | string)[] | null }).rawHeaders;
-  if (raw) return raw.map((b) => (typeof b === 'string' ? b : b.toString('latin1')));
-  return Object.entries(headers).flatMap(([k, v]) => (Array.isArray(v) ? v : [v ?? '']).flatMap((x) => [k, x]));
+/** Returns header names and values byte for byte as received if undici still has the raw bytes. */
+const rawHeadersOf = (
+  controller: Dispatcher.DispatchController,
+  headers: Record<string, string | string[] | undefined>,
+): string[] => {
+  const raw = (controller as unknown as { rawHeaders?: (Buffer | string)[] | null }).rawHeaders;
+  if (raw) return raw.map((field) => (typeof field === 'string' ? field : field.toString('latin1')));
+  return Object.entries(headers).flatMap(([name, value]) =>
+    (Array.isArray(value) ? value : [value ?? '']).flatMap((single) => [name, single]),
+  );
 };
 
-/** undici's handler over our events; after the first end or failure nothing more is told. */
-const handlerOf = (
-  on: ExchangeEvents,
-  o: { started: (c: Dispatcher.DispatchController) => void; over: () => void; fault: (e: Error) => Error },
+/** Adapts `ExchangeEvents` to undici's handler. No event is passed on after the first end or error. */
+const dispatchHandler = (
+  events: ExchangeEvents,
+  hooks: {
+    onStart: (controller: Dispatcher.DispatchController) => void;
+    onFinish: () => void;
+    fault: (error: Error) => Error;
+  },
 ): Dispatcher.DispatchHandler => {
   let done = false;
   return {
-    onRequestStart: (c) => {
-      o.started(c);
-      if (!done) on.onSent();
+    onRequestStart: (controller) => {
+      hooks.onStart(controller);
+      if (!done) events.onSent();
     },
-    onResponseStart: (c, status, headers) => {
-      if (!done && status >= 200) on.onHead(status, flatHeaders(headers), rawOf(c, headers));
+    onResponseStart: (controller, status, headers) => {
+      if (!done && status >= 200) events.onHead(status, flatHeaders(headers), rawHeadersOf(controller, headers));
     },
-    onResponseData: (_c, chunk) => {
-      if (!done) on.onData(chunk);
+    onResponseData: (_controller, chunk) => {
+      if (!done) events.onData(chunk);
     },
     onResponseEnd: () => {
       if (done) return;
       done = true;
-      o.over();
-      on.onEnd();
+      hooks.onFinish();
+      events.onEnd();
     },
-    onResponseError: (_c, e) => {
+    onResponseError: (_controller, error) => {
       if (done) return;
       done = true;
-      o.over();
-      on.onError(o.fault(e));
+      hooks.onFinish();
+      events.onError(hooks.fault(error));
     },
   };
 };
 
-export const connect: Net['connectHttp'] = (at, o) => {
+/** Creates a connection to a worker. The socket is opened by the first exchange. */
+export const connectHttp: Net['connectHttp'] = (address, options) => {
   let socket: net.Socket | undefined;
-  const opened = { timeout: o.connectWithin / 1000, keepAlive: true, keepAliveInitialDelay: 1_000 };
-  const client = new Client(`http://${at}`, {
-    connect: connector.open(opened, (it) => {
-      socket = it;
+  const connectOptions = { timeout: options.connectTimeout / 1000, keepAlive: true, keepAliveInitialDelay: 1_000 };
+  const client = new Client(`http://${address}`, {
+    connect: connector.open(connectOptions, (connected) => {
+      socket = connected;
     }),
     bodyTimeout: 0,
     headersTimeout: 0,
@@ -61,50 +73,58 @@
     keepAliveMaxTimeout: 600_000,
     keepAliveTimeoutThreshold: 0,
   });
-  let up = true;
-  const closed = (): void => {
-    if (!up) return;
-    up = false;
+  let isUp = true;
+  const closeConnection = (): void => {
+    if (!isUp) return;
+    isUp = false;
     client.destroy().catch(() => undefined);
-    o.onClosed?.();
+    options.onClosed?.();
   };
-  client.on('disconnect', closed);
-  client.on('connectionError', closed);
-  const it: HttpConnection = {
-    exchange: (x, on) => {
-      let control: Dispatcher.DispatchController | undefined;
-      let cut = false;
-      const failed = (e: Error): Error =>
-        fault.make({ step: 'exchange', sibling: at, code: (e as NodeJS.ErrnoException).code }, e.message, e);
-      // An answer that came before the whole request had left: nothing but the rest of its body may follow.
-      const over = (): void => {
-        if (socket && socket.writableLength > 0) closed();
+  client.on('disconnect', closeConnection);
+  client.on('connectionError', closeConnection);
+  const connection: HttpConnection = {
+    exchange: (request, events) => {
+      let controller: Dispatcher.DispatchController | undefined;
+      let aborted = false;
+      const toFault = (error: Error): Error =>
+        fault.make(
+          { step: 'exchange', peer: address, code: (error as NodeJS.ErrnoException).code },
+          error.message,
+          error,
+        );
+      // If the response ended before the whole request was sent, only the rest of the request body may follow on this
+      // connection: it can't be reused.
+      const onFinish = (): void => {
+        if (socket && socket.writableLength > 0) closeConnection();
       };
-      const started = (c: Dispatcher.DispatchController): void => {
-        control = c;
-        if (cut) c.abort(new Error('cut'));
+      const onStart = (startedController: Dispatcher.DispatchController): void => {
+        controller = startedController;
+        if (aborted) startedController.abort(new Error('exchange aborted'));
       };
       client.dispatch(
         {
-          method: x.method,
-          path: x.target,
-          headers: x.headers as string[],
-          body: x.body && x.body.length ? Buffer.from(x.body.buffer, x.body.byteOffset, x.body.byteLength) : null,
+          method: request.method,
+          path: request.target,
+          headers: request.headers as string[],
+          body:
+            request.body && request.body.length
+              ? Buffer.from(request.body.buffer, request.body.byteOffset, request.body.byteLength)
+              : null,
         },
-        handlerOf(on, { started, over, fault: failed }),
+        dispatchHandler(events, { onStart, onFinish, fault: toFault }),
       );
       return {
-        pause: () => control?.pause(),
-        resume: () => control?.resume(),
+        pause: () => controller?.pause(),
+        resume: () => controller?.resume(),
         abort: () => {
-          cut = true;
-          if (control) control.abort(new Error('cut'));
-          closed();
+          aborted = true;
+          if (controller) controller.abort(new Error('exchange aborted'));
+          closeConnection();
         },
       };
     },
-    isOpen: () => up && !client.destroyed && !client.closed,
-    close: closed,
+    isOpen: () => isUp && !client.destroyed && !client.closed,
+    close: closeConnection,
   };
-  return it;
+  return connection;
 };
--- a/packages/runtime/src/data-folder.ts
+++ b/packages/runtime/src/data-folder.ts
@@ -1,16 +1,19 @@
-// A folder of the system's as a `Disk` (§6.1).
+/** A `Disk` in a folder of the file system (§6.1). */
 import { promises as fs } from 'node:fs';
 import path from 'node:path';
 import type { Disk } from './disk.js';
 import { fault } from './fault.js';
 
-/** The calls that a data folder needs; a test brings ones that fail. */
+/** The file system calls that a data folder uses; tests inject failing ones. */
 export type FileCalls = Pick<typeof fs, 'open' | 'rename' | 'readFile' | 'readdir' | 'rm' | 'unlink' | 'mkdir'>;
-const noRoom = new Set(['ENOSPC', 'EDQUOT']);
+/** The error codes of a full disk or an exhausted quota. */
+const diskFullCodes = new Set(['ENOSPC', 'EDQUOT']);
+/** Wraps an error of a file system call; only a write can fail with code `full`. */
 const diskFault = (step: string, error: unknown): Error => {
-  const full = step === 'write' && noRoom.has((error as NodeJS.ErrnoException).code ?? '');
+  const full = step === 'write' && diskFullCodes.has((error as NodeJS.ErrnoException).code ?? '');
   return fault.make({ step: `disk.${step}`, code: full ? 'full' : 'failed' }, fault.text(error), error);
 };
+/** Awaits `work`, and turns its error into a fault of step `disk.<name>`. */
 const step = async <T>(name: string, work: Promise<T>): Promise<T> => {
   try {
     return await work;
@@ -19,34 +22,34 @@
   }
 };
 
-/** Passes over the error of a file that is not there. */
-const unlessMissing =
+/** Error handler that ignores a missing file and throws a fault of step `disk.<name>` for every other error. */
+const ignoreMissing =
   (name: string) =>
   (error: NodeJS.ErrnoException): undefined => {
     if (error.code === 'ENOENT') return undefined;
     throw diskFault(name, error);
   };
 
-/** Steps with single files that the calls of a disk are made of; `at` is a whole path. */
-const fileSteps = (
+/** The operations on single files that a disk is built from; `filePath` includes the folder. */
+const fileOperations = (
   calls: FileCalls,
 ): {
-  sync: (at: string) => Promise<void>;
-  write: (at: string, text: () => string) => Promise<void>;
-  /** Writes a file that is removed again if the write fails. */
-  writeNew: (at: string, text: string) => Promise<void>;
-  makeEmpty: (at: string) => Promise<void>;
+  sync: (filePath: string) => Promise<void>;
+  write: (filePath: string, text: () => string) => Promise<void>;
+  /** Writes a new file, and removes it if the write fails. */
+  writeNew: (filePath: string, text: string) => Promise<void>;
+  createEmpty: (filePath: string) => Promise<void>;
 } => {
-  const sync = async (at: string): Promise<void> => {
-    const file = await calls.open(at, 'r');
+  const sync = async (filePath: string): Promise<void> => {
+    const file = await calls.open(filePath, 'r');
     try {
       await file.sync();
     } finally {
       await file.close();
     }
   };
-  const write = async (at: string, text: () => string): Promise<void> => {
-    const file = await step('write', calls.open(at, 'w'));
+  const write = async (filePath: string, text: () => string): Promise<void> => {
+    const file = await step('write', calls.open(filePath, 'w'));
     try {
       await step('write', file.writeFile(text(), 'utf8'));
       await step('sync', file.datasync());
@@ -54,71 +57,73 @@
       await file.close();
     }
   };
-  const writeNew = (at: string, text: string): Promise<void> =>
-    write(at, () => text).catch(async (error) => {
-      await calls.rm(at, { force: true }).catch(() => undefined);
+  const writeNew = (filePath: string, text: string): Promise<void> =>
+    write(filePath, () => text).catch(async (error) => {
+      await calls.rm(filePath, { force: true }).catch(() => undefined);
       throw error;
     });
-  const makeEmpty = async (at: string): Promise<void> => {
-    const file = await calls.open(at, 'w');
+  const createEmpty = async (filePath: string): Promise<void> => {
+    const file = await calls.open(filePath, 'w');
     await file.close();
   };
-  return { sync, write, writeNew, makeEmpty };
+  return { sync, write, writeNew, createEmpty };
 };
 
 /**
- * Documents are written aside, synced, renamed, folder synced; reserved files are made empty, folder synced, and later
- * written and synced in place (§6.1). Errors name their step: `disk.write` (code `full` where there is no room),
- * `disk.sync`, `disk.rename`, `disk.read`, `disk.remove`.
+ * Opens a folder as a `Disk`; it is created when first used. Documents are written to a temporary file, which is synced
+ * and renamed; then the folder is synced. Reserved files are created empty and the folder synced; they are written and
+ * synced in place later (§6.1). Errors carry their step: `disk.write` (code `full` if the disk is full), `disk.sync`,
+ * `disk.rename`, `disk.read` or `disk.remove`.
  */
-export const files = (folder: string, calls: FileCalls = fs): Disk => {
-  const { sync, write, writeNew, makeEmpty } = fileSteps(calls);
+export const openDataFolder = (folder: string, calls: FileCalls = fs): Disk => {
+  const { sync, write, writeNew, createEmpty } = fileOperations(calls);
   const syncFolder = (): Promise<void> => sync(folder);
-  let made: Promise<unknown> | undefined;
-  const ready = (): Promise<unknown> => (made ??= calls.mkdir(folder, { recursive: true }));
-  let n = 0;
-  /** Documents that are being written: what else lies aside was left by a former process. */
-  const underWay = new Set<string>();
+  let folderCreation: Promise<unknown> | undefined;
+  const ensureFolder = (): Promise<unknown> => (folderCreation ??= calls.mkdir(folder, { recursive: true }));
+  let nextTemporary = 0;
+  /** Temporary files of documents being written; all others were left behind by a previous process. */
+  const inProgress = new Set<string>();
   return {
     writeDocument: async (name, text) => {
-      await step('write', ready());
-      const aside = `.aside-${n++}`;
-      underWay.add(aside);
+      await step('write', ensureFolder());
+      const temporaryName = `.aside-${nextTemporary++}`;
+      inProgress.add(temporaryName);
       try {
-        await writeNew(path.join(folder, aside), text);
-        await step('rename', calls.rename(path.join(folder, aside), path.join(folder, name)));
+        await writeNew(path.join(folder, temporaryName), text);
+        await step('rename', calls.rename(path.join(folder, temporaryName), path.join(folder, name)));
       } finally {
-        underWay.delete(aside);
+        inProgress.delete(temporaryName);
       }
       await step('sync', syncFolder());
     },
     reserveFiles: async (names) => {
-      await step('write', ready());
-      for (const name of names) await step('write', makeEmpty(path.join(folder, name)));
+      await step('write', ensureFolder());
+      for (const name of names) await step('write', createEmpty(path.join(folder, name)));
       await step('sync', syncFolder());
     },
     writeReserved: async (name, text) => {
-      const at = path.join(folder, name);
+      const filePath = path.join(folder, name);
       try {
-        await write(at, text);
+        await write(filePath, text);
       } catch (error) {
-        // Its bytes go and its name stays; bytes that stay all the same were never acknowledged, and show as torn.
-        await makeEmpty(at).catch(() => undefined);
+        // Truncates the file but keeps its reserved name. If this fails, too, the remaining bytes were never
+        // acknowledged, and are recognised as torn at the next start.
+        await createEmpty(filePath).catch(() => undefined);
         throw error;
       }
     },
     syncExisting: async (names) => {
-      await step('sync', ready());
+      await step('sync', ensureFolder());
       await step('sync', Promise.all([...names.map((name) => sync(path.join(folder, name))), syncFolder()]));
     },
-    read: async (name) => calls.readFile(path.join(folder, name), 'utf8').catch(unlessMissing('read')),
+    read: async (name) => calls.readFile(path.join(folder, name), 'utf8').catch(ignoreMissing('read')),
     list: async () => {
-      await step('read', ready());
-      const all = await step('read', calls.readdir(folder));
-      const old = all.filter((file) => file.startsWith('.aside-') && !underWay.has(file));
-      await Promise.all(old.map((file) => calls.rm(path.join(folder, file), { force: true })));
-      return all.filter((file) => !file.startsWith('.aside-')).sort();
+      await step('read', ensureFolder());
+      const names = await step('read', calls.readdir(folder));
+      const stale = names.filter((file) => file.startsWith('.aside-') && !inProgress.has(file));
+      await Promise.all(stale.map((file) => calls.rm(path.join(folder, file), { force: true })));
+      return names.filter((file) => !file.startsWith('.aside-')).sort();
     },
-    remove: async (name) => calls.unlink(path.join(folder, name)).catch(unlessMissing('remove')),
+    remove: async (name) => calls.unlink(path.join(folder, name)).catch(ignoreMissing('remove')),
   };
 };
--- a/packages/runtime/src/disk.ts
+++ b/packages/runtime/src/disk.ts
@@ -1,23 +1,25 @@
-/** The folder in which a process keeps its documents (§6.1). */
+/** The interface to the data folder of a process (§6.1). */
 
 /**
- * One file for one name, in one folder. Writes fail with code `full` if there was no room and nothing has changed, else
- * with `failed`: nobody knows then what the disk holds.
+ * Files by name in one folder. Writes fail with code `full` if the disk is full and nothing has changed, otherwise with
+ * code `failed`: the contents of the disk are unknown then.
  */
 export type Disk = {
-  /** Resolves once the text is synced under its name, in place of what stood there. */
+  /** Atomically creates or replaces a file; resolves once the text and its name are synced. */
   writeDocument: (name: string, text: string) => Promise<void>;
-  /** Makes empty files; resolves once the folder is synced, so that their names outlast a loss of power. */
+  /** Creates empty files; resolves once the folder is synced, so that their names survive a power loss. */
   reserveFiles: (names: string[]) => Promise<void>;
   /**
-   * Writes a reserved file and syncs it: a loss of power before that may leave it torn. `text` is asked for when the
-   * file is open, and not again.
+   * Writes a reserved file in place and syncs it; a power loss during the call may leave it torn. `text` is called
+   * once, when the file is open.
    */
   writeReserved: (name: string, text: () => string) => Promise<void>;
-  /** Syncs what a former process may have left without a sync: these files, and the names of all. */
+  /** Syncs what a previous process may have left unsynced: the contents of these files, and the folder. */
   syncExisting: (names: string[]) => Promise<void>;
-  /** Undefined where there is no such file. */
+  /** Returns undefined if there is no such file. */
   read: (name: string) => Promise<string | undefined>;
+  /** Returns the names of all files, sorted. */
   list: () => Promise<string[]>;
+  /** Removes a file, if there is one; not durable before the next sync of the folder. */
   remove: (name: string) => Promise<void>;
 };
--- a/packages/runtime/src/duration.ts
+++ b/packages/runtime/src/duration.ts
@@ -1,6 +1,6 @@
 /** Units of time. All times in thornsail are whole microseconds. */
 
-/** Whole microseconds: a length of time, or a reading of a clock. */
+/** A duration or a clock reading in whole microseconds. */
 export type Microseconds = number;
 
 /** Conversions to and from microseconds; results are rounded to whole numbers. */
--- a/packages/runtime/src/errors.ts
+++ b/packages/runtime/src/errors.ts
@@ -1,42 +1,44 @@
 /**
- * Typed errors (§2.4). Each package that throws declares its codes once, in a catalogue in its own `errors.ts`; callers
- * decide by code, never by the text of a message.
+ * Typed errors (§2.4). Each package that throws declares its error codes in a catalogue in its own `errors.ts`. Callers
+ * test the code, never the message text.
  */
 import VError from 'verror';
 
-/** What a catalogue says of one code. */
+/** The catalogue entry of one error code. */
 export type ErrorEntry = {
-  /** What happened, without the particulars of the case. */
+  /** Default message. */
   message: string;
-  /** Whether the same call may succeed if it is made again later, with no other effect than one call would have. */
+  /** Whether the call can be retried: it may succeed later, and repeating it has no additional effect. */
   retryable: boolean;
 };
-/** The particulars of one error. */
+/** The details of one error. */
 export type ErrorDetails = {
   /** The operation that failed, such as `core.join` or `disk.write`. */
   step: string;
-  /** The address or identity of the other side, where there is one. */
+  /** The address or identity of the remote side, if there is one. */
   peer?: string;
-  /** Replaces the catalogue's message. */
+  /** Replaces the default message of the catalogue. */
   message?: string;
   cause?: unknown;
 };
-/** The codes of one package, and how its errors are made and told apart. */
+/** Creates and classifies the errors of one package. */
 export type ErrorCatalogue<Code extends string> = {
   create: (code: Code, details: ErrorDetails) => Error;
-  /** The code of an error of this catalogue; undefined for every other value. */
+  /** Returns the code of an error of this catalogue; undefined for any other value. */
   codeOf: (error: unknown) => Code | undefined;
+  /** Whether a value is an error of this catalogue with one of these codes. */
   is: (error: unknown, ...codes: Code[]) => boolean;
-  /** False for errors that are not of this catalogue. */
+  /** Whether an error's code is retryable; false for errors of other catalogues. */
   isRetryable: (error: unknown) => boolean;
-  /** All codes with their entries, in the order of their declaration. */
+  /** The entries by code, in the order of declaration. */
   entries: Readonly<Record<Code, ErrorEntry>>;
 };
 
-type Info = { catalogue?: string; code?: string; step?: string; sibling?: string };
-const infoOf = (error: unknown): Info => (error instanceof Error ? VError.info(error) : {});
+/** The `info` of an error of a catalogue. */
+type CatalogueInfo = { catalogue?: string; code?: string; step?: string; peer?: string };
+const infoOf = (error: unknown): CatalogueInfo => (error instanceof Error ? VError.info(error) : {});
 
-/** Declares the errors of one package. `name` is the package's, and becomes the `name` of its errors. */
+/** Declares the errors of one package. `name` is the package name, and becomes the `name` of its errors. */
 export const errorCatalogue = <Code extends string>(
   name: string,
   entries: Record<Code, ErrorEntry>,
@@ -53,7 +55,7 @@
         {
           name,
           cause: cause instanceof Error ? cause : undefined,
-          info: { catalogue: name, code, step, ...(peer === undefined ? {} : { sibling: peer }) },
+          info: { catalogue: name, code, step, ...(peer === undefined ? {} : { peer }) },
         },
         '%s',
         `${step}${peer === undefined ? '' : ` at ${peer}`}: ${message ?? entries[code].message}`,
--- a/packages/runtime/src/exchange.ts
+++ b/packages/runtime/src/exchange.ts
@@ -1,29 +1,32 @@
-/** Exchanges with workers over connections that the caller manages itself (§5.7). */
+/** HTTP exchanges with workers over connections that the caller manages (§5.7). */
 
-/** One request over a connection of one's own. `target` and `body` reach the other side byte for byte. */
+/** The request of one exchange. `target` and `body` are sent byte for byte. */
 export type Exchange = {
   method: string;
   target: string;
-  /** Name, value, name, value. */
+  /** Alternating names and values. */
   headers: readonly string[];
   body: Uint8Array | null;
 };
-/** What becomes of an exchange, in order; after `onEnd` or `onError` nothing more is called. */
+/** Events of an exchange, in order. None follows `onEnd` or `onError`. */
 export type ExchangeEvents = {
-  /** The first byte is about to be sent: from here on the request may have run. */
+  /** The first byte is about to be sent; from now on the request may have been executed. */
   onSent: () => void;
+  /** Status and headers were received; `rawHeaders` are alternating names and values as received. */
   onHead: (status: number, headers: Record<string, string>, rawHeaders: readonly string[]) => void;
+  /** A chunk of the body was received. */
   onData: (bytes: Uint8Array) => void;
+  /** The response is complete. */
   onEnd: () => void;
-  /** The exchange is over without its end. Nothing was sent unless `onSent` was called before. */
+  /** The exchange failed. Nothing was sent unless `onSent` was called before. */
   onError: (error: Error) => void;
 };
-/** Controls an exchange that is under way. */
+/** Controls an exchange in progress. `pause` and `resume` apply backpressure; `abort` closes the connection. */
 export type ExchangeControl = { pause: () => void; resume: () => void; abort: () => void };
-/** One connection to a worker, which serves one exchange at a time. */
+/** A connection to a worker; carries one exchange at a time. */
 export type HttpConnection = {
   exchange: (exchange: Exchange, events: ExchangeEvents) => ExchangeControl;
-  /** False once the other side has closed it, or it was aborted. */
+  /** False once the connection has been closed by either side or an exchange was aborted. */
   isOpen: () => boolean;
   close: () => void;
 };
--- a/packages/runtime/src/frames.ts
+++ b/packages/runtime/src/frames.ts
@@ -1,53 +1,56 @@
 /**
- * Frames over TCP between nodes (§3.1): one connection each way between two addresses, frames with a length, the first
- * of which names the sender.
+ * Frame transport over TCP between nodes (§3.1): one connection per direction between two addresses. Frames are
+ * length-prefixed; the first frame of a connection contains the address of the sender.
  */
 import net from 'node:net';
 import { address, type Address } from './address.js';
 import { fault } from './fault.js';
 import type { FrameTransport, Net } from './net.js';
 
-/** Bytes. A longer frame breaks its connection off. */
-const maxFrame = 16 << 20;
-/** Bytes that wait for a slow peer; further frames to it are dropped. */
-const maxBuffered = 8 << 20;
-/** Milliseconds after which a connection without traffic is closed. */
-const idleMs = 30_000;
-/** Milliseconds that a connection may take to come up. */
-const connectMs = 2_000;
+/** A longer frame closes its connection. */
+const maxFrameBytes = 16 << 20;
+/** Bytes buffered for a slow peer; further frames to it are dropped. */
+const maxBufferedBytes = 8 << 20;
+/** A connection without traffic is closed after this time. */
+const idleTimeoutMs = 30_000;
+/** Time limit for establishing a connection. */
+const connectTimeoutMs = 2_000;
 
 type FrameListener = Parameters<Net['openFrameTransport']>[1];
-type BadListener = Parameters<Net['openFrameTransport']>[3];
+type ProtocolErrorListener = Parameters<Net['openFrameTransport']>[3];
 
-/** Cuts a stream of bytes into frames, until one is bad. */
-const frameReader = (take: (text: string) => boolean, bad: (why: string) => void): ((d: Buffer) => void) => {
+/** Splits a byte stream into frames. Stops at the first invalid one, for which `onFrame` returns false. */
+const frameReader = (
+  onFrame: (text: string) => boolean,
+  onInvalid: (reason: string) => void,
+): ((data: Buffer) => void) => {
   let parts: Buffer[] = [];
   let size = 0;
-  let over = false;
-  const stop = (why: string): void => {
-    over = true;
-    bad(why);
+  let stopped = false;
+  const stop = (reason: string): void => {
+    stopped = true;
+    onInvalid(reason);
   };
   return (data) => {
     parts.push(data);
     size += data.length;
-    while (!over && size >= 4) {
-      const buf = parts.length === 1 ? parts[0]! : Buffer.concat(parts);
-      parts = [buf];
-      const len = buf.readUInt32BE(0);
-      if (len > maxFrame) return stop(`a frame of ${len} bytes`);
-      if (size < 4 + len) return;
-      const rest = buf.subarray(4 + len);
+    while (!stopped && size >= 4) {
+      const buffered = parts.length === 1 ? parts[0]! : Buffer.concat(parts);
+      parts = [buffered];
+      const length = buffered.readUInt32BE(0);
+      if (length > maxFrameBytes) return stop(`frame of ${length} bytes exceeds the limit`);
+      if (size < 4 + length) return;
+      const rest = buffered.subarray(4 + length);
       parts = rest.length ? [rest] : [];
       size = rest.length;
-      if (!take(buf.toString('utf8', 4, 4 + len))) return stop('an unreadable frame');
+      if (!onFrame(buffered.toString('utf8', 4, 4 + length))) return stop('frame could not be decoded');
     }
   };
 };
 
-type Writer = (socket: net.Socket, text: string) => void;
-/** Writes frames; all that is written within one turn of the event loop goes out together. */
-const frameWriter = (): Writer => {
+type FrameWriter = (socket: net.Socket, text: string) => void;
+/** Creates a frame writer. Frames written to a socket in one turn of the event loop are sent together. */
+const frameWriter = (): FrameWriter => {
   const corked: net.Socket[] = [];
   const uncork = (): void => {
     for (const socket of corked.splice(0)) socket.uncork();
@@ -65,85 +68,81 @@
   };
 };
 
-/** Reads the frames of a peer that has connected, until it goes or sends a bad one. */
-const receive = (socket: net.Socket, onFrame: FrameListener, onBad: BadListener): void => {
+/** Receives the frames of an incoming connection until it closes or sends an invalid frame. */
+const receive = (socket: net.Socket, onFrame: FrameListener, onProtocolError: ProtocolErrorListener): void => {
   socket.setNoDelay(true);
   let from: Address | undefined;
-  // The first frame names the sender; whatever cannot be one breaks the connection, and nothing else.
-  const take = (text: string): boolean => {
+  // The first frame contains the sender's address; an invalid address closes this connection only.
+  const acceptFrame = (text: string): boolean => {
     if (from !== undefined) return onFrame(from, text);
     if (address.ok(text)) from = text;
     return from !== undefined;
   };
-  const read = frameReader(take, (why) => {
-    onBad?.(from ?? `${socket.remoteAddress ?? '?'}:${socket.remotePort ?? 0}`, why);
+  const read = frameReader(acceptFrame, (reason) => {
+    onProtocolError?.(from ?? `${socket.remoteAddress ?? '?'}:${socket.remotePort ?? 0}`, reason);
     socket.destroy();
   });
   socket.on('data', read);
   socket.on('error', () => socket.destroy());
 };
 
-/** Connects to a peer from `self`; `onClose` is called when that connection is over, however it ended. */
-const connectTo = (to: Address, self: Address, onClose: (socket: net.Socket) => void): net.Socket => {
-  const socket = net.connect({ host: address.host(to), port: address.port(to), localAddress: address.host(self) });
+/** Connects to a peer from the address `self`; `onClose` is called once, when the connection closes for any reason. */
+const connectTo = (peer: Address, self: Address, onClose: (socket: net.Socket) => void): net.Socket => {
+  const socket = net.connect({ host: address.host(peer), port: address.port(peer), localAddress: address.host(self) });
   socket.setNoDelay(true);
   socket.on('error', () => undefined);
   socket.on('close', () => onClose(socket));
-  socket.setTimeout(idleMs, () => socket.destroy());
-  // One that does not come up keeps no old frames for later.
-  const slow = setTimeout(() => {
+  socket.setTimeout(idleTimeoutMs, () => socket.destroy());
+  // Drops the connection if it isn't established in time, so that its queued frames are not delivered late.
+  const connectTimer = setTimeout(() => {
     if (socket.connecting) socket.destroy();
-  }, connectMs);
-  socket.once('connect', () => clearTimeout(slow));
-  socket.once('close', () => clearTimeout(slow));
+  }, connectTimeoutMs);
+  socket.once('connect', () => clearTimeout(connectTimer));
+  socket.once('close', () => clearTimeout(connectTimer));
   return socket;
 };
 
-/**
- * Opens the frames of one address: one TCP connection each way between two places; frames are length-prefixed, the
- * first
- * names the sender (§3.1). Rejects with step `frames.bind` if the address cannot be bound.
- */
-export const frames: Net['openFrameTransport'] = (at, onFrame, onDown, onBad) =>
-  new Promise((done, fail) => {
+/** Opens the frame transport of one address (§3.1). Rejects with step `frames.bind` if the address can't be bound. */
+export const openFrameTransport: Net['openFrameTransport'] = (bindAddress, onFrame, onDisconnect, onProtocolError) =>
+  new Promise((resolve, reject) => {
     const outgoing = new Map<Address, net.Socket>();
     const incoming = new Set<net.Socket>();
     const write = frameWriter();
-    let self: Address = at;
+    let self: Address = bindAddress;
     let closing = false;
     const server = net.createServer((socket) => {
       incoming.add(socket);
-      receive(socket, onFrame, onBad);
+      receive(socket, onFrame, onProtocolError);
       socket.on('close', () => incoming.delete(socket));
     });
-    const connect = (to: Address): net.Socket => {
-      const socket = connectTo(to, self, (closed) => {
-        if (outgoing.get(to) === closed) outgoing.delete(to);
-        if (!closing) onDown?.(to);
+    const connect = (peer: Address): net.Socket => {
+      const socket = connectTo(peer, self, (closed) => {
+        if (outgoing.get(peer) === closed) outgoing.delete(peer);
+        if (!closing) onDisconnect?.(peer);
       });
-      outgoing.set(to, socket);
+      outgoing.set(peer, socket);
       write(socket, self);
       return socket;
     };
-    const send: FrameTransport['send'] = (to, text) => {
-      const known = outgoing.get(to);
-      const socket = !known || known.destroyed ? connect(to) : known;
-      if (socket.writableLength < maxBuffered) write(socket, text);
+    const send: FrameTransport['send'] = (peer, text) => {
+      const existing = outgoing.get(peer);
+      const socket = !existing || existing.destroyed ? connect(peer) : existing;
+      if (socket.writableLength < maxBufferedBytes) write(socket, text);
     };
-    server.on('error', (error) => fail(fault.make({ step: 'frames.bind', sibling: at }, error.message, error)));
-    server.listen(address.port(at), address.host(at), () => {
-      const address = server.address() as net.AddressInfo;
-      self = `${address.address}:${address.port}`;
-      done({
+    server.on('error', (error) => reject(fault.make({ step: 'frames.bind', peer: bindAddress }, error.message, error)));
+    server.listen(address.port(bindAddress), address.host(bindAddress), () => {
+      const bound = server.address() as net.AddressInfo;
+      self = `${bound.address}:${bound.port}`;
+      resolve({
         at: self,
         send,
         close: () =>
-          new Promise((fin) => {
+          new Promise((closed) => {
             closing = true;
-            // What was written in this turn goes out first.
+            // Flushes the frames written in this turn of the event loop.
             for (const socket of outgoing.values()) socket.uncork();
             for (const socket of [...outgoing.values(), ...incoming]) socket.destroy();
-            server.close(() => fin());
+            server.close(() => closed());
           }),
       });
     });
--- a/packages/runtime/src/hash.ts
+++ b/packages/runtime/src/hash.ts
@@ -1,14 +1,14 @@
-/** A stable string hash, for positions on a ring and names of files. */
+/** A stable string hash, for the order of nodes, digests, key ranges and checksums of files. */
 
 const offsetBasis = 0x811c9dc5;
 const prime = 0x01000193;
 const mixer = 0x85ebca6b;
 
 /**
- * FNV-1a with 32 bits, and the mixing steps of MurmurHash3's finalizer. Its values may not change: nodes compare them.
+ * 32-bit FNV-1a, followed by mixing steps of MurmurHash3's finalizer. The values must not change: nodes compare them.
  */
 export const hash = {
-  /** A whole number from 0 to below 2 to the power of 32. */
+  /** Returns an unsigned 32-bit integer. */
   of: (text: string): number => {
     let value = offsetBasis;
     for (let i = 0; i < text.length; i++) value = Math.imul(value ^ text.charCodeAt(i), prime) >>> 0;
--- a/packages/runtime/src/headers.ts
+++ b/packages/runtime/src/headers.ts
@@ -1,10 +1,12 @@
+/** Normalisation of HTTP headers. */
+
 /**
- * Headers as a table: names in lower case, several values of a name joined by a comma.
- * @param headers name to value or values; undefined values are left out
+ * Returns headers as one value per name: names in lower case, multiple values joined by a comma.
+ * @param headers value or values by name; undefined values are omitted
  */
 export const flatHeaders = (headers: Record<string, string | string[] | undefined>): Record<string, string> => {
-  const table: Record<string, string> = {};
+  const flat: Record<string, string> = {};
   for (const [name, value] of Object.entries(headers))
-    if (value !== undefined) table[name.toLowerCase()] = Array.isArray(value) ? value.join(', ') : String(value);
-  return table;
+    if (value !== undefined) flat[name.toLowerCase()] = Array.isArray(value) ? value.join(', ') : String(value);
+  return flat;
 };
--- a/packages/runtime/src/http-client.ts
+++ b/packages/runtime/src/http-client.ts
@@ -1,4 +1,4 @@
-/** HTTP calls whose body is read as text: between nodes, and to workers for chat turns and jobs (§5.4). */
+/** HTTP requests whose response body is read as text: between nodes, and to workers for chat turns and jobs (§5.4). */
 import { Agent, Client, request, type Dispatcher } from 'undici';
 import { connector } from './connector.js';
 import { flatHeaders } from './headers.js';
@@ -6,7 +6,14 @@
 import { fault } from './fault.js';
 import type { HttpClientRequest, HttpClientResponse } from './http.js';
 
-const neverSent = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'EADDRNOTAVAIL', 'UND_ERR_CONNECT_TIMEOUT']);
+/** Error codes that occur only before anything of the request was sent. */
+const unsentCodes = new Set([
+  'ECONNREFUSED',
+  'EHOSTUNREACH',
+  'ENETUNREACH',
+  'EADDRNOTAVAIL',
+  'UND_ERR_CONNECT_TIMEOUT',
+]);
 const agent = new Agent({
   keepAliveTimeout: 2_000,
   keepAliveMaxTimeout: 2_000,
@@ -17,45 +24,47 @@
   connections: 256,
 });
 
-/** The body as text; `silence` in microseconds, `over` is called when it has ended or broken off. */
-const textOf = async function* (
+/** Decodes a response body as text. `onClosed` is called once the body has ended or failed. */
+const bodyText = async function* (
   body: Dispatcher.ResponseData['body'],
-  at: string,
-  silence: Microseconds,
-  over: () => void,
+  address: string,
+  bodyTimeout: Microseconds,
+  onClosed: () => void,
 ): AsyncIterable<string> {
   const decoder = new TextDecoder();
-  let quiet: NodeJS.Timeout | undefined;
-  const arm = (): void => {
-    clearTimeout(quiet);
-    quiet = setTimeout(() => body.destroy(new Error('silence')), silence / 1000);
+  let timer: NodeJS.Timeout | undefined;
+  const restartTimer = (): void => {
+    clearTimeout(timer);
+    // Callers recognise a body timeout by this text.
+    timer = setTimeout(() => body.destroy(new Error('silence')), bodyTimeout / 1000);
   };
   try {
-    arm();
-    for await (const piece of body) {
-      clearTimeout(quiet);
-      yield decoder.decode(piece as Uint8Array, { stream: true });
-      arm();
+    restartTimer();
+    for await (const chunk of body) {
+      clearTimeout(timer);
+      yield decoder.decode(chunk as Uint8Array, { stream: true });
+      restartTimer();
     }
     const rest = decoder.decode();
     if (rest) yield rest;
   } catch (error) {
-    throw fault.make({ step: 'http.body', sibling: at, sent: true }, fault.text(error), error);
+    throw fault.make({ step: 'http.body', peer: address, sent: true }, fault.text(error), error);
   } finally {
-    clearTimeout(quiet);
-    over();
+    clearTimeout(timer);
+    onClosed();
   }
 };
 
 /**
- * Sends one request and resolves with its answer's head; the body follows as pieces of text.
+ * Sends one request; resolves with the status and headers of the response, whose body follows as chunks of text.
  *
- * Rejects with step `http.call` if no head comes within `timeLeft` (microseconds); `sent` is false where the request
- * cannot have reached the peer. The body throws step `http.body` if it breaks off, or after `silence` (microseconds,
- * 30 s if absent) without a piece. With `fresh` the call has a connection of its own, which ends with it.
+ * Rejects with step `http.call` if the headers don't arrive within `headersTimeout`; `sent` is false if the request
+ * can't have reached the peer. Reading the body fails with step `http.body` if the response is cut off, or if no chunk
+ * arrives within `bodyTimeout` (30 s by default). With `newConnection` the request uses a connection of its own, which
+ * is closed after the response.
  */
-export const call = async (options: HttpClientRequest): Promise<HttpClientResponse> => {
-  const own = options.newConnection
+export const sendRequest = async (options: HttpClientRequest): Promise<HttpClientResponse> => {
+  const ownClient = options.newConnection
     ? new Client(`http://${options.at}`, {
         connect: connector.open({ timeout: 800 }),
         bodyTimeout: 0,
@@ -63,39 +72,39 @@
         pipelining: 1,
       })
     : undefined;
-  const drop = (): void => void own?.destroy().catch(() => undefined);
-  const abort = new AbortController();
-  const late = setTimeout(() => abort.abort(), Math.max(1, options.headersTimeout / 1000));
+  const closeOwnClient = (): void => void ownClient?.destroy().catch(() => undefined);
+  const controller = new AbortController();
+  const headersTimer = setTimeout(() => controller.abort(), Math.max(1, options.headersTimeout / 1000));
   let response: Dispatcher.ResponseData;
   try {
     response = await request(`http://${options.at}${options.path}`, {
       method: options.method,
       headers: options.headers,
       body: options.body,
-      signal: abort.signal,
-      dispatcher: own ?? agent,
+      signal: controller.signal,
+      dispatcher: ownClient ?? agent,
     });
   } catch (error) {
-    drop();
+    closeOwnClient();
     const code = (error as NodeJS.ErrnoException).code ?? (error as Error).name;
     throw fault.make(
-      { step: 'http.call', sibling: options.at, sent: !neverSent.has(code), code },
+      { step: 'http.call', peer: options.at, sent: !unsentCodes.has(code), code },
       fault.text(error),
       error,
     );
   } finally {
-    clearTimeout(late);
+    clearTimeout(headersTimer);
   }
-  const silence = options.bodyTimeout ?? duration.s(30);
-  const cut = (): void => {
+  const bodyTimeout = options.bodyTimeout ?? duration.s(30);
+  const abort = (): void => {
     response.body.on('error', () => undefined);
     response.body.destroy();
-    drop();
+    closeOwnClient();
   };
   return {
     status: response.statusCode,
     headers: flatHeaders(response.headers),
-    body: textOf(response.body, options.at, silence, drop),
-    abort: cut,
+    body: bodyText(response.body, options.at, bodyTimeout, closeOwnClient),
+    abort,
   };
 };
--- a/packages/runtime/src/http-server.ts
+++ b/packages/runtime/src/http-server.ts
@@ -1,4 +1,7 @@
-/** The HTTP server of a node (§5.6): requests are read whole, answers are streamed or visibly cut. */
+/**
+ * The HTTP server of a node (§5.6). Request bodies are buffered; responses are streamed, and an aborted response never
+ * looks complete.
+ */
 import http from 'node:http';
 import type net from 'node:net';
 import polka from 'polka';
@@ -9,208 +12,225 @@
 import type { HttpRequest, HttpHandler, HttpLimits, HttpResponseWriter } from './http.js';
 import type { Net } from './net.js';
 
+/** The close callbacks of each socket. */
 const closeListeners = new WeakMap<net.Socket, Set<() => void>>();
-/** One listener for each socket, however many requests its client has sent ahead. */
-const onSocketClose = (socket: net.Socket, fn: () => void): Cancel => {
-  const known = closeListeners.get(socket);
-  const listeners = known ?? new Set();
-  listeners.add(fn);
-  if (!known) {
+/** Adds a close callback; each socket has one `close` listener, however many pipelined requests it carries. */
+const onSocketClose = (socket: net.Socket, callback: () => void): Cancel => {
+  const existing = closeListeners.get(socket);
+  const listeners = existing ?? new Set();
+  listeners.add(callback);
+  if (!existing) {
     closeListeners.set(socket, listeners);
     socket.once('close', () => {
       for (const listener of [...listeners]) listener();
     });
   }
-  return () => void listeners.delete(fn);
+  return () => void listeners.delete(callback);
 };
 /**
- * When the client has gone or the answer is over. An answer that waits behind another one of its connection has no
- * socket yet, and isn't told of its end by Node: the request's socket is.
+ * Reports that the client has disconnected or the response is finished. Node emits no `close` for a pipelined response
+ * that has no socket yet, so the socket of the request is watched, too.
  */
-const closing = (
-  req: http.IncomingMessage,
-  res: http.ServerResponse,
+const closeNotifier = (
+  request: http.IncomingMessage,
+  response: http.ServerResponse,
 ): Pick<HttpResponseWriter, 'isClosed' | 'onClose'> => {
-  const { socket } = req;
-  const isClosed = (): boolean => res.destroyed || socket.destroyed;
-  const onClose = (fn: () => void): void => {
-    if (isClosed()) return fn();
-    let told = false;
-    const once = (): void => {
-      if (told) return;
-      told = true;
-      forget();
-      fn();
+  const { socket } = request;
+  const isClosed = (): boolean => response.destroyed || socket.destroyed;
+  const onClose = (callback: () => void): void => {
+    if (isClosed()) return callback();
+    let notified = false;
+    const notify = (): void => {
+      if (notified) return;
+      notified = true;
+      unsubscribe();
+      callback();
     };
-    const forget = onSocketClose(socket, once);
-    res.once('close', once);
+    const unsubscribe = onSocketClose(socket, notify);
+    response.once('close', notify);
   };
   return { isClosed, onClose };
 };
-const hasLength = (headers: Record<string, string> | readonly string[]): boolean => {
+const includesContentLength = (headers: Record<string, string> | readonly string[]): boolean => {
   const names = Array.isArray(headers) ? headers.filter((_, i) => i % 2 === 0) : Object.keys(headers);
   return names.some((name: string) => name.toLowerCase() === 'content-length');
 };
-const say = (req: http.IncomingMessage, res: http.ServerResponse): HttpResponseWriter => {
-  const { isClosed, onClose } = closing(req, res);
-  let framed = false;
+const responseWriter = (request: http.IncomingMessage, response: http.ServerResponse): HttpResponseWriter => {
+  const { isClosed, onClose } = closeNotifier(request, response);
+  let hasContentLength = false;
   return {
     writeHead: (status, headers) => {
-      framed = hasLength(headers);
-      res.writeHead(status, headers as Record<string, string>);
+      hasContentLength = includesContentLength(headers);
+      response.writeHead(status, headers as Record<string, string>);
     },
-    write: (piece) => isClosed() || res.write(piece),
+    write: (chunk) => isClosed() || response.write(chunk),
     drained: () =>
-      new Promise((fin) => {
-        if (isClosed() || !res.writableNeedDrain) return fin();
-        res.once('drain', fin);
-        onClose(fin);
+      new Promise((resolve) => {
+        if (isClosed() || !response.writableNeedDrain) return resolve();
+        response.once('drain', resolve);
+        onClose(resolve);
       }),
-    end: (piece) => void res.end(piece),
+    end: (chunk) => void response.end(chunk),
     abort: () => {
-      // Where nothing but the end of the connection ends an answer, only a reset shows that it was cut.
-      if (res.headersSent && !framed && !res.chunkedEncoding) res.socket?.resetAndDestroy();
-      res.destroy();
+      // A response that is delimited by the end of the connection looks complete unless the connection is reset.
+      if (response.headersSent && !hasContentLength && !response.chunkedEncoding) response.socket?.resetAndDestroy();
+      response.destroy();
     },
     isClosed,
     onClose,
   };
 };
 
-/** A handler as Node's own servers and polka call it. */
-export type Listener = (req: http.IncomingMessage, res: http.ServerResponse, next?: () => void) => void;
-/** Most requests are passed on as bytes: their text and query are made only if somebody reads them. */
-const asked = (req: http.IncomingMessage, url: URL, bytes: Buffer, tooBig: boolean): HttpRequest => {
+/** A request listener of Node's HTTP server or middleware of polka. */
+export type RequestListener = (request: http.IncomingMessage, response: http.ServerResponse, next?: () => void) => void;
+/**
+ * Converts a Node request. The body text and the query are decoded on first access, because most requests are forwarded
+ * as bytes.
+ */
+const toHttpRequest = (request: http.IncomingMessage, url: URL, bytes: Buffer, bodyTooLarge: boolean): HttpRequest => {
   let text: string | undefined;
   let query: Record<string, string> | undefined;
-  const ask = {
-    method: req.method ?? 'GET',
+  const fields = {
+    method: request.method ?? 'GET',
     path: url.pathname,
-    target: req.url ?? '/',
-    headers: flatHeaders(req.headers),
-    rawHeaders: req.rawHeaders,
+    target: request.url ?? '/',
+    headers: flatHeaders(request.headers),
+    rawHeaders: request.rawHeaders,
     bytes,
-    bodyTooLarge: tooBig,
+    bodyTooLarge,
   };
-  return Object.defineProperties(ask, {
+  return Object.defineProperties(fields, {
     body: { get: () => (text ??= bytes.toString('utf8')), enumerable: true },
     query: { get: () => (query ??= Object.fromEntries(url.searchParams)), enumerable: true },
   }) as unknown as HttpRequest;
 };
-const addressOf = (req: http.IncomingMessage): URL | undefined => {
+/** Parses the request target; undefined if it is not a valid path or URL. */
+const parseUrl = (request: http.IncomingMessage): URL | undefined => {
   try {
-    return new URL(req.url ?? '/', 'http://x');
+    return new URL(request.url ?? '/', 'http://x');
   } catch {
     return undefined;
   }
 };
 /**
- * Reads a request whole and hands it to `handler`; if that rejects, the answer is cut.
- * @param maxBody bytes; a longer body is dropped and the request marked `tooBig`, one over four times as long ends the
- * connection
- * @param ours whether a path is served here; for any other path `next` is called, if there is one
+ * Creates a request listener that buffers each request and passes it to `handler`. If the handler rejects, the response
+ * is aborted.
+ * @param maxBodyBytes a longer body is discarded and the request marked `bodyTooLarge`, and a body over four times as
+ * long closes the connection
+ * @param handles whether a path is served here; for any other path `next` is called, if given
  */
-export const listener =
-  (handler: HttpHandler, maxBody: number | (() => number), ours: (path: string) => boolean = () => true): Listener =>
-  (req, res, next) => {
-    const out = say(req, res);
-    const url = addressOf(req);
+export const requestListener =
+  (
+    handler: HttpHandler,
+    maxBodyBytes: number | (() => number),
+    handles: (path: string) => boolean = () => true,
+  ): RequestListener =>
+  (request, response, next) => {
+    const writer = responseWriter(request, response);
+    const url = parseUrl(request);
     if (!url) {
-      out.writeHead(400, { 'content-type': 'application/json' });
-      out.end('{"error":"bad_field","field":"path","ran":"no"}');
+      writer.writeHead(400, { 'content-type': 'application/json' });
+      writer.end('{"error":"bad_field","field":"path","ran":"no"}');
       return;
     }
-    if (next && !ours(url.pathname)) return next();
-    const most = typeof maxBody === 'number' ? maxBody : maxBody();
-    const parts: Buffer[] = [];
+    if (next && !handles(url.pathname)) return next();
+    const limit = typeof maxBodyBytes === 'number' ? maxBodyBytes : maxBodyBytes();
+    const chunks: Buffer[] = [];
     let size = 0;
-    let tooBig = false;
-    req.on('data', (piece: Buffer) => {
-      size += piece.length;
-      if (size > most) {
-        tooBig = true;
-        parts.length = 0;
-      } else parts.push(piece);
-      if (size > most * 4) req.destroy();
+    let bodyTooLarge = false;
+    request.on('data', (chunk: Buffer) => {
+      size += chunk.length;
+      if (size > limit) {
+        bodyTooLarge = true;
+        chunks.length = 0;
+      } else chunks.push(chunk);
+      if (size > limit * 4) request.destroy();
     });
-    req.on('end', () => {
-      const ask = asked(req, url, parts.length === 1 ? parts[0]! : Buffer.concat(parts), tooBig);
+    request.on('end', () => {
+      const received = toHttpRequest(
+        request,
+        url,
+        chunks.length === 1 ? chunks[0]! : Buffer.concat(chunks),
+        bodyTooLarge,
+      );
       Promise.resolve()
-        .then(() => handler(ask, out))
-        .catch(() => out.abort());
+        .then(() => handler(received, writer))
+        .catch(() => writer.abort());
     });
   };
 
-/** How long a close waits for clients that read the end of their answer slowly (§5.6), in microseconds. */
-const flushLimit = 5_000_000;
-/** The answers that a server still owes bytes to its clients. */
-type OpenAnswers = {
-  add: (res: http.ServerResponse) => void;
-  /** Resolves when every answer that has been ended is with the system, or has failed, at the latest at the limit. */
+/** Longest time that `close` waits for clients that read their response slowly (§5.6), in microseconds. */
+const flushTimeout = 5_000_000;
+/** The responses of a server that are not yet closed. */
+type OpenResponses = {
+  add: (response: http.ServerResponse) => void;
+  /** Resolves once every ended response is handed to the operating system or has failed, or after `flushTimeout`. */
   flushed: () => Promise<void>;
 };
-const openAnswers = (): OpenAnswers => {
+const trackResponses = (): OpenResponses => {
   const open = new Set<http.ServerResponse>();
-  const over = (res: http.ServerResponse): Promise<void> =>
-    new Promise((done) => {
-      res.once('close', done);
+  const whenClosed = (response: http.ServerResponse): Promise<void> =>
+    new Promise((resolve) => {
+      response.once('close', resolve);
     });
   return {
-    add: (res) => {
-      open.add(res);
-      res.once('close', () => void open.delete(res));
+    add: (response) => {
+      open.add(response);
+      response.once('close', () => void open.delete(response));
     },
     flushed: async () => {
-      const unsent = [...open].filter((res) => res.writableEnded && !res.writableFinished);
+      const unsent = [...open].filter((response) => response.writableEnded && !response.writableFinished);
       if (!unsent.length) return;
       let timer: NodeJS.Timeout | undefined;
-      const limit = new Promise<void>((done) => {
-        timer = setTimeout(done, flushLimit / 1000);
+      const timeout = new Promise<void>((resolve) => {
+        timer = setTimeout(resolve, flushTimeout / 1000);
       });
-      await Promise.race([Promise.all(unsent.map(over)), limit]);
+      await Promise.race([Promise.all(unsent.map(whenClosed)), timeout]);
       clearTimeout(timer);
     },
   };
 };
-const serverClosed = (server: http.Server): Promise<void> =>
-  new Promise((done) => {
-    server.close(() => done());
+const closeServer = (server: http.Server): Promise<void> =>
+  new Promise((resolve) => {
+    server.close(() => resolve());
     server.closeIdleConnections();
   });
 
 /**
- * Serves HTTP at an address. Its `close` lets answers that were ended be written out, then ends idle connections and
- * resolves once all are closed. Fails at step `http.bind` if the address can't be had.
+ * Serves HTTP at an address. `close` first flushes responses that were ended, then closes idle connections, and
+ * resolves once all connections are closed. Rejects with step `http.bind` if the address can't be bound.
  */
-export const serve: Net['serveHttp'] = (at, handler, limits) =>
-  new Promise((done, fail) => {
-    const bounds: HttpLimits = typeof limits === 'number' ? { maxBodyBytes: () => limits } : limits;
-    const server = http.createServer({ ...(bounds.maxHeaderBytes ? { maxHeaderSize: bounds.maxHeaderBytes } : {}) });
-    const setTimes = (): void => {
-      server.keepAliveTimeout = bounds.keepAliveTimeout ? bounds.keepAliveTimeout() / 1000 : 5_000;
-      if (bounds.headersTimeout) server.headersTimeout = bounds.headersTimeout() / 1000;
+export const serveHttp: Net['serveHttp'] = (bindAddress, handler, limits) =>
+  new Promise((resolve, reject) => {
+    const httpLimits: HttpLimits = typeof limits === 'number' ? { maxBodyBytes: () => limits } : limits;
+    const server = http.createServer({
+      ...(httpLimits.maxHeaderBytes ? { maxHeaderSize: httpLimits.maxHeaderBytes } : {}),
+    });
+    const applyTimeouts = (): void => {
+      server.keepAliveTimeout = httpLimits.keepAliveTimeout ? httpLimits.keepAliveTimeout() / 1000 : 5_000;
+      if (httpLimits.headersTimeout) server.headersTimeout = httpLimits.headersTimeout() / 1000;
     };
-    setTimes();
-    const times = setInterval(setTimes, 1_000);
-    times.unref();
-    const answers = openAnswers();
-    server.on('request', (_, res) => answers.add(res));
-    const listen = listener(handler, bounds.maxBodyBytes);
+    applyTimeouts();
+    const refreshTimer = setInterval(applyTimeouts, 1_000);
+    refreshTimer.unref();
+    const responses = trackResponses();
+    server.on('request', (_, response) => responses.add(response));
+    const listen = requestListener(handler, httpLimits.maxBodyBytes);
     const app = polka({
       server,
-      onError: (_e, _req, res) => void res.destroy(),
-      onNoMatch: (req, res) => listen(req, res),
+      onError: (_error, _request, response) => void response.destroy(),
+      onNoMatch: (request, response) => listen(request, response),
     });
-    server.on('error', (cause) => fail(fault.make({ step: 'http.bind', sibling: at }, cause.message, cause)));
-    app.listen(address.port(at), address.host(at), () => {
+    server.on('error', (cause) => reject(fault.make({ step: 'http.bind', peer: bindAddress }, cause.message, cause)));
+    app.listen(address.port(bindAddress), address.host(bindAddress), () => {
       const bound = server.address() as net.AddressInfo;
-      done({
+      resolve({
         at: `${bound.address}:${bound.port}`,
         close: async () => {
-          clearInterval(times);
-          // Node takes a connection for idle, and destroys it, as soon as its answer is ended, written out or not.
-          await answers.flushed();
-          await serverClosed(server);
+          clearInterval(refreshTimer);
+          // Node treats a connection as idle and destroys it once its response is ended, even if not yet written out.
+          await responses.flushed();
+          await closeServer(server);
         },
       });
     });
--- a/packages/runtime/src/http.ts
+++ b/packages/runtime/src/http.ts
@@ -1,51 +1,58 @@
-/** HTTP as the parts of thornsail see it (§2.1): a server, and requests of this process. */
+/** HTTP types shared by the server and the client of a process (§2.1). */
 import type { Address } from './address.js';
 import type { Microseconds } from './duration.js';
 
-/** A request as the server received it, whole. */
+/** A request received by the server, with its complete body. */
 export type HttpRequest = {
   method: string;
   path: string;
   query: Record<string, string>;
-  /** Path and query as they came, byte for byte. */
+  /** Path and query byte for byte as received. */
   target: string;
+  /** Values by name in lower case. */
   headers: Record<string, string>;
-  /** Name, value, name, value: in the order and case in which they came. */
+  /** Alternating names and values, in the order and case in which they were received. */
   rawHeaders: readonly string[];
+  /** The body; empty if `bodyTooLarge`. */
   bytes: Uint8Array;
-  /** The bytes read as UTF-8. */
+  /** The body decoded as UTF-8. */
   body: string;
+  /** Whether the body exceeded the limit and was discarded. */
   bodyTooLarge: boolean;
 };
 /** Writes the response to one request. */
 export type HttpResponseWriter = {
   writeHead: (status: number, headers: Record<string, string> | readonly string[]) => void;
-  /** False when the reader is slow: wait for `drained` before the next chunk. */
+  /** Returns false if the client reads slowly: wait for `drained` before the next chunk. */
   write: (chunk: string | Uint8Array) => boolean;
+  /** Resolves once more can be written, or the response is closed. */
   drained: () => Promise<void>;
   end: (chunk?: string | Uint8Array) => void;
-  /** Breaks the stream off so that it cannot look complete (§5.6). */
+  /** Aborts the response such that it can't look complete to the client (§5.6). */
   abort: () => void;
+  /** Whether the client has disconnected or the response is finished. */
   isClosed: () => boolean;
-  onClose: (fn: () => void) => void;
+  /** Calls `callback` once when the response is closed; immediately if it is closed already. */
+  onClose: (callback: () => void) => void;
 };
-/** Answers one request. What it throws is answered with 500, or breaks the response off if it has begun. */
+/** Handles one request. If it throws or rejects, the response is aborted. */
 export type HttpHandler = (request: HttpRequest, response: HttpResponseWriter) => void | Promise<void>;
-/** A request that this process makes. */
+/** A request sent by this process. */
 export type HttpClientRequest = {
+  /** The server's address. */
   at: Address;
   method: string;
   path: string;
   headers?: Record<string, string>;
   body?: string;
-  /** How long the status line and headers may take, in microseconds. */
+  /** Time limit for the status line and headers. */
   headersTimeout: Microseconds;
-  /** How long no byte of the body may come, in microseconds. */
+  /** Time limit between two chunks of the body. */
   bodyTimeout?: Microseconds;
-  /** Never reuse a kept-alive connection (§5.4). */
+  /** Use a new connection instead of a pooled one (§5.4). */
   newConnection?: boolean;
 };
-/** The response to it; `body` fails if the response breaks off. */
+/** The response to an `HttpClientRequest`; reading `body` fails if the response is cut off. */
 export type HttpClientResponse = {
   status: number;
   headers: Record<string, string>;
@@ -53,19 +60,19 @@
   abort: () => void;
 };
 
-/** Reads a body to its end. Rejects if the response breaks off. */
+/** Reads a body to its end. Rejects if the response is cut off. */
 export const readText = async (body: AsyncIterable<string>): Promise<string> => {
   let text = '';
   for await (const chunk of body) text += chunk;
   return text;
 };
-/** Limits on what clients may send, read anew for each request; times in microseconds. */
+/** Limits of a server on its clients. Functions are evaluated again while the server runs. */
 export type HttpLimits = {
   maxBodyBytes: () => number;
-  /** Fixed at the start. */
+  /** Fixed when the server starts. */
   maxHeaderBytes?: number;
   headersTimeout?: () => Microseconds;
   keepAliveTimeout?: () => Microseconds;
 };
-/** A listening server; `close` resolves once its responses are written out. */
+/** A listening server and its bound address. `close` resolves once its ended responses are written out. */
 export type HttpServer = { at: Address; close: () => Promise<void> };
--- a/packages/runtime/src/index.ts
+++ b/packages/runtime/src/index.ts
@@ -1,7 +1,7 @@
-/** The runtime: everything that a part may ask of the outside (§2.1), and the small tools that all parts share. */
+/** The runtime: access to clock, random source, network and disk (§2.1), and utilities shared by all packages. */
 export { address, type Address } from './address.js';
 export { time, type Cancel, type Clock } from './clock.js';
-export { files, type FileCalls } from './data-folder.js';
+export { openDataFolder, type FileCalls } from './data-folder.js';
 export type { Disk } from './disk.js';
 export { duration, type Microseconds } from './duration.js';
 export { errorCatalogue, type ErrorCatalogue, type ErrorDetails, type ErrorEntry } from './errors.js';
@@ -18,7 +18,7 @@
   type HttpResponseWriter,
   type HttpServer,
 } from './http.js';
-export type { Listener } from './http-server.js';
+export type { RequestListener } from './http-server.js';
 export { invariant } from './invariant.js';
 export { lock, type Lock } from './lock.js';
 export type { FrameTransport, Net } from './net.js';
--- a/packages/runtime/src/lock.ts
+++ b/packages/runtime/src/lock.ts
@@ -1,25 +1,25 @@
-/** Short locks within one process (§2.3). */
+/** Asynchronous mutexes within one process (§2.3). */
 
-/** Runs `fn` once all earlier callers have ended; its outcome is the caller's. */
-export type Lock = <T>(fn: () => Promise<T>) => Promise<T>;
+/** Runs `task` once all earlier tasks have settled; settles as the task does. */
+export type Lock = <T>(task: () => Promise<T>) => Promise<T>;
 
 const single = (): Lock => {
   let tail: Promise<unknown> = Promise.resolve();
-  return (fn) => {
-    const run = tail.then(fn, fn);
+  return (task) => {
+    const run = tail.then(task, task);
     tail = run.catch(() => undefined);
     return run;
   };
 };
 
-const keyed = (): (<T>(key: string, fn: () => Promise<T>) => Promise<T>) => {
+const keyed = (): (<T>(key: string, task: () => Promise<T>) => Promise<T>) => {
   const inUse = new Map<string, { lock: Lock; users: number }>();
-  return async (key, fn) => {
+  return async (key, task) => {
     const entry = inUse.get(key) ?? { lock: single(), users: 0 };
     inUse.set(key, entry);
     entry.users += 1;
     try {
-      return await entry.lock(fn);
+      return await entry.lock(task);
     } finally {
       entry.users -= 1;
       if (entry.users === 0) inUse.delete(key);
@@ -27,10 +27,10 @@
   };
 };
 
-/** One holder at a time, first come first served. */
+/** Creates locks. Each has one holder at a time; waiting tasks run in the order of their calls. */
 export const lock = {
-  /** A single lock. */
-  one: single,
-  /** A lock for each key; keys that nobody uses take no memory. */
+  /** Creates a single lock. */
+  single,
+  /** Creates a lock per key; unused keys take no memory. */
   keyed,
 };
--- a/packages/runtime/src/net.ts
+++ b/packages/runtime/src/net.ts
@@ -1,28 +1,31 @@
-/** What a process may ask of the network (§2.1). */
+/** The network interface of a process (§2.1). */
 import type { Address } from './address.js';
 import type { Microseconds } from './duration.js';
 import type { HttpConnection } from './exchange.js';
 import type { HttpClientRequest, HttpClientResponse, HttpHandler, HttpLimits, HttpServer } from './http.js';
 
-/** Sends frames to other nodes from one bound address; a frame may be lost without notice. */
+/** Sends frames to other nodes from one bound address (`at`). Frames may be lost without notice. */
 export type FrameTransport = { at: Address; send: (to: Address, text: string) => void; close: () => Promise<void> };
 
 /** The network as one process sees it. */
 export type Net = {
   /**
-   * `onDown` says that the connection to a peer broke or did not come up: what was sent may or may not have
-   * arrived.
+   * Opens a frame transport.
+   * @param onFrame called with each received frame; returns false if it can't be decoded, which closes its connection
+   * @param onDisconnect called when the connection to a peer was lost or could not be established; frames sent over it
+   * may or may not have arrived
+   * @param onProtocolError called when an incoming connection was closed because of an invalid frame
    */
   openFrameTransport: (
-    at: Address,
-    /** False if the frame could not be read: its connection is broken off. */
+    bindAddress: Address,
     onFrame: (from: Address, text: string) => boolean,
-    onDown?: (to: Address) => void,
-    /** A connection was broken off for what came over it. */
-    onBad?: (from: Address, why: string) => void,
+    onDisconnect?: (peer: Address) => void,
+    onProtocolError?: (from: Address, reason: string) => void,
   ) => Promise<FrameTransport>;
-  serveHttp: (at: Address, handler: HttpHandler, limits: number | HttpLimits) => Promise<HttpServer>;
+  /** Starts an HTTP server. A number as `limits` is the maximum size of a request body in bytes. */
+  serveHttp: (bindAddress: Address, handler: HttpHandler, limits: number | HttpLimits) => Promise<HttpServer>;
+  /** Sends one HTTP request over a pooled connection, or over a new one if the request demands it. */
   request: (request: HttpClientRequest) => Promise<HttpClientResponse>;
-  /** Not opened before its first exchange; that fails if it does not come up within `connectWithin`. */
-  connectHttp: (at: Address, options: { connectWithin: Microseconds; onClosed?: () => void }) => HttpConnection;
+  /** Creates a connection that is opened by its first exchange, which fails if this takes over `connectTimeout`. */
+  connectHttp: (address: Address, options: { connectTimeout: Microseconds; onClosed?: () => void }) => HttpConnection;
 };
--- a/packages/runtime/src/random.ts
+++ b/packages/runtime/src/random.ts
@@ -1,11 +1,11 @@
-/** Randomness (§2.1): parts take it from their runtime, so that a simulated run can be repeated. */
+/** Random source (§2.1). Injected through the runtime, so that simulated runs are reproducible. */
 
 /** A source of random values. */
 export type Random = {
-  /** A number from 0 to below 1. */
+  /** Returns a number in [0, 1). */
   next: () => number;
-  /** A whole number from 0 to below `below`. */
-  int: (below: number) => number;
-  /** An identifier that no other process makes. */
+  /** Returns an integer in [0, `limit`). */
+  int: (limit: number) => number;
+  /** Returns a globally unique identifier. */
   id: () => string;
 };
--- a/packages/runtime/src/real.ts
+++ b/packages/runtime/src/real.ts
@@ -1,64 +1,72 @@
-// The real outside: the system clock, a data folder, TCP frames, polka and undici (§2.1).
+/** The production runtime (§2.1): system clock, file system, TCP frames, HTTP by polka and undici. */
 import { randomFillSync } from 'node:crypto';
 import debug from 'debug';
-import { connect } from './connection.js';
-import { files } from './data-folder.js';
-import { frames } from './frames.js';
-import { call } from './http-client.js';
-import { listener, serve } from './http-server.js';
+import { connectHttp } from './connection.js';
+import { openDataFolder } from './data-folder.js';
+import { openFrameTransport } from './frames.js';
+import { sendRequest } from './http-client.js';
+import { requestListener, serveHttp } from './http-server.js';
 import type { Clock } from './clock.js';
 import type { Random } from './random.js';
 import type { Log, Runtime } from './runtime.js';
 
 const clock: Clock = {
   now: () => Number(process.hrtime.bigint() / 1000n),
-  // The system's clock as it is now: it follows corrections, which the process's own origin does not.
+  // Date.now() follows corrections of the system clock; performance.timeOrigin, fixed at process start, does not.
   // eslint-disable-next-line no-restricted-syntax
   wallTime: () => Date.now() * 1000,
-  schedule: (after, fn) => {
-    const t = setTimeout(fn, Math.max(0, after / 1000));
-    return () => clearTimeout(t);
+  schedule: (delay, callback) => {
+    const timer = setTimeout(callback, Math.max(0, delay / 1000));
+    return () => clearTimeout(timer);
   },
 };
 
-/** Random bytes are fetched some thousands at a time: each fetch is a system call. */
+/** A pool of random bytes, refilled as a whole because each refill is a system call. */
 const randomPool = Buffer.allocUnsafeSlow(4096);
-let randomUsed = randomPool.length;
-const randomAt = (n: number): number => {
-  if (randomUsed + n > randomPool.length) {
+let usedBytes = randomPool.length;
+/** Reserves `count` bytes of the pool and returns their offset. */
+const takeRandomBytes = (count: number): number => {
+  if (usedBytes + count > randomPool.length) {
     randomFillSync(randomPool);
-    randomUsed = 0;
+    usedBytes = 0;
   }
-  randomUsed += n;
-  return randomUsed - n;
+  usedBytes += count;
+  return usedBytes - count;
 };
 const rand: Random = {
-  next: () => randomPool.readUInt32BE(randomAt(4)) / 4_294_967_296,
-  int: (below) => Math.floor(rand.next() * below),
+  next: () => randomPool.readUInt32BE(takeRandomBytes(4)) / 4_294_967_296,
+  int: (limit) => Math.floor(rand.next() * limit),
   id: () => {
-    const at = randomAt(9);
-    return randomPool.toString('hex', at, at + 9);
+    const offset = takeRandomBytes(9);
+    return randomPool.toString('hex', offset, offset + 9);
   },
 };
 
-const logs = (part: string): Log => {
+const logOf = (part: string): Log => {
   const logger = debug(`thornsail:${part}`);
   return (text) => {
     if (logger.enabled) logger('%s', typeof text === 'string' ? text : text());
   };
 };
 
+/** The production implementation of the runtime. */
 export const real = {
-  listener,
+  requestListener,
+  /** Creates the runtime of a process with its data in `folder`. */
   runtime: (folder: string): Runtime => ({
     clock,
     rand,
-    disk: files(folder),
-    net: { openFrameTransport: frames, serveHttp: serve, request: call, connectHttp: connect },
-    log: logs,
+    disk: openDataFolder(folder),
+    net: {
+      openFrameTransport: openFrameTransport,
+      serveHttp: serveHttp,
+      request: sendRequest,
+      connectHttp: connectHttp,
+    },
+    log: logOf,
   }),
-  /** What a daemon says unless DEBUG says otherwise: all parts but those that speak for each program or request. */
-  logsByDefault: (): void => {
+  /** Enables the logs of all parts except those that log every program or request; has no effect if DEBUG is set. */
+  enableDefaultLogs: (): void => {
     if (process.env['DEBUG'] === undefined) debug.enable('thornsail:*,-thornsail:admission,-thornsail:requests');
   },
 };
--- a/packages/runtime/src/runtime.ts
+++ b/packages/runtime/src/runtime.ts
@@ -1,13 +1,17 @@
 /**
- * Everything that a part may ask of the outside, as plain functions (§2.1): a part takes a `Runtime` and nothing else.
+ * The injected environment of a process (§2.1). Packages access time, random values, disk, network and log only through
+ * a `Runtime`.
  */
 import type { Clock } from './clock.js';
 import type { Disk } from './disk.js';
 import type { Net } from './net.js';
 import type { Random } from './random.js';
 
-/** Writes one line to the log. A text that costs something to make is given as a function: it is called if logged. */
+/**
+ * Writes one line to the log. A text that is expensive to format is passed as a function, which is called only if the
+ * line is logged.
+ */
 export type Log = (text: string | (() => string)) => void;
 
-/** The outside of one process: the real one (`real.runtime`) or a simulated one. `log` names the part that speaks. */
+/** The environment of a process: production (`real.runtime`) or simulated. `log` creates the log of a named part. */
 export type Runtime = { clock: Clock; rand: Random; disk: Disk; net: Net; log: (part: string) => Log };
--- a/packages/runtime/src/seeded.ts
+++ b/packages/runtime/src/seeded.ts
@@ -1,10 +1,11 @@
-/** A random source that can be repeated (§9.2). */
+/** A reproducible random source (§9.2). */
 import type { Random } from './random.js';
 
+/** Outputs discarded after seeding. */
 const warmUpRounds = 12;
-const toUnit = 4_294_967_296;
+const twoToThe32 = 4_294_967_296;
 
-/** Small Fast Counter (sfc32). The same seed gives the same values. */
+/** The Small Fast Counter generator (sfc32): unsigned 32-bit integers, the same for the same seed. */
 const sfc32 = (seed: number): (() => number) => {
   const state = { a: 0x9e3779b9 ^ seed, b: 0x243f6a88, chaos: 0xb7e15162, counter: seed | 1 };
   return () => {
@@ -18,15 +19,15 @@
   };
 };
 
-/** A seeded random source. The same seed gives the same run. */
+/** Creates a random source; the same seed gives the same sequence of values. */
 export const seeded = (seed: number): Random => {
-  const raw = sfc32(seed);
-  for (let i = 0; i < warmUpRounds; i++) raw();
-  const next = (): number => raw() / toUnit;
-  const word = (): string => raw().toString(36).padStart(7, '0');
+  const nextUint32 = sfc32(seed);
+  for (let i = 0; i < warmUpRounds; i++) nextUint32();
+  const next = (): number => nextUint32() / twoToThe32;
+  const idPart = (): string => nextUint32().toString(36).padStart(7, '0');
   return {
     next,
-    int: (below) => Math.floor(next() * below),
-    id: () => word() + word(),
+    int: (limit) => Math.floor(next() * limit),
+    id: () => idPart() + idPart(),
   };
 };
--- a/packages/runtime/test/answers.test.ts
+++ b/packages/runtime/test/answers.test.ts
@@ -1,13 +1,14 @@
-// What counts as a whole answer on a connection of one's own (§5.8): a raw server writes byte for byte what a worker in
-// trouble may send.
+// Which responses count as complete on a managed connection (§5.8). A raw TCP server sends byte for byte what a faulty
+// worker may send.
 import net from 'node:net';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { real, time, duration, readText, type HttpConnection } from '@thornsail/runtime';
 
 const runtime = real.runtime('/nonexistent');
-const connectWithin = duration.ms(500);
-type Got = { status: number; body: string; how: 'end' | 'fail' | 'silent'; sent: boolean };
+const connectTimeout = duration.ms(500);
+/** The outcome of an exchange; `silent` means that it did not end in time. */
+type ExchangeResult = { status: number; body: string; outcome: 'end' | 'fail' | 'silent'; sent: boolean };
 
 const listen = async (onSocket: (socket: net.Socket) => void): Promise<{ at: string; close: () => Promise<void> }> => {
   const sockets = new Set<net.Socket>();
@@ -16,18 +17,22 @@
     socket.on('error', () => undefined);
     onSocket(socket);
   });
-  await new Promise<void>((up) => void server.listen(0, '127.0.0.1', up));
+  await new Promise<void>((resolve) => void server.listen(0, '127.0.0.1', resolve));
   const close = (): Promise<void> =>
-    new Promise((fin) => {
+    new Promise((resolve) => {
       for (const socket of sockets) socket.destroy();
-      server.close(() => fin());
+      server.close(() => resolve());
     });
   return { at: `127.0.0.1:${(server.address() as net.AddressInfo).port}`, close };
 };
-const exchange = (connection: HttpConnection, target: string, body: Uint8Array | null = null): Promise<Got> =>
-  new Promise((done) => {
-    const got: Got = { status: 0, body: '', how: 'end', sent: false };
-    runtime.clock.schedule(duration.s(1), () => done({ ...got, how: 'silent' }));
+const exchange = (
+  connection: HttpConnection,
+  target: string,
+  body: Uint8Array | null = null,
+): Promise<ExchangeResult> =>
+  new Promise((resolve) => {
+    const result: ExchangeResult = { status: 0, body: '', outcome: 'end', sent: false };
+    runtime.clock.schedule(duration.s(1), () => resolve({ ...result, outcome: 'silent' }));
     connection.exchange(
       {
         method: body ? 'POST' : 'GET',
@@ -36,167 +41,206 @@
         body,
       },
       {
-        onSent: () => void (got.sent = true),
-        onHead: (status) => void (got.status = status),
-        onData: (bytes) => void (got.body += Buffer.from(bytes).toString('latin1')),
-        onEnd: () => done(got),
-        onError: () => done({ ...got, how: 'fail' }),
+        onSent: () => void (result.sent = true),
+        onHead: (status) => void (result.status = status),
+        onData: (bytes) => void (result.body += Buffer.from(bytes).toString('latin1')),
+        onEnd: () => resolve(result),
+        onError: () => resolve({ ...result, outcome: 'fail' }),
       },
     );
   });
 
+/** What the server does with the connection after the response. */
 type Ending = 'reset' | 'close' | 'stay';
-type Case = { what: string; answer: string; ending: Ending; whole: boolean; again: boolean };
+/** `response` follows the status line; `reusable` tells whether the connection may carry another exchange. */
+type TestCase = { name: string; response: string; ending: Ending; complete: boolean; reusable: boolean };
 const chunked = 'transfer-encoding: chunked\r\n';
-const length = (size: number): string => `content-length: ${size}\r\n`;
-const closes = 'connection: close\r\n';
-const cases: Case[] = [
-  { what: 'a length, whole', answer: `${length(2)}\r\nok`, ending: 'stay', whole: true, again: true },
-  { what: 'chunks, whole', answer: `${chunked}\r\n2\r\nok\r\n0\r\n\r\n`, ending: 'stay', whole: true, again: true },
-  { what: 'no length, closed', answer: '\r\nok', ending: 'close', whole: true, again: false },
-  { what: 'no length, reset', answer: '\r\nok', ending: 'reset', whole: false, again: false },
-  { what: 'no length and "close", reset', answer: `${closes}\r\nok`, ending: 'reset', whole: false, again: false },
-  { what: 'a length, short, closed', answer: `${length(9)}\r\nok`, ending: 'close', whole: false, again: false },
-  { what: 'a length, short, reset', answer: `${length(9)}\r\nok`, ending: 'reset', whole: false, again: false },
+const contentLength = (size: number): string => `content-length: ${size}\r\n`;
+const connectionClose = 'connection: close\r\n';
+const testCases: TestCase[] = [
   {
-    what: 'a length and "close", short, closed',
-    answer: `${length(9)}${closes}\r\nok`,
+    name: 'content length, complete',
+    response: `${contentLength(2)}\r\nok`,
+    ending: 'stay',
+    complete: true,
+    reusable: true,
+  },
+  {
+    name: 'chunked, complete',
+    response: `${chunked}\r\n2\r\nok\r\n0\r\n\r\n`,
+    ending: 'stay',
+    complete: true,
+    reusable: true,
+  },
+  { name: 'no length, connection closed', response: '\r\nok', ending: 'close', complete: true, reusable: false },
+  { name: 'no length, connection reset', response: '\r\nok', ending: 'reset', complete: false, reusable: false },
+  {
+    name: 'no length and "close", connection reset',
+    response: `${connectionClose}\r\nok`,
+    ending: 'reset',
+    complete: false,
+    reusable: false,
+  },
+  {
+    name: 'content length, truncated, connection closed',
+    response: `${contentLength(9)}\r\nok`,
+    ending: 'close',
+    complete: false,
+    reusable: false,
+  },
+  {
+    name: 'content length, truncated, connection reset',
+    response: `${contentLength(9)}\r\nok`,
+    ending: 'reset',
+    complete: false,
+    reusable: false,
+  },
+  {
+    name: 'content length and "close", truncated, connection closed',
+    response: `${contentLength(9)}${connectionClose}\r\nok`,
     ending: 'close',
-    whole: false,
-    again: false,
+    complete: false,
+    reusable: false,
   },
   {
-    what: 'a length and "close", short, reset',
-    answer: `${length(9)}${closes}\r\nok`,
+    name: 'content length and "close", truncated, connection reset',
+    response: `${contentLength(9)}${connectionClose}\r\nok`,
     ending: 'reset',
-    whole: false,
-    again: false,
+    complete: false,
+    reusable: false,
   },
   {
-    what: 'chunks without their end, closed',
-    answer: `${chunked}\r\n2\r\nok\r\n`,
+    name: 'chunked without last chunk, connection closed',
+    response: `${chunked}\r\n2\r\nok\r\n`,
     ending: 'close',
-    whole: false,
-    again: false,
+    complete: false,
+    reusable: false,
   },
   {
-    what: 'chunks and "close" without their end, closed',
-    answer: `${chunked}${closes}\r\n2\r\nok\r\n`,
+    name: 'chunked and "close" without last chunk, connection closed',
+    response: `${chunked}${connectionClose}\r\n2\r\nok\r\n`,
     ending: 'close',
-    whole: false,
-    again: false,
+    complete: false,
+    reusable: false,
   },
   {
-    what: 'chunks and "close" without their end, reset',
-    answer: `${chunked}${closes}\r\n2\r\nok\r\n`,
+    name: 'chunked and "close" without last chunk, connection reset',
+    response: `${chunked}${connectionClose}\r\n2\r\nok\r\n`,
     ending: 'reset',
-    whole: false,
-    again: false,
+    complete: false,
+    reusable: false,
   },
   {
-    what: 'a length and "close", whole',
-    answer: `${length(2)}${closes}\r\nok`,
+    name: 'content length and "close", complete',
+    response: `${contentLength(2)}${connectionClose}\r\nok`,
     ending: 'close',
-    whole: true,
-    again: false,
+    complete: true,
+    reusable: false,
   },
   {
-    what: 'more bytes right behind',
-    answer: `${length(2)}\r\nokHTTP/1.1 200 X\r\n${length(4)}\r\nmore`,
+    name: 'followed by another response',
+    response: `${contentLength(2)}\r\nokHTTP/1.1 200 X\r\n${contentLength(4)}\r\nmore`,
     ending: 'stay',
-    whole: true,
-    again: false,
+    complete: true,
+    reusable: false,
   },
   {
-    what: 'a started head right behind',
-    answer: `${length(2)}\r\nokHTTP/1.1 2`,
+    name: 'followed by the beginning of another response',
+    response: `${contentLength(2)}\r\nokHTTP/1.1 2`,
     ending: 'stay',
-    whole: true,
-    again: false,
+    complete: true,
+    reusable: false,
   },
 ];
-const ended = (socket: net.Socket, ending: Ending): void => {
-  // The bytes before it are read first.
+/** Ends the connection as the test case demands. */
+const endConnection = (socket: net.Socket, ending: Ending): void => {
+  // The delay lets the client read the preceding bytes before the reset.
   if (ending === 'reset') setTimeout(() => socket.resetAndDestroy(), 30);
   if (ending === 'close') socket.end();
 };
 
-for (const one of cases)
-  test(`${one.what}: ${one.whole ? 'whole' : 'not whole'}, ${one.again ? 'kept' : 'not used again'}`, async () => {
-    const asked: string[] = [];
+for (const row of testCases)
+  test(`${row.name}: ${row.complete ? 'complete' : 'incomplete'}, ${row.reusable ? 'reused' : 'closed'}`, async () => {
+    const requestedTargets: string[] = [];
     const server = await listen((socket) =>
       socket.on('data', (bytes: Buffer) => {
-        asked.push(bytes.toString('latin1').split(' ')[1] ?? '');
-        socket.write(`HTTP/1.1 200 X\r\n${one.answer}`);
-        ended(socket, one.ending);
+        requestedTargets.push(bytes.toString('latin1').split(' ')[1] ?? '');
+        socket.write(`HTTP/1.1 200 X\r\n${row.response}`);
+        endConnection(socket, row.ending);
       }),
     );
-    const connection = runtime.net.connectHttp(server.at, { connectWithin });
-    const got = await exchange(connection, '/first');
-    assert.is(got.how, one.whole ? 'end' : 'fail');
-    if (one.whole) assert.is(got.body, 'ok');
-    const usable = connection.isOpen();
-    if (one.again) assert.ok(usable);
-    // Whoever asks at once, before anything else could be seen, gets no other's answer either.
+    const connection = runtime.net.connectHttp(server.at, { connectTimeout });
+    const result = await exchange(connection, '/first');
+    assert.is(result.outcome, row.complete ? 'end' : 'fail');
+    if (row.complete) assert.is(result.body, 'ok');
+    const isOpen = connection.isOpen();
+    if (row.reusable) assert.ok(isOpen);
+    // A request sent immediately, before the client can notice anything else, must not get another one's response.
     const next = await exchange(connection, '/second');
-    if (one.again) assert.equal(next, { status: 200, body: 'ok', how: 'end', sent: true });
+    if (row.reusable) assert.equal(next, { status: 200, body: 'ok', outcome: 'end', sent: true });
     else {
-      assert.is(next.how, 'fail');
-      assert.not.ok(asked.includes('/second'), 'the second request has left');
+      assert.is(next.outcome, 'fail');
+      assert.not.ok(requestedTargets.includes('/second'), 'the second request was sent');
     }
     await time.sleep(runtime.clock, duration.ms(60));
-    assert.is(connection.isOpen(), one.again);
+    assert.is(connection.isOpen(), row.reusable);
     connection.close();
     await server.close();
   });
 
-for (const one of cases.filter((x) => x.ending !== 'stay'))
-  test(`a call: ${one.what}: ${one.whole ? 'whole' : 'not whole'}`, async () => {
-    for (const fresh of [true, false]) {
+for (const row of testCases.filter((row) => row.ending !== 'stay'))
+  test(`request: ${row.name}: ${row.complete ? 'complete' : 'incomplete'}`, async () => {
+    for (const newConnection of [true, false]) {
       const server = await listen((socket) =>
         socket.once('data', () => {
-          socket.write(`HTTP/1.1 200 X\r\n${one.answer}`);
-          ended(socket, one.ending);
+          socket.write(`HTTP/1.1 200 X\r\n${row.response}`);
+          endConnection(socket, row.ending);
         }),
       );
-      const call = { at: server.at, method: 'GET', path: '/', headersTimeout: duration.s(1), newConnection: fresh };
-      const text = await runtime.net.request(call).then(
+      const request = {
+        at: server.at,
+        method: 'GET',
+        path: '/',
+        headersTimeout: duration.s(1),
+        newConnection,
+      };
+      const text = await runtime.net.request(request).then(
         (result) => readText(result.body).catch(() => null),
         () => null,
       );
-      assert.is(text, one.whole ? 'ok' : null, fresh ? 'fresh' : 'kept');
+      assert.is(text, row.complete ? 'ok' : null, newConnection ? 'new connection' : 'pooled connection');
       await server.close();
     }
   });
 
-test('an answer before the request is in: the rest of its body is all that may follow it', async () => {
+test('a connection is not reused if the response ends before the request body is fully sent', async () => {
   const size = 24 << 20;
-  let read = 0;
-  let strange = 0;
+  let receivedBytes = 0;
+  let unexpectedBytes = 0;
   const server = await listen((socket) => {
-    let begun = false;
+    let headRead = false;
     socket.on('data', (bytes: Buffer) => {
-      const text = begun ? bytes : bytes.subarray(bytes.indexOf('\r\n\r\n') + 4);
-      read += text.length;
-      strange += text.filter((byte) => byte !== 0x62).length;
-      if (begun) return;
-      begun = true;
-      socket.write(`HTTP/1.1 503 X\r\n${length(4)}\r\nbusy`);
+      const text = headRead ? bytes : bytes.subarray(bytes.indexOf('\r\n\r\n') + 4);
+      receivedBytes += text.length;
+      unexpectedBytes += text.filter((byte) => byte !== 0x62).length;
+      if (headRead) return;
+      headRead = true;
+      socket.write(`HTTP/1.1 503 X\r\n${contentLength(4)}\r\nbusy`);
       socket.pause();
       setTimeout(() => socket.resume(), 150);
     });
   });
-  const connection = runtime.net.connectHttp(server.at, { connectWithin });
-  const got = await exchange(connection, '/long', Buffer.alloc(size, 'b'));
-  assert.is(got.how, 'end');
-  assert.is(got.status, 503);
-  assert.not.ok(connection.isOpen(), 'it still owes the rest of a body');
+  const connection = runtime.net.connectHttp(server.at, { connectTimeout });
+  const result = await exchange(connection, '/long', Buffer.alloc(size, 'b'));
+  assert.is(result.outcome, 'end');
+  assert.is(result.status, 503);
+  assert.not.ok(connection.isOpen(), 'the connection is open with unsent body bytes');
   const next = await exchange(connection, '/second');
-  assert.is(next.how, 'fail');
+  assert.is(next.outcome, 'fail');
   assert.not.ok(next.sent);
   await time.sleep(runtime.clock, duration.ms(400));
-  assert.is(strange, 0);
-  assert.ok(read < size);
+  assert.is(unexpectedBytes, 0);
+  assert.ok(receivedBytes < size);
   connection.close();
   await server.close();
 });
--- a/packages/runtime/test/disk.test.ts
+++ b/packages/runtime/test/disk.test.ts
@@ -1,11 +1,11 @@
-// The data folder when the disk is full or fails, step by step (§6.1).
+// The data folder on a disk that is full or fails, for each step of a write (§6.1).
 import { promises as fs } from 'node:fs';
 import { mkdtempSync, readdirSync } from 'node:fs';
 import os from 'node:os';
 import path from 'node:path';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { fault, files, type FileCalls } from '@thornsail/runtime';
+import { fault, openDataFolder, type FileCalls } from '@thornsail/runtime';
 import {
   recordStore,
   durableStore,
@@ -15,64 +15,65 @@
   recoverFolder,
 } from '@thornsail/durable-files';
 
+/** The step of a disk operation that fails; `folder` is the sync of the folder. */
 type Step = 'open' | 'write' | 'sync' | 'rename' | 'folder' | 'read' | 'none';
-/** File calls of which one fails, with a code of the system's. */
-const failing = (what: { step: Step; code: string }, seen: Step[] = []): FileCalls => {
-  const fail = (step: Step): void => {
-    seen.push(step);
-    if (what.step === step) throw Object.assign(new Error(`${what.code}: injected`), { code: what.code });
+/** File system calls of which one step fails with a system error code; each step is recorded. */
+const failing = (failure: { step: Step; code: string }, recordedSteps: Step[] = []): FileCalls => {
+  const failAt = (step: Step): void => {
+    recordedSteps.push(step);
+    if (failure.step === step) throw Object.assign(new Error(`${failure.code}: injected`), { code: failure.code });
   };
-  const open = async (file: Parameters<typeof fs.open>[0], how?: string): Promise<fs.FileHandle> => {
-    if (how === 'w') fail('open');
-    const f = await fs.open(file, how);
-    return new Proxy(f, {
-      get: (t, k: keyof fs.FileHandle) => {
-        const step: Partial<Record<keyof fs.FileHandle, Step>> = {
+  const open = async (filePath: Parameters<typeof fs.open>[0], flags?: string): Promise<fs.FileHandle> => {
+    if (flags === 'w') failAt('open');
+    const handle = await fs.open(filePath, flags);
+    return new Proxy(handle, {
+      get: (target, property: keyof fs.FileHandle) => {
+        const steps: Partial<Record<keyof fs.FileHandle, Step>> = {
           writeFile: 'write',
           datasync: 'sync',
           sync: 'folder',
         };
-        const v: unknown = Reflect.get(t, k);
-        if (typeof v !== 'function') return v;
-        return (...a: unknown[]) =>
+        const value: unknown = Reflect.get(target, property);
+        if (typeof value !== 'function') return value;
+        return (...args: unknown[]) =>
           new Promise((resolve) => {
-            const s = step[k];
-            if (s) fail(s);
-            resolve((v as (...x: unknown[]) => unknown).apply(t, a));
+            const step = steps[property];
+            if (step) failAt(step);
+            resolve((value as (...parameters: unknown[]) => unknown).apply(target, args));
           });
       },
     });
   };
-  const rename: typeof fs.rename = async (a, b) => {
-    fail('rename');
-    return fs.rename(a, b);
+  const rename: typeof fs.rename = async (from, to) => {
+    failAt('rename');
+    return fs.rename(from, to);
   };
-  const readFile = (async (...a: Parameters<typeof fs.readFile>) => {
-    fail('read');
-    return fs.readFile(...a);
+  const readFile = (async (...args: Parameters<typeof fs.readFile>) => {
+    failAt('read');
+    return fs.readFile(...args);
   }) as typeof fs.readFile;
   return { ...fs, open: open as typeof fs.open, rename, readFile };
 };
-const folder = (): string => mkdtempSync(path.join(os.tmpdir(), 'thornsail-disk-'));
+const temporaryFolder = (): string => mkdtempSync(path.join(os.tmpdir(), 'thornsail-disk-'));
 const codeOf = async (work: Promise<unknown>): Promise<string> =>
   work.then(
     () => 'ok',
-    (e) => fault.info(e).code ?? 'none',
+    (error) => fault.info(error).code ?? 'none',
   );
 
-test('a full disk refuses before anything has changed, and serves again when there is room', async () => {
+test('a full disk rejects writes without any change, and accepts them again when there is space', async () => {
   for (const step of ['open', 'write'] as const) {
-    const dir = folder();
-    const what = { step: 'none' as Step, code: 'ENOSPC' };
+    const folder = temporaryFolder();
+    const failure = { step: 'none' as Step, code: 'ENOSPC' };
     let stopped = 0;
-    const durable = await durableStore.open(files(dir, failing(what)), () => (stopped += 1));
+    const durable = await durableStore.open(openDataFolder(folder, failing(failure)), () => (stopped += 1));
     await durable.write('a', 1, { v: 1 });
-    what.step = step;
+    failure.step = step;
     assert.is(await codeOf(durable.write('a', 2, { v: 2 })), 'full');
-    assert.equal(readdirSync(dir), ['a.000000000001'], 'nothing is left behind');
-    what.step = 'none';
+    assert.equal(readdirSync(folder), ['a.000000000001'], 'nothing is left behind');
+    failure.step = 'none';
     await durable.write('a', 3, { v: 3 });
-    assert.equal((await (await durableStore.open(files(dir))).read<{ v: number }>('a'))?.value, { v: 3 });
+    assert.equal((await (await durableStore.open(openDataFolder(folder))).read<{ v: number }>('a'))?.value, { v: 3 });
     assert.is(stopped, 0);
   }
 });
@@ -85,77 +86,89 @@
     ['rename', 'EIO'],
     ['folder', 'EIO'],
   ] as const) {
-    const dir = folder();
-    const what = { step: 'none' as Step, code };
+    const folder = temporaryFolder();
+    const failure = { step: 'none' as Step, code };
     let stopped = 0;
-    const durable = await durableStore.open(files(dir, failing(what)), () => (stopped += 1));
+    const durable = await durableStore.open(openDataFolder(folder, failing(failure)), () => (stopped += 1));
     await durable.write('a', 1, { v: 1 });
-    what.step = step;
+    failure.step = step;
     assert.is(await codeOf(durable.write('a', 2, { v: 2 })), 'failed', step);
-    what.step = 'none';
-    assert.is(await codeOf(durable.write('a', 3, { v: 3 })), 'failed', `${step}: a second try must not seem to work`);
+    failure.step = 'none';
+    assert.is(await codeOf(durable.write('a', 3, { v: 3 })), 'failed', `${step}: a retry must not appear to succeed`);
     assert.is(await codeOf(durable.write('b', 1, {})), 'failed');
     assert.is(stopped, 1);
-    const v = (await (await durableStore.open(files(dir))).read<{ v: number }>('a'))?.value.v;
-    assert.ok(v === 1 || v === 2, `${step}: ${String(v)}`);
+    const value = (await (await durableStore.open(openDataFolder(folder))).read<{ v: number }>('a'))?.value.v;
+    assert.ok(value === 1 || value === 2, `${step}: ${String(value)}`);
   }
 });
 
 test('a file that cannot be read is an error, not a missing file or a damaged folder', async () => {
-  const dir = folder();
-  await (await durableStore.open(files(dir))).write('a', 1, { v: 1 });
-  const what = { step: 'read' as Step, code: 'EIO' };
-  const durable = await durableStore.open(files(dir, failing(what)));
+  const folder = temporaryFolder();
+  await (await durableStore.open(openDataFolder(folder))).write('a', 1, { v: 1 });
+  const failure = { step: 'read' as Step, code: 'EIO' };
+  const durable = await durableStore.open(openDataFolder(folder, failing(failure)));
   assert.is(await codeOf(recoverFolder(durable, () => undefined)), 'failed');
-  assert.equal(readdirSync(dir), ['a.000000000001']);
+  assert.equal(readdirSync(folder), ['a.000000000001']);
 });
 
-const recordsOf = async (
-  dir: string,
+/** Opens and recovers the records of a folder. */
+const openRecords = async (
+  folder: string,
   calls?: FileCalls,
 ): Promise<{
   records: RecordStore<number>;
-  at: Map<string, RecordEntry<number>>;
+  entries: Map<string, RecordEntry<number>>;
   stopped: () => number;
-  sound: boolean;
+  isValid: boolean;
 }> => {
-  const at = new Map<string, RecordEntry<number>>();
+  const entries = new Map<string, RecordEntry<number>>();
   const index = {
-    get: (k: string) => at.get(k),
-    set: (k: string, s: RecordEntry<number>) => void at.set(k, s),
-    delete: (k: string) => void at.delete(k),
-    clear: () => at.clear(),
+    get: (key: string) => entries.get(key),
+    set: (key: string, entry: RecordEntry<number>) => void entries.set(key, entry),
+    delete: (key: string) => void entries.delete(key),
+    clear: () => entries.clear(),
   };
   let stopped = 0;
-  const durable = await durableStore.open(files(dir, calls), () => (stopped += 1));
+  const durable = await durableStore.open(openDataFolder(folder, calls), () => (stopped += 1));
   const records = recordStore.open<number>({ durable, index, prefix: 'reg:' });
-  const sound = await recoverFolder(durable, () => undefined, undefined, records.load);
-  return { records, at, stopped: () => stopped, sound };
+  const isValid = await recoverFolder(durable, () => undefined, undefined, records.load);
+  return { records, entries, stopped: () => stopped, isValid };
 };
-test('a batch takes one sync of its file; the folder is synced before its name is used, for many at once', async () => {
-  const seen: Step[] = [];
-  const dir = folder();
-  const b = await recordsOf(dir, failing({ step: 'none', code: '' }, seen));
-  const counted = async (count: number, of: string): Promise<Record<string, number>> => {
-    seen.length = 0;
-    await Promise.all(Array.from({ length: count }, (_, i) => b.records.write(`${of}${i}`, i)));
-    return Object.fromEntries([...new Set(seen)].sort().map((step) => [step, seen.filter((s) => s === step).length]));
+test('a batch takes one sync of its file; one sync of the folder precedes the use of many reserved names', async () => {
+  const recordedSteps: Step[] = [];
+  const folder = temporaryFolder();
+  const opened = await openRecords(folder, failing({ step: 'none', code: '' }, recordedSteps));
+  /** Writes records concurrently, and counts the steps that this takes. */
+  const countSteps = async (count: number, prefix: string): Promise<Record<string, number>> => {
+    recordedSteps.length = 0;
+    await Promise.all(Array.from({ length: count }, (_, i) => opened.records.write(`${prefix}${i}`, i)));
+    return Object.fromEntries(
+      [...new Set(recordedSteps)].sort().map((step) => [step, recordedSteps.filter((call) => call === step).length]),
+    );
   };
   const names = Array.from({ length: defaultLimits.reservedFiles }, (_, i) => `b.${String(i + 1).padStart(12, '0')}`);
-  assert.equal(await counted(30, 'k'), { folder: 1, open: defaultLimits.reservedFiles + 1, sync: 1, write: 1 });
-  assert.is(seen.indexOf('folder') < seen.indexOf('write'), true, 'written under a name that did not last');
-  assert.equal(readdirSync(dir), names, 'written in place');
-  assert.equal(await counted(30, 'm'), { open: 1, sync: 1, write: 1 });
-  // The rest of the names, and more of them before these are used up.
+  assert.equal(await countSteps(30, 'k'), { folder: 1, open: defaultLimits.reservedFiles + 1, sync: 1, write: 1 });
+  assert.is(
+    recordedSteps.indexOf('folder') < recordedSteps.indexOf('write'),
+    true,
+    'written to a file whose name was not durable',
+  );
+  assert.equal(readdirSync(folder), names, 'written in place');
+  assert.equal(await countSteps(30, 'm'), { open: 1, sync: 1, write: 1 });
+  // Uses the remaining names; more are reserved before these run out.
   let folderSyncs = 0;
-  for (let i = 2; i < defaultLimits.reservedFiles; i++) folderSyncs += (await counted(1, `n${i}/`))['folder'] ?? 0;
+  for (let i = 2; i < defaultLimits.reservedFiles; i++) folderSyncs += (await countSteps(1, `n${i}/`))['folder'] ?? 0;
   assert.is(folderSyncs, 1);
-  const again = await recordsOf(dir);
-  assert.ok(again.sound && again.at.size === 60 + defaultLimits.reservedFiles - 2 && again.at.get('k7')?.value === 7);
+  const reopened = await openRecords(folder);
+  assert.ok(
+    reopened.isValid &&
+      reopened.entries.size === 60 + defaultLimits.reservedFiles - 2 &&
+      reopened.entries.get('k7')?.value === 7,
+  );
 });
-test('a full disk refuses a batch whole; one that fails in any step is not acknowledged nor tried again', async () => {
-  // Of a batch whose name was reserved before, and of the first one, which reserves names.
-  for (const [step, code, gives, isFirst] of [
+test('a full disk rejects the whole batch; a batch that fails is neither acknowledged nor retried', async () => {
+  // For a batch whose name was reserved before, and for the first one, which reserves names.
+  for (const [step, code, expected, isFirst] of [
     ['open', 'ENOSPC', 'full', false],
     ['open', 'ENOSPC', 'full', true],
     ['open', 'EIO', 'failed', true],
@@ -166,21 +179,21 @@
     ['folder', 'EIO', 'failed', true],
     ['folder', 'ENOSPC', 'failed', true],
   ] as const) {
-    const dir = folder();
-    const what = { step: 'none' as Step, code };
-    const b = await recordsOf(dir, failing(what));
-    if (!isFirst) await b.records.write('a', 1);
-    what.step = step;
-    const codes = await Promise.all([codeOf(b.records.write('a', 2)), codeOf(b.records.write('b', 2))]);
-    assert.equal(codes, [gives, gives], step);
-    assert.is(b.at.get('a')?.value, isFirst ? undefined : 1);
-    what.step = 'none';
-    assert.is(await codeOf(b.records.write('c', 3)), gives === 'full' ? 'ok' : 'failed');
-    assert.is(b.stopped(), gives === 'full' ? 0 : 1);
-    const again = await recordsOf(dir);
-    assert.ok(again.sound && again.at.has('c') === (gives === 'full'), step);
-    assert.ok(isFirst || again.at.has('a'), step);
-    if (gives === 'full') assert.is(again.at.get('a')?.value, isFirst ? undefined : 1);
+    const folder = temporaryFolder();
+    const failure = { step: 'none' as Step, code };
+    const opened = await openRecords(folder, failing(failure));
+    if (!isFirst) await opened.records.write('a', 1);
+    failure.step = step;
+    const codes = await Promise.all([codeOf(opened.records.write('a', 2)), codeOf(opened.records.write('b', 2))]);
+    assert.equal(codes, [expected, expected], step);
+    assert.is(opened.entries.get('a')?.value, isFirst ? undefined : 1);
+    failure.step = 'none';
+    assert.is(await codeOf(opened.records.write('c', 3)), expected === 'full' ? 'ok' : 'failed');
+    assert.is(opened.stopped(), expected === 'full' ? 0 : 1);
+    const reopened = await openRecords(folder);
+    assert.ok(reopened.isValid && reopened.entries.has('c') === (expected === 'full'), step);
+    assert.ok(isFirst || reopened.entries.has('a'), step);
+    if (expected === 'full') assert.is(reopened.entries.get('a')?.value, isFirst ? undefined : 1);
   }
 });
 test.run();
--- a/programs/thornsail/src/bin.ts
+++ b/programs/thornsail/src/bin.ts
@@ -88,7 +88,7 @@
 };
 
 const run = async (role: Role, options: { data?: string }): Promise<void> => {
-  real.logsByDefault();
+  real.enableDefaultLogs();
   const runtime = real.runtime(options.data ?? '/nonexistent');
   const node = await (roles[role] as (l: Runtime, o: never) => Promise<Node>)(runtime, options as never);
   out(`${role} listens at http ${node.http}, siblings ${node.place}`);
--- a/programs/thornsail/src/embed.ts
+++ b/programs/thornsail/src/embed.ts
@@ -1,7 +1,7 @@
 // The data plane in a gateway program of one's own, in one call (§1.1): a gateway of the fleet beside the agent on the
 // same machine, served by whatever HTTP server the program already has.
 import { configSchema, deprecatedNames } from '@thornsail/config-schema';
-import { fault, real, type HttpHandler, type Runtime, type Listener } from '@thornsail/runtime';
+import { fault, real, type HttpHandler, type Runtime, type RequestListener } from '@thornsail/runtime';
 import { root } from '@thornsail/admin-api';
 import { roles } from './roles.js';
 
@@ -16,7 +16,7 @@
 };
 export type Embedded = {
   /** For `http.createServer`, `polka().use` and their like; mount it before anything that reads bodies. */
-  handler: Listener;
+  handler: RequestListener;
   ready: () => { ok: boolean; why: string[] };
   /** Takes nothing new, finishes what runs, leaves the roster. */
   drain: () => Promise<void>;
@@ -43,7 +43,7 @@
     };
     const node = await roles.gateway({ ...runtime, net: { ...runtime.net, serveHttp: serve } }, c.value);
     return {
-      handler: real.listener(given.handler!, largestBody, ours),
+      handler: real.requestListener(given.handler!, largestBody, ours),
       ready: node.ready,
       drain: node.drain,
       close: node.close,
