--- a/tools/simulation/src/guards/durable-files.ts
+++ b/tools/simulation/src/guards/durable-files.ts
@@ -1,22 +1,22 @@
-// Guards of the lines of `durable-files` that keep a rule.
+/** Mutation guards for `durable-files`: lines of its built code without which a test must fail. */
 import { guard, type Guard } from './guard.js';
 
-/** Guards of `durable-files`. */
+/** The guards of `durable-files`. */
 export const durableFilesGuards: readonly Guard[] = [
   guard({
-    name: 'a batch is acknowledged after its sync',
+    name: 'a batch is acknowledged only after its sync',
     rule: '9 durable',
     file: 'durable-files/src/batch-writer.js',
     find:
       'await disk.writeReserved(name, () => recordFormat.seal([...(batch = ' +
       'take()).values()].map(({ line }) => line)))',
     replacement:
-      'const now = recordFormat.seal([...(batch = take()).values()].map((c) => ' +
-      'c.line)); disk.writeReserved(name, () => now)',
+      'const now = recordFormat.seal([...(batch = take()).values()].map((change) => ' +
+      'change.line)); disk.writeReserved(name, () => now)',
     noticedBy: { test: 'durable-files/test/restarts.test.js' },
   }),
   guard({
-    name: 'what a killed process left is synced before it is used',
+    name: 'the last batch of a killed process is synced at startup',
     rule: '9 durable',
     file: 'durable-files/src/record-loader.js',
     find: "await disk.syncExisting([recordFormat.fileName('batch', last)]);",
@@ -24,7 +24,7 @@
     noticedBy: { test: 'durable-files/test/power-loss.test.js' },
   }),
   guard({
-    name: 'names that a killed process left are synced before they are used',
+    name: 'the folder of a killed process is synced at startup',
     rule: '9 durable',
     file: 'durable-files/src/durable-store.js',
     find: 'await folder.syncExisting([]);',
@@ -32,23 +32,23 @@
     noticedBy: { test: 'durable-files/test/power-loss.test.js' },
   }),
   guard({
-    name: 'a batch is written under a name that lasts',
+    name: 'a batch is written only to a file with a durable name',
     rule: '9 durable',
     file: 'durable-files/src/batch-writer.js',
-    find: 'await reservation.upTo(next.batch);',
+    find: 'await reservation.ensureReserved(next.batch);',
     replacement: '',
     noticedBy: { test: 'durable-files/test/power-loss.test.js' },
   }),
   guard({
-    name: 'a removed document is acknowledged after the sync of its folder',
+    name: 'the removal of a document is acknowledged only after the sync of its folder',
     rule: '9 durable',
     file: 'durable-files/src/durable-store.js',
-    find: 'removeOne);\n            await disk.syncExisting([]);',
-    replacement: 'removeOne);',
+    find: 'removeDocument);\n            await disk.syncExisting([]);',
+    replacement: 'removeDocument);',
     noticedBy: { test: 'durable-files/test/power-loss.test.js' },
   }),
   guard({
-    name: 'the mark of a damaged folder goes last',
+    name: 'the erasing marker of a damaged folder is removed last',
     rule: '9 durable',
     file: 'durable-files/src/durable-store.js',
     find: 'await disk.syncExisting([]);\n    await disk.remove(marker);',
@@ -56,7 +56,7 @@
     noticedBy: { test: 'durable-files/test/power-loss.test.js' },
   }),
   guard({
-    name: 'reserved names far up show that what came before is gone',
+    name: 'reserved files too far ahead show that earlier files were lost',
     rule: '9 durable',
     file: 'durable-files/src/record-loader.js',
     find: 'batches[0] > lastMerged + limits.reservedFiles',
@@ -64,7 +64,7 @@
     noticedBy: { test: 'durable-files/test/power-loss.test.js' },
   }),
   guard({
-    name: 'a damaged folder is marked before it is emptied',
+    name: 'a damaged folder is marked before it is erased',
     rule: '9 durable',
     file: 'durable-files/src/durable-store.js',
     find: 'await write(erasingMarker, 1, {});',
@@ -72,7 +72,7 @@
     noticedBy: { test: 'durable-files/test/damage.test.js' },
   }),
   guard({
-    name: 'a damaged batch is not passed over',
+    name: 'a damaged batch is not skipped',
     rule: '9 durable',
     file: 'durable-files/src/record-loader.js',
     find: 'if (!valid.has(batch))',
@@ -82,7 +82,7 @@
     },
   }),
   guard({
-    name: 'a removal is kept as long as an older record is there',
+    name: 'a tombstone is preserved as long as an older version exists',
     rule: '9 durable',
     file: 'durable-files/src/compaction.js',
     find: 'isTombstone(record) && record.olderVersions <= (older.get(key) ?? 0)',
@@ -90,7 +90,7 @@
     noticedBy: { test: 'durable-files/test/restarts.test.js' },
   }),
   guard({
-    name: 'what was merged does not come back',
+    name: 'a merged batch is not loaded again',
     rule: '9 durable',
     file: 'durable-files/src/record-loader.js',
     find: '.filter((batch) => batch > lastMerged)',
@@ -100,7 +100,7 @@
     },
   }),
   guard({
-    name: 'a failed disk is not written again',
+    name: 'a disk is not written after a failed write',
     rule: '9 durable',
     file: 'durable-files/src/guarded-disk.js',
     find: 'if (failed) throw failed;',
@@ -110,7 +110,7 @@
     },
   }),
   guard({
-    name: 'a torn file is recognised',
+    name: 'a torn document is recognised by its checksum',
     rule: '9 durable',
     file: 'durable-files/src/durable-store.js',
     find: 'if (text !== undefined)',
--- a/tools/simulation/src/guards/runtime.ts
+++ b/tools/simulation/src/guards/runtime.ts
@@ -1,36 +1,36 @@
-// Guards of the lines of `runtime` that keep a rule.
+/** Mutation guards for `runtime`: lines of its built code without which a test must fail. */
 import { guard, type Guard } from './guard.js';
 
-/** Guards of `runtime`. */
+/** The guards of `runtime`. */
 export const runtimeGuards: readonly Guard[] = [
   guard({
-    name: 'reserved names are synced with their folder',
+    name: 'the folder is synced after reserving file names',
     rule: '9 durable',
     file: 'runtime/src/data-folder.js',
-    find: "await step('write', makeEmpty(path.join(folder, name)));\n            await step('sync', syncFolder());",
-    replacement: "await step('write', makeEmpty(path.join(folder, name)));",
+    find: "await step('write', createEmpty(path.join(folder, name)));\n            await step('sync', syncFolder());",
+    replacement: "await step('write', createEmpty(path.join(folder, name)));",
     noticedBy: { test: 'durable-files/test/power-loss.test.js' },
   }),
   guard({
-    name: 'a document is acknowledged after the sync of its folder',
+    name: 'a document is acknowledged only after the sync of its folder',
     rule: '9 durable',
     file: 'runtime/src/data-folder.js',
-    find: "underWay.delete(aside);\n            }\n            await step('sync', syncFolder());",
-    replacement: 'underWay.delete(aside);\n            }',
+    find: "inProgress.delete(temporaryName);\n            }\n            await step('sync', syncFolder());",
+    replacement: 'inProgress.delete(temporaryName);\n            }',
     noticedBy: { test: 'durable-files/test/power-loss.test.js' },
   }),
   guard({
-    name: 'a reset ends no answer',
+    name: 'a connection reset does not complete a response',
     rule: 'answers',
     file: 'runtime/src/connector.js',
-    find: 'resetIsAnError(socket);',
+    find: 'failOnReset(socket);',
     replacement: '',
     noticedBy: {
       test: 'runtime/test/answers.test.js',
     },
   }),
   guard({
-    name: 'nothing follows a body that has not left',
+    name: 'a connection is not reused before its request body is fully sent',
     rule: 'answers',
     file: 'runtime/src/connection.js',
     find: 'if (socket && socket.writableLength > 0)',
@@ -38,34 +38,34 @@
     noticedBy: { test: 'runtime/test/answers.test.js' },
   }),
   guard({
-    name: 'whoever asks late is told that the client left',
+    name: 'a close callback added after the client has disconnected is called',
     rule: 'answers',
     file: 'runtime/src/http-server.js',
-    find: 'if (isClosed()) return fn();',
+    find: 'if (isClosed()) return callback();',
     replacement: '',
     noticedBy: { test: 'runtime/test/clients.test.js' },
   }),
   guard({
-    name: 'a request sent ahead is told that its client left',
+    name: 'a pipelined request is notified that its client has disconnected',
     rule: 'answers',
     file: 'runtime/src/http-server.js',
-    find: 'const forget = onSocketClose(socket, once);',
-    replacement: 'const forget = () => undefined;',
+    find: 'const unsubscribe = onSocketClose(socket, notify);',
+    replacement: 'const unsubscribe = () => undefined;',
     noticedBy: { test: 'runtime/test/clients.test.js' },
   }),
   guard({
-    name: 'an answer without a length is cut by a reset',
+    name: 'an aborted response without a length resets its connection',
     rule: 'answers',
     file: 'runtime/src/http-server.js',
-    find: 'if (res.headersSent && !framed && !res.chunkedEncoding)',
+    find: 'if (response.headersSent && !hasContentLength && !response.chunkedEncoding)',
     replacement: 'if (false)',
     noticedBy: { test: 'runtime/test/clients.test.js' },
   }),
   guard({
-    name: 'a server closes behind the answers it still writes',
+    name: 'closing a server first flushes its responses',
     rule: 'answers',
     file: 'runtime/src/http-server.js',
-    find: 'await answers.flushed();',
+    find: 'await responses.flushed();',
     replacement: '',
     noticedBy: { test: 'runtime/test/closing.test.js' },
   }),
--- a/tools/simulation/src/world/connection.ts
+++ b/tools/simulation/src/world/connection.ts
@@ -50,7 +50,7 @@
 };
 
 const failure = (state: ClientState, code: string): Error =>
-  fault.make({ step: 'exchange', sibling: state.at, code }, code);
+  fault.make({ step: 'exchange', peer: state.at, code }, code);
 
 const hangUp = ({ server, toServer }: ClientState): void => {
   if (server) toServer?.send(server.closed);
@@ -166,7 +166,7 @@
   const failUnlessOpen = (code: string) => (): void => {
     if (state.phase === 'connecting') breakOff(state, code);
   };
-  schedule(options.connectWithin, host, failUnlessOpen('UND_ERR_CONNECT_TIMEOUT'));
+  schedule(options.connectTimeout, host, failUnlessOpen('UND_ERR_CONNECT_TIMEOUT'));
   const serverHost = network.hostAt(at);
   if (!serverHost) return schedule(duration.ms(1), host, failUnlessOpen('ECONNREFUSED'));
   if (!serverHost.alive && !serverHost.poweredOff && !network.isPartitioned(host, serverHost))
--- a/tools/simulation/src/world/disk.ts
+++ b/tools/simulation/src/world/disk.ts
@@ -1,5 +1,12 @@
 // The simulated disk (§9.2): file calls with unsynced names and bytes, and what is left of them after a loss of power.
-import { files, duration, type Disk, type FileCalls, type Random, type Microseconds } from '@thornsail/runtime';
+import {
+  openDataFolder,
+  duration,
+  type Disk,
+  type FileCalls,
+  type Random,
+  type Microseconds,
+} from '@thornsail/runtime';
 import { promiseOf } from './promise-of.js';
 
 /** A file's text; undefined where there is no file of that name. */
@@ -265,7 +272,7 @@
   /** The longest time of a sync where a world says nothing else. */
   usualSyncTime: duration.ms(1),
   /** The data folder of one start of a process: what runs on real machines, over the calls of the simulated disk. */
-  of: <H extends DiskHost>(ground: DiskGround<H>, host: H): Disk => files(root, calls(ground, host)),
+  of: <H extends DiskHost>(ground: DiskGround<H>, host: H): Disk => openDataFolder(root, calls(ground, host)),
   end,
   afterPowerLoss,
 };
--- a/tools/simulation/src/world/frames.ts
+++ b/tools/simulation/src/world/frames.ts
@@ -43,7 +43,7 @@
   host: Host,
   ...[at, onFrame, onDown]: Parameters<Net['openFrameTransport']>
 ): FrameTransport => {
-  if (host.frames.has(at)) throw fault.make({ step: 'frames.bind', sibling: at }, 'address in use');
+  if (host.frames.has(at)) throw fault.make({ step: 'frames.bind', peer: at }, 'address in use');
   const listener: FrameListener = { receive: onFrame, onDown: onDown ?? ((): void => undefined), peers: new Set() };
   host.frames.set(at, listener);
   network.bind(at, host);
--- a/tools/simulation/src/world/host.ts
+++ b/tools/simulation/src/world/host.ts
@@ -74,7 +74,7 @@
   listener: Omit<HttpListener, 'admit'>,
   mostConnections = Infinity,
 ): HttpServer => {
-  if (host.http.has(at)) throw fault.make({ step: 'http.bind', sibling: at }, 'address in use');
+  if (host.http.has(at)) throw fault.make({ step: 'http.bind', peer: at }, 'address in use');
   let connections = 0;
   const admit = (change: 1 | -1): boolean => (connections += change) <= mostConnections;
   host.http.set(at, { ...listener, admit });
--- a/tools/simulation/src/world/http-call-body.ts
+++ b/tools/simulation/src/world/http-call-body.ts
@@ -31,7 +31,7 @@
   });
 
 const bodyFailure = (call: HttpCall, why: string): Error =>
-  fault.make({ step: 'http.body', sibling: call.request.at, sent: true }, why);
+  fault.make({ step: 'http.body', peer: call.request.at, sent: true }, why);
 
 /** The body of the response; one that is not read to its end gives the call up. */
 export const readBody = async function* (call: HttpCall): AsyncIterable<Uint8Array> {
--- a/tools/simulation/src/world/http-call-state.ts
+++ b/tools/simulation/src/world/http-call-state.ts
@@ -41,7 +41,7 @@
   for (const run of listeners) run();
 };
 const failure = (call: HttpCall, sent: boolean, code: string): Error =>
-  fault.make({ step: 'http.call', sibling: call.request.at, sent, code }, code);
+  fault.make({ step: 'http.call', peer: call.request.at, sent, code }, code);
 
 const isSameClient = ({ client, clientIncarnation }: HttpCall): boolean => client.incarnation === clientIncarnation;
 const isSamePair = (call: HttpCall): boolean =>
--- a/tools/simulation/test/link.test.ts
+++ b/tools/simulation/test/link.test.ts
@@ -75,7 +75,7 @@
   const server = await wire.real().serve('127.0.0.1:0', misbehaving(runtime), limits);
   const open: HttpConnection[] = [];
   const connect = (onClosed?: () => void): HttpConnection => {
-    const c = runtime.net.connectHttp(server.at, { connectWithin, ...(onClosed ? { onClosed } : {}) });
+    const c = runtime.net.connectHttp(server.at, { connectTimeout: connectWithin, ...(onClosed ? { onClosed } : {}) });
     open.push(c);
     return c;
   };
@@ -102,7 +102,8 @@
     server,
     wire: w.wire(server),
     idleFor: limits.idleFor,
-    connect: (onClosed) => runtime.net.connectHttp(at, { connectWithin, ...(onClosed ? { onClosed } : {}) }),
+    connect: (onClosed) =>
+      runtime.net.connectHttp(at, { connectTimeout: connectWithin, ...(onClosed ? { onClosed } : {}) }),
     sleep: (t) => time.sleep(runtime.clock, t),
   }).then(
     () => void (done = true),
@@ -215,7 +216,7 @@
     }));
   test(`${name}: nothing is sent where nobody listens`, () =>
     bench(async (p) => {
-      const c = p.runtime.net.connectHttp(`${p.at.split(':')[0]!}:1`, { connectWithin });
+      const c = p.runtime.net.connectHttp(`${p.at.split(':')[0]!}:1`, { connectTimeout: connectWithin });
       const g = await ask(c, '/a');
       assert.is(g.how, 'fail');
       assert.not.ok(g.sent);
@@ -246,7 +247,7 @@
       },
       limits,
     );
-    const d = p.runtime.net.connectHttp('10.0.0.2:81', { connectWithin });
+    const d = p.runtime.net.connectHttp('10.0.0.2:81', { connectTimeout: connectWithin });
     await ask(d, '/a');
     const heal = p.w.partitionOneWay([p.server], [p.client]);
     const got = ask(d, '/b');
@@ -296,7 +297,7 @@
   simulated(7, async (p) => {
     let gone = false;
     await p.wire.serve('10.0.0.2:81', (_ask, say) => say.onClose(() => (gone = true)), limits);
-    const c = p.runtime.net.connectHttp('10.0.0.2:81', { connectWithin });
+    const c = p.runtime.net.connectHttp('10.0.0.2:81', { connectTimeout: connectWithin });
     await ask(c, '/a', { runtime: p.runtime, left: duration.ms(50) });
     await p.sleep(duration.ms(50));
     assert.ok(gone);
@@ -314,7 +315,7 @@
       say.end();
     };
     await p.wire.serve('10.0.0.2:81', handler, limits);
-    const c = p.runtime.net.connectHttp('10.0.0.2:81', { connectWithin });
+    const c = p.runtime.net.connectHttp('10.0.0.2:81', { connectTimeout: connectWithin });
     let [size, over] = [0, false];
     const control = c.exchange(
       { method: 'GET', target: '/', headers: [], body: null },
--- a/tools/test-harness/src/wire.ts
+++ b/tools/test-harness/src/wire.ts
@@ -75,7 +75,7 @@
           const { socket } = res;
           if (!socket) return;
           if (forgotten.has(socket)) return void socket.resetAndDestroy();
-          real.listener((ask, say) => handler(ask, wireSay(say, res, socket, forgotten)), largest)(req, res);
+          real.requestListener((ask, say) => handler(ask, wireSay(say, res, socket, forgotten)), largest)(req, res);
         });
         server.keepAliveTimeout = limits.idleFor / duration.ms(1);
         server.on('connection', (accepted: net.Socket) => {
