--- a/packages/data-plane/src/forward/claim.ts
+++ b/packages/data-plane/src/forward/claim.ts
@@ -1,4 +1,4 @@
-/** The key of a forwarded request, whichever gateway it reaches (§5.4): claimed, or answered from its record. */
+/** Claims the idempotency keys of forwarded requests, at whichever gateway (§5.4), or answers from a key's record. */
 import { createHash } from 'node:crypto';
 import { isInFlight } from '../gateway.js';
 import type { IdempotencyKey, KeyClaim, RecordedAnswer } from '../records/idempotency-keys.js';
@@ -18,7 +18,7 @@
   response.writeHead(answer.status, [...answer.headers, 'content-length', String(body.length)]);
   response.end(body);
 };
-/** The answer to a request whose key is claimed by another one. */
+/** Answers a request whose key another request has claimed. */
 const answerCopy = async (request: Request, claim: KeyClaim, key: IdempotencyKey): Promise<void> => {
   if (claim.sum !== undefined && claim.sum !== key.sum)
     return requests.answerError(request, 'key_reused', 'this key came with another request before', null);
@@ -26,16 +26,16 @@
   if (answer && answer.status > 0) return replay(request, answer);
   if (!answer && (await isInFlight(request.gateway, claim))) {
     const text = 'a request with this key is being served';
-    return requests.answerError(request, 'in_progress', text, requests.retrySoon(request));
+    return requests.answerError(request, 'in_progress', text, requests.retryDelay(request));
   }
-  // Nothing is at work any more, and nothing is promised: it may have run.
+  // No gateway serves the other request any more, and it may have run.
   const text = 'a request with this key was sent and its outcome is not known';
   return requests.answerError(request, 'outcome_unknown', text, null);
 };
 
 /**
- * Claims the request's key, if it has one. A claim that could not be kept is followed by no send, and each attempt has
- * an id of its own: that this one has not run, and will not, may be promised.
+ * Claims the request's key, if it has one. After a claim that no majority stored, nothing is sent; and each attempt has
+ * an id of its own. So the client may be promised that this attempt has not run and will not run.
  */
 export const claim = claimStep<Request>({
   whenStale: 'refresh',
@@ -47,11 +47,11 @@
   },
   rejectStale: (request) => {
     request.phases.transition('reject');
-    requests.answerError(request, 'stale', 'this node has just woken', requests.retrySoon(request));
+    requests.answerError(request, 'stale', 'this node has just woken', requests.retryDelay(request));
     return 'answered';
   },
   rejectUnavailable: (request, key) => {
-    request.reservations.key = key; // It may have been written: the records free the key if so.
+    request.reservations.key = key; // The claim may have been written; releasing the reservations frees the key then.
     return requests.storesUnavailable(request, 'the claim could not be kept by a majority');
   },
   answerDuplicate: answerCopy,
--- a/packages/data-plane/src/forward/connections.ts
+++ b/packages/data-plane/src/forward/connections.ts
@@ -1,66 +1,76 @@
-// Connections kept to workers (§5.8): one pool for each life of a worker. Of the idle ones the one that has rested
-// longest is used first, so that a surplus answer shows before the next request is sent; one that its worker is
-// about to close is not used any more.
+/**
+ * Pools of HTTP connections to workers (§5.8), one pool for each incarnation of a worker. The connection that has been
+ * idle longest is used first, so that a surplus response shows before the next request is sent on it. A connection that
+ * its worker is about to close is not used any more.
+ */
 import type { WorkerEntry } from '@thornsail/load-balancer';
 import { duration, type Clock, type HttpConnection, type Net, type Microseconds } from '@thornsail/runtime';
 
-type Kept = { connection: HttpConnection; idleSince: Microseconds; idleFor: Microseconds };
-/** `kept`: its worker is on the list, so that a connection may be kept for its next request. */
-type Pool = { idle: Kept[]; used: number; kept: boolean };
+type IdleConnection = { connection: HttpConnection; idleSince: Microseconds; idleFor: Microseconds };
+/** `used`: connections in use. `listed`: the worker is on the worker list, so idle connections are pooled. */
+type Pool = { idle: IdleConnection[]; used: number; listed: boolean };
+/** A connection that serves one exchange. Only the first call of `done` or `discard` has an effect. */
 export type Lease = {
   connection: HttpConnection;
-  /** It has served an exchange before. */
+  /** The connection has served an exchange before. */
   reused: boolean;
-  /** Gives it back after a whole answer; `keepAlive` in seconds, as the worker told it. */
+  /**
+   * Returns the connection to the pool after a complete response. `keepAlive`: the idle timeout of the worker's
+   * Keep-Alive header in seconds, null if it sent none.
+   */
   done: (keepAlive: number | null) => void;
-  /** Not to be used again: what comes over it next may belong to nobody. */
-  spoilt: () => void;
+  /** Closes the connection, since the next bytes on it may belong to no request. */
+  discard: () => void;
 };
+/** The connections of one gateway to all workers. */
 export type Connections = {
-  /** Undefined where this gateway's part of what the worker accepts is used up. */
-  take: (w: WorkerEntry, most: number) => Lease | undefined;
-  /** Forgets the workers that are gone. */
+  /** Undefined where `limit` connections to the worker, this gateway's share of its limit, are in use. */
+  acquire: (worker: WorkerEntry, limit: number) => Lease | undefined;
+  /** Closes the pools of the workers that are not among `ids`. */
   retain: (ids: ReadonlySet<string>) => void;
+  /** Metrics: connections opened and reused since the start; `held`: open now, in use or idle. */
   counts: () => { opened: number; reused: number; held: number };
   close: () => void;
 };
 
 const connectWithin = duration.ms(500);
-/** A worker that tells nothing keeps an idle connection for at least so long, by what we have seen. */
-const untold = duration.s(4);
-/** What is left of a worker's own time when a connection is not used any more. */
-const margin = duration.ms(400);
+/** Idle timeout assumed for a worker that announces none: workers were seen to keep idle connections at least 4 s. */
+const defaultIdleTimeout = duration.s(4);
+/** A connection is not used any more when its worker is to close it within this time. */
+const idleTimeoutMargin = duration.ms(400);
 
+/** Opens the connection pools of one gateway. */
 export const connections = {
-  open: (o: { clock: Clock; net: Net }): Connections => {
+  open: (options: { clock: Clock; net: Net }): Connections => {
     const pools = new Map<string, Pool>();
-    const c = { opened: 0, reused: 0 };
+    const counters = { opened: 0, reused: 0 };
     const poolOf = (id: string): Pool => {
-      const pool = pools.get(id) ?? { idle: [], used: 0, kept: true };
+      const pool = pools.get(id) ?? { idle: [], used: 0, listed: true };
       pools.set(id, pool);
       return pool;
     };
-    /** Its idle connections are closed now, those in use behind their answers; these count until then. */
-    const giveUp = (id: string, pool: Pool): void => {
-      pool.kept = false;
+    /** Closes idle connections now; those in use count until their responses have ended, and are closed then. */
+    const closePool = (id: string, pool: Pool): void => {
+      pool.listed = false;
       for (const { connection } of pool.idle.splice(0)) connection.close();
       if (pool.used === 0) pools.delete(id);
     };
-    const fit = (k: Kept): boolean => k.connection.isOpen() && o.clock.now() - k.idleSince < k.idleFor;
-    const rested = (pool: Pool): HttpConnection | undefined => {
-      for (let k = pool.idle.shift(); k; k = pool.idle.shift()) {
-        if (fit(k)) return k.connection;
-        k.connection.close();
+    const isUsable = (entry: IdleConnection): boolean =>
+      entry.connection.isOpen() && options.clock.now() - entry.idleSince < entry.idleFor;
+    const takeIdle = (pool: Pool): HttpConnection | undefined => {
+      for (let entry = pool.idle.shift(); entry; entry = pool.idle.shift()) {
+        if (isUsable(entry)) return entry.connection;
+        entry.connection.close();
       }
       return undefined;
     };
-    const leased = (id: string, pool: Pool, connection: HttpConnection, reused: boolean): Lease => {
-      let over = false;
+    const createLease = (id: string, pool: Pool, connection: HttpConnection, reused: boolean): Lease => {
+      let ended = false;
       const end = (): boolean => {
-        if (over) return false;
-        over = true;
+        if (ended) return false;
+        ended = true;
         pool.used -= 1;
-        if (!pool.kept && pool.used === 0) pools.delete(id);
+        if (!pool.listed && pool.used === 0) pools.delete(id);
         return true;
       };
       return {
@@ -68,36 +78,45 @@
         reused,
         done: (keepAlive) => {
           if (!end()) return;
-          const idleFor = keepAlive === null ? untold : Math.max(0, duration.s(keepAlive) - margin);
-          if (pool.kept && connection.isOpen() && idleFor > 0)
-            pool.idle.push({ connection, idleSince: o.clock.now(), idleFor });
+          const idleFor =
+            keepAlive === null ? defaultIdleTimeout : Math.max(0, duration.s(keepAlive) - idleTimeoutMargin);
+          if (pool.listed && connection.isOpen() && idleFor > 0)
+            pool.idle.push({ connection, idleSince: options.clock.now(), idleFor });
           else connection.close();
         },
-        spoilt: () => {
+        discard: () => {
           if (end()) connection.close();
         },
       };
     };
     return {
-      take: (w, most) => {
-        const pool = poolOf(w.id);
-        if (pool.used >= most) return undefined;
-        pool.kept = true;
-        const kept = rested(pool);
+      acquire: (worker, limit) => {
+        const pool = poolOf(worker.id);
+        if (pool.used >= limit) return undefined;
+        pool.listed = true;
+        const idle = takeIdle(pool);
         pool.used += 1;
-        if (kept) {
-          c.reused += 1;
-          return leased(w.id, pool, kept, true);
+        if (idle) {
+          counters.reused += 1;
+          return createLease(worker.id, pool, idle, true);
         }
-        c.opened += 1;
-        return leased(w.id, pool, o.net.connectHttp(w.at, { connectTimeout: connectWithin }), false);
+        counters.opened += 1;
+        return createLease(
+          worker.id,
+          pool,
+          options.net.connectHttp(worker.at, { connectTimeout: connectWithin }),
+          false,
+        );
       },
       retain: (ids) => {
-        for (const [id, pool] of [...pools]) if (!ids.has(id)) giveUp(id, pool);
+        for (const [id, pool] of [...pools]) if (!ids.has(id)) closePool(id, pool);
       },
-      counts: () => ({ ...c, held: [...pools.values()].reduce((a, p) => a + p.used + p.idle.length, 0) }),
+      counts: () => ({
+        ...counters,
+        held: [...pools.values()].reduce((total, pool) => total + pool.used + pool.idle.length, 0),
+      }),
       close: () => {
-        for (const [id, pool] of [...pools]) giveUp(id, pool);
+        for (const [id, pool] of [...pools]) closePool(id, pool);
       },
     };
   },
--- a/packages/data-plane/src/forward/dialect.ts
+++ b/packages/data-plane/src/forward/dialect.ts
@@ -1,75 +1,89 @@
-// How requests, workers' answers and refusals are worded (§5.7). The request path knows meanings; a dialect knows
-// names. One that keeps its meanings in headers is a table of their names.
+/**
+ * Dialects (§5.7): how requests, worker responses and refusals are encoded on the wire. The request path works on the
+ * parsed values, a dialect maps them to header names. A dialect with all values in headers is a table of their names.
+ */
 import type { Config, Route } from '@thornsail/config-schema';
 import { duration, type HttpRequest, type Microseconds } from '@thornsail/runtime';
 import { errors } from '../errors.js';
 import { refusal, type ForwardRequest, type ForwardPlan, type Refused, type Turn } from './plan.js';
 
-/** Header names in lower case. */
+/** The names of a dialect's headers, in lower case. */
 export type HeaderNames = {
+  /** Id of the caller's attempt; a worker's response repeats it. */
   attempt: string;
+  /** Time until the caller's deadline, or to a worker the time left. */
   deadlineMs: string;
+  /** Idempotency key. */
   key: string;
   program: string;
   session: string;
+  /** Time until the program should end. */
   remainingMs: string;
+  /** Output tokens that the turns of the program together may use. */
   budget: string;
+  /** Length of the prompt and largest output, in tokens. */
   usage: string;
+  /** Attempt id of the turn that this one continues. */
   previous: string;
+  /** Id of the last event that the client has. */
   lastEvent: string;
-  /** To a worker: only the one of this name may run it. */
+  /** To a worker: the worker id that may run the request; another worker at the address must refuse it. */
   expectInstance: string;
-  /** To a worker: only one whose weights have this version may run it. */
+  /** To a worker: the version of the weights that it must have to run the request. */
   expectVersion: string;
-  /** From a worker: the version of its weights, in its head and as a first line of the event at which it changes. */
+  /** From a worker: the version of its weights, in the head and as first line of the event at which it changes. */
   weightVersion: string;
-  /** From a worker: it has not run the request, and never will. */
+  /** From a worker: it has not run the request and will not run it. */
   notRun: string;
-  /** From a worker: the stamp without which a success does not count. */
+  /** From a worker: a header that marks its responses; a success without it is not accepted. */
   seal: string;
-  /** From a worker: running, waiting, slots. */
+  /** From a worker: its load as "running,waiting,slots". */
   load: string;
 };
-/** How many requests a worker runs, how many wait there, and how many it can run at once. */
+/** How many requests a worker runs, how many wait there, and how many it can run concurrently. */
 export type WorkerLoad = { running: number; waiting: number; slots: number };
-/** What the head of a worker's answer says. */
-export type Incoming = {
-  /** It answers the attempt that was sent, and not an earlier one. */
-  mine: boolean;
+/** The parsed head of a worker's response. */
+export type WorkerResponseHead = {
+  /** It names the attempt that was sent, so it is no response to an earlier request on the connection. */
+  matchesAttempt: boolean;
+  /** The worker has not run the request and will not run it. */
   notRun: boolean;
-  /** Another worker has this address. */
+  /** Another worker than the intended one has the address. */
   wrongInstance: boolean;
-  /** A success that carries all a success must carry. */
+  /** A success with the seal and without a content encoding, framed by a length, by chunks or by its status. */
   success: boolean;
-  /** Says success and lacks what a success must carry, a length too; or has an encoding that nobody asked for. */
+  /** A success status without one of these, or another response with a content encoding that was not requested. */
   unsound: boolean;
   load: WorkerLoad | null;
-  /** Seconds for which the worker keeps an idle connection. */
+  /** Idle timeout of the connection in seconds, by the Keep-Alive header; null: not stated. */
   keepAlive: number | null;
 };
-/** An answer as it goes out; headers as name, value, ... */
-export type Words = { status: number; headers: readonly string[]; body: string };
-/** What one attempt at a worker adds to its request: time left in microseconds, length of the body in bytes. */
+/** A refusal as it is sent to the client; headers as name, value, ... */
+export type RefusalResponse = { status: number; headers: readonly string[]; body: string };
+/** What one send to a worker adds to the request. `left`: time until the deadline; `length`: of the body, in bytes. */
 type Send = { instance: string; left: Microseconds; lastEvent: string | null; length: number };
 type Refusal = Omit<Refused, 'kind'>;
-/** Reads and words requests and answers. */
+/** Parses requests and worker responses, and formats what is sent to workers and clients. */
 export type Dialect = {
-  plan: (ask: HttpRequest, config: Config) => ForwardPlan;
-  outgoing: (plan: ForwardRequest, send: Send) => string[];
-  incoming: (plan: ForwardRequest, status: number, headers: Record<string, string>) => Incoming;
-  /** The headers of an answer that are the caller's to see. */
-  passed: (rawHeaders: readonly string[]) => string[];
-  /** The version of weights that headers of a worker's answer tell (name, value, ...), or null. */
+  /** Plans a client's request, or refuses it. */
+  plan: (request: HttpRequest, config: Config) => ForwardPlan;
+  /** The headers of a request to a worker, as name, value, ... */
+  requestHeaders: (plan: ForwardRequest, send: Send) => string[];
+  /** Parses the head of a worker's response; header names in lower case. */
+  responseHead: (plan: ForwardRequest, status: number, headers: Record<string, string>) => WorkerResponseHead;
+  /** The headers of a worker's response that are passed on to the client: all but hop-by-hop headers. */
+  clientHeaders: (rawHeaders: readonly string[]) => string[];
+  /** The version of the weights in the headers (name, value, ...) of a worker's response; null: none. */
   headVersion: (headers: readonly string[]) => string | null;
-  /** The version that begins with this event, or null. */
+  /** The version of the weights that holds from this event on; null: it names none. */
   eventVersion: (event: Buffer) => string | null;
-  /** How long the client waits for its answer by its own word, or null. */
-  patience: (ask: HttpRequest) => Microseconds | null;
-  /** `retryAfter` in seconds, fractions included. */
-  refuse: (refusal: Refusal, retryAfter: number | null) => Words;
+  /** How long the client waits for its answer; null: not stated, or not a number. */
+  clientTimeout: (request: HttpRequest) => Microseconds | null;
+  /** Formats a refusal. `retryAfter` in seconds, which may be fractional; null: no Retry-After header. */
+  refuse: (refusal: Refusal, retryAfter: number | null) => RefusalResponse;
 };
 
-/** What concerns one connection only (RFC 9110 §7.6.1), and what is said anew for each. */
+/** Headers of one connection only (RFC 9110 §7.6.1), and those that are set anew for each message. */
 const hopByHop = new Set([
   'connection',
   'keep-alive',
@@ -83,27 +97,28 @@
   'content-length',
   'expect',
 ]);
-const endToEnd = (raw: readonly string[], but: ReadonlySet<string>): string[] => {
-  const named = new Set<string>();
+/** The end-to-end headers of a message (name, value, ...) except `excluded`. */
+const endToEnd = (raw: readonly string[], excluded: ReadonlySet<string>): string[] => {
+  const namedByConnection = new Set<string>();
   for (let i = 0; i < raw.length; i += 2)
     if (raw[i]!.toLowerCase() === 'connection')
-      for (const name of raw[i + 1]!.split(',')) named.add(name.trim().toLowerCase());
-  const out: string[] = [];
+      for (const name of raw[i + 1]!.split(',')) namedByConnection.add(name.trim().toLowerCase());
+  const kept: string[] = [];
   for (let i = 0; i < raw.length; i += 2) {
     const name = raw[i]!.toLowerCase();
-    if (!hopByHop.has(name) && !named.has(name) && !but.has(name)) out.push(raw[i]!, raw[i + 1]!);
+    if (!hopByHop.has(name) && !namedByConnection.has(name) && !excluded.has(name)) kept.push(raw[i]!, raw[i + 1]!);
   }
-  return out;
+  return kept;
 };
-const none: ReadonlySet<string> = new Set();
+const noNames: ReadonlySet<string> = new Set();
 
-/** The route of a host and path: of those of the host, the longest prefix that begins the path. */
-export const routeOf = (config: Config, host: string, path: string): Route | undefined => {
-  const at = host.toLowerCase().replace(/:\d+$/, '');
+/** The route of the host with the longest prefix of the path; undefined: none matches. */
+export const findRoute = (config: Config, host: string, path: string): Route | undefined => {
+  const hostname = host.toLowerCase().replace(/:\d+$/, '');
   let best: Route | undefined;
   for (const route of config.routes)
     if (
-      route.host.toLowerCase() === at &&
+      route.host.toLowerCase() === hostname &&
       path.startsWith(route.prefix) &&
       route.prefix.length > (best?.prefix.length ?? -1)
     )
@@ -115,16 +130,16 @@
 const number = /^\d{1,12}(\.\d{1,6})?$/;
 const isRefused = (value: unknown): value is Refused => (value as Refused | null)?.kind === 'refuse';
 
-/** Reads one header by its pattern; a missing one is null. */
+/** Reads one header and checks its pattern; a missing header is null, one that does not match a refusal. */
 const reader =
-  (ask: HttpRequest) =>
-  (name: string, ok: RegExp, what: string): string | null | Refused => {
-    const value = ask.headers[name];
+  (request: HttpRequest) =>
+  (name: string, pattern: RegExp, expected: string): string | null | Refused => {
+    const value = request.headers[name];
     if (value === undefined) return null;
-    return ok.test(value) ? value : refusal('bad_field', name, what);
+    return pattern.test(value) ? value : refusal('bad_field', name, expected);
   };
-const turnOf = (ask: HttpRequest, names: HeaderNames): Turn | null | Refused => {
-  const read = reader(ask);
+const turnOf = (request: HttpRequest, names: HeaderNames): Turn | null | Refused => {
+  const read = reader(request);
   const program = read(names.program, printable, '1 to 200 printable characters');
   const session = read(names.session, printable, '1 to 200 printable characters');
   const remaining = read(names.remainingMs, /^-?\d{1,12}(\.\d{1,6})?$/, 'a number of milliseconds');
@@ -138,28 +153,33 @@
     budget: budget === null ? null : Number(budget),
   };
 };
-const usageOf = (ask: HttpRequest, names: HeaderNames): ForwardRequest['usage'] | Refused => {
-  const usage = reader(ask)(names.usage, /^\d{1,12},\d{1,12}$/, 'two whole numbers with a comma between');
+const usageOf = (request: HttpRequest, names: HeaderNames): ForwardRequest['usage'] | Refused => {
+  const usage = reader(request)(names.usage, /^\d{1,12},\d{1,12}$/, 'two whole numbers with a comma between');
   if (isRefused(usage)) return usage;
   const [prompt = 0, most = 0] = usage === null ? [] : usage.split(',').map(Number);
   return { prompt, most };
 };
 
-const planOf = (ask: HttpRequest, config: Config, names: HeaderNames, set: ReadonlySet<string>): ForwardPlan => {
-  const host = ask.headers['host'];
+const planOf = (
+  request: HttpRequest,
+  config: Config,
+  names: HeaderNames,
+  replaced: ReadonlySet<string>,
+): ForwardPlan => {
+  const host = request.headers['host'];
   if (host === undefined) return refusal('missing_field', 'host', 'a host is needed');
-  // As it came: what a worker gets unchanged is what chooses its route.
-  const route = routeOf(config, host, ask.target.split('?', 1)[0]!);
+  // The path as received, not normalised: the worker gets it unchanged, so it must be what selects the route.
+  const route = findRoute(config, host, request.target.split('?', 1)[0]!);
   if (!route) return refusal('no_such_route', null, 'no route leads there');
-  if (ask.bodyTooLarge) return refusal('too_large', 'body', `the body is over ${config.limits.maxBodyBytes} bytes`);
-  const read = reader(ask);
+  if (request.bodyTooLarge) return refusal('too_large', 'body', `the body is over ${config.limits.maxBodyBytes} bytes`);
+  const read = reader(request);
   const attempt = read(names.attempt, printable, '1 to 200 printable characters');
   if (attempt === null) return refusal('missing_field', names.attempt, 'every attempt carries an id of its own');
   const deadline = read(names.deadlineMs, number, 'a number of milliseconds');
   const key = read(names.key, printable, '1 to 200 printable characters');
   const previous = read(names.previous, printable, '1 to 200 printable characters');
-  const turn = turnOf(ask, names);
-  const usage = usageOf(ask, names);
+  const turn = turnOf(request, names);
+  const usage = usageOf(request, names);
   for (const field of [attempt, deadline, key, previous, turn, usage]) if (isRefused(field)) return field;
   if (route.semantics === 'keyed' && key === null)
     return refusal('missing_field', names.key, 'requests of this route carry a key');
@@ -167,12 +187,12 @@
   return {
     kind: 'forward',
     route,
-    cls: route.class,
+    className: route.class,
     attempt: attempt as string,
-    method: ask.method,
-    target: ask.target,
-    headers: endToEnd(ask.rawHeaders, set),
-    body: ask.bytes,
+    method: request.method,
+    target: request.target,
+    headers: endToEnd(request.rawHeaders, replaced),
+    body: request.bytes,
     deadline: Math.min(
       duration.ms(route.deadlineMs),
       deadline === null ? duration.ms(route.deadlineMs) : duration.ms(Number(deadline)),
@@ -181,18 +201,20 @@
     usage: usage as ForwardRequest['usage'],
     turn: stream ? (turn as Turn | null) : null,
     previous: stream && route.keepSeconds > 0 ? (previous as string | null) : null,
-    lastEvent: stream ? (ask.headers[names.lastEvent] ?? null) : null,
-    expectVersion: ask.headers[names.expectVersion] ?? null,
+    lastEvent: stream ? (request.headers[names.lastEvent] ?? null) : null,
+    expectVersion: request.headers[names.expectVersion] ?? null,
   };
 };
 
-const withoutBody: ReadonlySet<number> = new Set([204, 304]);
+const statusesWithoutBody: ReadonlySet<number> = new Set([204, 304]);
 /**
- * Whether the end of an answer can be told from a worker that ended within it. One without a length ends with its
- * connection, and that looks alike for both.
+ * Whether a complete response can be told from one that its worker broke off. A response without a length or chunks
+ * ends when its connection closes, in both cases.
  */
 const isFramed = (status: number, headers: Record<string, string>): boolean =>
-  headers['content-length'] !== undefined || headers['transfer-encoding'] !== undefined || withoutBody.has(status);
+  headers['content-length'] !== undefined ||
+  headers['transfer-encoding'] !== undefined ||
+  statusesWithoutBody.has(status);
 const loadOf = (value: string | undefined): WorkerLoad | null => {
   const match = value === undefined ? null : /^\s*(\d+)\s*,\s*(\d+)\s*,\s*(\d+)\s*$/.exec(value);
   return match ? { running: Number(match[1]), waiting: Number(match[2]), slots: Number(match[3]) } : null;
@@ -202,8 +224,8 @@
   return match ? Number(match[1]) : null;
 };
 
-/** The headers that a worker gets: the client's own, and what is said anew for this attempt. */
-const outgoingOf = (names: HeaderNames, plan: ForwardRequest, send: Send): string[] => [
+/** The headers that a worker gets: those of the client, and those that are set for this send. */
+const requestHeadersOf = (names: HeaderNames, plan: ForwardRequest, send: Send): string[] => [
   ...plan.headers,
   names.deadlineMs,
   String(Math.max(1, duration.toMs(send.left))),
@@ -213,30 +235,30 @@
   ...(plan.expectVersion === null ? [] : [names.expectVersion, plan.expectVersion]),
   ...(send.length > 0 || !['GET', 'HEAD'].includes(plan.method) ? ['content-length', String(send.length)] : []),
 ];
-/** What the head of a worker's answer says; `wrongInstance` is the status by which a worker denies its name. */
-const incomingOf = (
+/** Parses the head of a worker's response. `wrongInstance`: the status of a worker that is not the intended one. */
+const responseHeadOf = (
   names: HeaderNames,
   wrongInstance: number,
   plan: ForwardRequest,
   status: number,
   headers: Record<string, string>,
-): Incoming => {
+): WorkerResponseHead => {
   const success = status >= 200 && status < 300;
   const encoded = headers['content-encoding'] !== undefined;
-  const sound = headers[names.seal] !== undefined && !encoded && isFramed(status, headers);
+  const complete = headers[names.seal] !== undefined && !encoded && isFramed(status, headers);
   const notRun = headers[names.notRun] !== undefined || status === wrongInstance;
   const attempt = headers[names.attempt];
   return {
-    mine: attempt === plan.attempt || (status === wrongInstance && attempt === undefined),
+    matchesAttempt: attempt === plan.attempt || (status === wrongInstance && attempt === undefined),
     notRun,
     wrongInstance: status === wrongInstance,
-    success: success && sound,
-    unsound: (success && !sound) || (encoded && !notRun),
+    success: success && complete,
+    unsound: (success && !complete) || (encoded && !notRun),
     load: loadOf(headers[names.load]),
     keepAlive: keepAliveOf(headers['keep-alive']),
   };
 };
-const refusalOf = (refusal: Refusal, retryAfter: number | null): Words => ({
+const refusalOf = (refusal: Refusal, retryAfter: number | null): RefusalResponse => ({
   status: refusal.status,
   headers: ['content-type', 'application/json', ...(retryAfter === null ? [] : ['retry-after', retryAfter.toFixed(3)])],
   body: JSON.stringify({
@@ -248,15 +270,15 @@
 
 /** Opens dialects. */
 export const dialect = {
-  /** A dialect that keeps all its meanings in headers. */
+  /** A dialect that has all values in headers. `wrongInstance`: the status of a worker that is not the intended one. */
   byHeaders: (names: HeaderNames, wrongInstance = 421): Dialect => {
-    const set = new Set([names.deadlineMs, names.expectInstance, names.lastEvent, names.expectVersion]);
+    const replaced = new Set([names.deadlineMs, names.expectInstance, names.lastEvent, names.expectVersion]);
     const versionLine = Buffer.from(`${names.weightVersion}:`, 'latin1');
     return {
-      plan: (ask, config) => planOf(ask, config, names, set),
-      outgoing: (plan, send) => outgoingOf(names, plan, send),
-      incoming: (plan, status, headers) => incomingOf(names, wrongInstance, plan, status, headers),
-      passed: (raw) => endToEnd(raw, none),
+      plan: (request, config) => planOf(request, config, names, replaced),
+      requestHeaders: (plan, send) => requestHeadersOf(names, plan, send),
+      responseHead: (plan, status, headers) => responseHeadOf(names, wrongInstance, plan, status, headers),
+      clientHeaders: (raw) => endToEnd(raw, noNames),
       headVersion: (headers) => {
         for (let i = 0; i < headers.length; i += 2)
           if (headers[i]!.toLowerCase() === names.weightVersion) return headers[i + 1]!.trim();
@@ -266,9 +288,9 @@
         if (!event.subarray(0, versionLine.length).equals(versionLine)) return null;
         return event.toString('latin1', versionLine.length).split('\n', 1)[0]!.trim();
       },
-      patience: (ask) => {
-        const told = ask.headers[names.deadlineMs];
-        return told !== undefined && number.test(told) ? duration.ms(Number(told)) : null;
+      clientTimeout: (request) => {
+        const value = request.headers[names.deadlineMs];
+        return value !== undefined && number.test(value) ? duration.ms(Number(value)) : null;
       },
       refuse: refusalOf,
     };
--- a/packages/data-plane/src/forward/entry.ts
+++ b/packages/data-plane/src/forward/entry.ts
@@ -1,4 +1,4 @@
-/** Entry of the requests that are forwarded unread (§5.7): what may be taken now, and what the request plans. */
+/** Entry of forwarded requests, whose bodies the gateway does not read (§5.7): accepts and plans, or refuses them. */
 import { duration, time, type HttpRequest, type HttpResponseWriter, type Microseconds } from '@thornsail/runtime';
 import type { ClusterView } from '../cluster-view.js';
 import type { Gateway } from '../gateway.js';
@@ -8,9 +8,9 @@
 import { refusal } from './plan.js';
 
 /** How long a request may wait at a gateway that does not know the cluster yet. */
-const holdAtStart = duration.ms(1500);
-/** It waits for no longer than this part of its client's time, so that another gateway may serve it in the rest. */
-const holdAtStartPart = 0.5;
+const startupWait = duration.ms(1500);
+/** It waits for at most this share of its client's timeout, so that another gateway can serve it in the rest. */
+const startupWaitShare = 0.5;
 const startPollInterval = duration.ms(20);
 
 /** Serves one request in a dialect. */
@@ -38,20 +38,23 @@
   const { inContact } = view;
   let wasKnown = false;
   const isKnown = (): boolean => view.config() !== undefined && admission.hasWorkers() && storesKnown();
-  /** A gateway that has just started takes requests at once and serves them as soon as it can (§5.10). */
+  /** A gateway that has just started accepts requests at once, and serves them when it knows the cluster (§5.10). */
   const untilKnown = async (response: HttpResponseWriter, limit: Microseconds): Promise<void> => {
-    const begun = clock.now();
-    const end = begun + limit;
+    const startedAt = clock.now();
+    const end = startedAt + limit;
     const mayWait = (): boolean => !response.isClosed() && !lifecycle.isClosed() && lifecycle.phase() !== 'draining';
     while (!isKnown() && clock.now() < end && mayWait()) await time.sleep(clock, startPollInterval);
     if (wasKnown || !isKnown()) return;
     wasKnown = true;
-    gateway.log(`knows the fleet; a first request had waited ${duration.toMs(clock.now() - begun)} ms for that.`);
+    gateway.log(`the cluster is known; the first request waited ${duration.toMs(clock.now() - startedAt)} ms for it.`);
   };
-  /** Why nothing may be taken now; null: it may. `patience`: how long the client waits, null if it does not say. */
-  const whyClosed = async (response: HttpResponseWriter, patience: Microseconds | null): Promise<string | null> => {
+  /** Why no request is accepted now; null: it is. `clientTimeout`: how long the client waits, null if not stated. */
+  const whyClosed = async (
+    response: HttpResponseWriter,
+    clientTimeout: Microseconds | null,
+  ): Promise<string | null> => {
     if (lifecycle.phase() !== 'draining')
-      await untilKnown(response, Math.min(holdAtStart, (patience ?? Infinity) * holdAtStartPart));
+      await untilKnown(response, Math.min(startupWait, (clientTimeout ?? Infinity) * startupWaitShare));
     if (lifecycle.phase() === 'draining') return 'this node is leaving';
     const config = view.config();
     if (!config) return 'no configuration yet';
@@ -62,7 +65,7 @@
     gateway.count('requests');
     const arrivedAt = clock.now();
     const { dialect } = forwarding;
-    const why = await whyClosed(response, dialect.patience(request));
+    const why = await whyClosed(response, dialect.clientTimeout(request));
     if (why !== null)
       return answerRefusal(dialect, response, refusal('closed', null, why), 0.2 + 0.3 * runtime.rand.next());
     const plan = dialect.plan(request, view.config()!);
--- a/packages/data-plane/src/forward/events.ts
+++ b/packages/data-plane/src/forward/events.ts
@@ -1,18 +1,20 @@
-// A stream of events as bytes (§5.6): cut into whole events, so that a piece of one never reaches a caller.
+/** Server-sent events as bytes (§5.6): cuts a stream into complete events, so that no part of one reaches a caller. */
 const lineFeed = 10;
 const carriageReturn = 13;
 const colon = 58;
 const space = 32;
 
+/** The fields of an event that the gateway reads; null: the event lacks the field. */
 export type Fields = { id: string | null; data: string | null };
+/** One complete event of a stream. */
 export type StreamEvent = {
-  /** As it came, with the empty line that ends it. */
+  /** As received, with the empty line that ends it. */
   bytes: Buffer;
-  /** Whether it has data: one without is no event to its reader. */
+  /** Whether it has a data field: a reader of the stream dispatches no event without one. */
   hasData: boolean;
 };
 
-/** Fields of one event; text is read as Latin-1, so that every byte comes back as it was. */
+/** Parses the fields of one event. Text is decoded as Latin-1, so that encoding it again gives the same bytes. */
 const fieldsOf = (bytes: Buffer): Fields => {
   let id: string | null = null;
   let data: string | null = null;
@@ -21,10 +23,10 @@
     let end = bytes.indexOf(lineFeed, start);
     if (end < 0) end = bytes.length;
     const stop = end > start && bytes[end - 1] === carriageReturn ? end - 1 : end;
-    const sep = bytes.indexOf(colon, start);
-    if (sep > start && sep < stop) {
-      const value = bytes.toString('latin1', bytes[sep + 1] === space ? sep + 2 : sep + 1, stop);
-      const name = bytes.toString('latin1', start, sep);
+    const separator = bytes.indexOf(colon, start);
+    if (separator > start && separator < stop) {
+      const value = bytes.toString('latin1', bytes[separator + 1] === space ? separator + 2 : separator + 1, stop);
+      const name = bytes.toString('latin1', start, separator);
       if (name === 'id') id = value;
       else if (name === 'data') data = data === null ? value : `${data}\n${value}`;
     }
@@ -34,41 +36,42 @@
 };
 const dataField = Buffer.from('data:');
 const eventOf = (bytes: Buffer): StreamEvent => {
-  const at = bytes.indexOf(dataField);
-  // Most events have it at the start of a line right away; where it is within a line, the fields decide.
-  const hasData = at === 0 || (at > 0 && (bytes[at - 1] === lineFeed || fieldsOf(bytes).data !== null));
+  const index = bytes.indexOf(dataField);
+  // Most events have "data:" at the start of a line, which needs no parsing; within a line, the parsed fields decide.
+  const hasData = index === 0 || (index > 0 && (bytes[index - 1] === lineFeed || fieldsOf(bytes).data !== null));
   return { bytes, hasData };
 };
-/** Where the empty line ends that ends the first event, or -1. */
-const endOfEvent = (b: Buffer, from: number): number => {
-  for (let i = b.indexOf(lineFeed, from); i >= 0; i = b.indexOf(lineFeed, i + 1)) {
-    if (b[i + 1] === lineFeed) return i + 2;
-    if (b[i + 1] === carriageReturn && b[i + 2] === lineFeed) return i + 3;
+/** Index after the empty line that ends the first event, or -1. */
+const endOfEvent = (bytes: Buffer, from: number): number => {
+  for (let i = bytes.indexOf(lineFeed, from); i >= 0; i = bytes.indexOf(lineFeed, i + 1)) {
+    if (bytes[i + 1] === lineFeed) return i + 2;
+    if (bytes[i + 1] === carriageReturn && bytes[i + 2] === lineFeed) return i + 3;
   }
   return -1;
 };
-const none = Buffer.alloc(0);
+const empty = Buffer.alloc(0);
 
+/** Parses server-sent events. */
 export const events = {
-  fields: fieldsOf,
-  /** `take` gives the events that are whole; `rest` is what is left over. */
-  reader: (): { take: (bytes: Uint8Array) => StreamEvent[]; rest: () => Uint8Array } => {
-    let kept: Buffer = none;
+  parseFields: fieldsOf,
+  /** `push` takes the next bytes and returns the events they complete; `rest` gives the bytes after the last event. */
+  reader: (): { push: (bytes: Uint8Array) => StreamEvent[]; rest: () => Uint8Array } => {
+    let buffered: Buffer = empty;
     return {
-      take: (bytes) => {
-        const from = Math.max(0, kept.length - 3);
-        const fresh = Buffer.from(bytes.buffer, bytes.byteOffset, bytes.length);
-        const all = kept.length ? Buffer.concat([kept, fresh]) : fresh;
-        const out: StreamEvent[] = [];
+      push: (bytes) => {
+        const from = Math.max(0, buffered.length - 3);
+        const received = Buffer.from(bytes.buffer, bytes.byteOffset, bytes.length);
+        const available = buffered.length ? Buffer.concat([buffered, received]) : received;
+        const complete: StreamEvent[] = [];
         let start = 0;
-        for (let end = endOfEvent(all, from); end >= 0; end = endOfEvent(all, start)) {
-          out.push(eventOf(all.subarray(start, end)));
+        for (let end = endOfEvent(available, from); end >= 0; end = endOfEvent(available, start)) {
+          complete.push(eventOf(available.subarray(start, end)));
           start = end;
         }
-        kept = start === all.length ? none : Buffer.from(all.subarray(start));
-        return out;
+        buffered = start === available.length ? empty : Buffer.from(available.subarray(start));
+        return complete;
       },
-      rest: () => kept,
+      rest: () => buffered,
     };
   },
 };
--- a/packages/data-plane/src/forward/exchange.ts
+++ b/packages/data-plane/src/forward/exchange.ts
@@ -1,5 +1,7 @@
-// One exchange with one worker (§5.7): what it sends is held against the attempt it was asked for, and nothing of it
-// reaches the caller before that.
+/**
+ * One exchange with one worker (§5.7). The response head must name the attempt that was sent; nothing of a response
+ * reaches the caller before that is checked.
+ */
 import type { WorkerEntry } from '@thornsail/load-balancer';
 import {
   duration,
@@ -9,125 +11,142 @@
   type Microseconds,
 } from '@thornsail/runtime';
 import type { Lease } from './connections.js';
-import type { Dialect, Incoming } from './dialect.js';
+import type { Dialect, WorkerResponseHead } from './dialect.js';
 import { events, type StreamEvent } from './events.js';
 import type { ForwardRequest } from './plan.js';
 
 /**
- * `unsent`: nothing of it ran or will; `lost`: it may have run, and nothing was relayed; `cut`: broken off within;
- * `gone`: the caller went away; `answer`: a whole answer that is not a stream; `streamed`: a stream up to its end.
+ * How an exchange ended. `unsent`: the request has not run and will not; `workerDown`: because the worker could not be
+ * reached or has been replaced at its address. `lost`: it may have run, and nothing was relayed. `cut`: broken off
+ * while it streamed. `gone`: the client disconnected. `answer`: a complete response that is not a stream. `streamed`: a
+ * stream to its end; `rest` are the bytes after its last complete event.
  */
 export type Outcome =
-  | { how: 'unsent'; why: string; worker: boolean }
-  | { how: 'lost'; why: string }
-  | { how: 'cut'; why: string }
-  | { how: 'gone' }
-  | { how: 'answer'; status: number; headers: string[]; body: Buffer; load: Incoming['load'] }
-  | { how: 'streamed'; rest: Uint8Array };
+  | { type: 'unsent'; why: string; workerDown: boolean }
+  | { type: 'lost'; why: string }
+  | { type: 'cut'; why: string }
+  | { type: 'gone' }
+  | { type: 'answer'; status: number; headers: string[]; body: Buffer; load: WorkerResponseHead['load'] }
+  | { type: 'streamed'; rest: Uint8Array };
 
-/** What goes to the caller of a stream; the head waits for the first event. */
+/** Receives a stream for the caller. The head is passed with the first event. */
 export type StreamSink = {
   head: (status: number, headers: string[]) => void;
-  /** False: hold the worker back until `drained`. */
-  event: (e: StreamEvent) => boolean;
+  /** False: pause reading from the worker until `drained` resolves. */
+  event: (event: StreamEvent) => boolean;
   drained: () => Promise<void>;
 };
 
-/** A worker ends by itself at the time that it was given; so much later it is given up. */
+/** A worker ends a request by itself at the deadline it was sent; the exchange is broken off this long after it. */
 const overrun = duration.ms(150);
 
+/** Runs exchanges with workers. */
 export const exchange = {
-  run: (o: {
+  /** Sends a request over the lease's connection and resolves with the outcome. */
+  run: (options: {
     runtime: Runtime;
     lease: Lease;
     worker: WorkerEntry;
     dialect: Dialect;
     plan: ForwardRequest;
     body: Uint8Array;
+    /** Time until the request's deadline. */
     left: Microseconds;
+    /** Id of the last event that the client has; null for a new stream. */
     lastEvent: string | null;
-    say: HttpResponseWriter;
+    /** The client's response, watched for disconnection. */
+    client: HttpResponseWriter;
     sink: StreamSink;
-    /** The largest answer that is held whole. */
-    most: number;
+    /** Size limit in bytes of a response that is not a stream, which is buffered as a whole. */
+    maxBodySize: number;
   }): Promise<Outcome> =>
-    new Promise((done) => {
-      const { runtime, lease, plan, dialect: d } = o;
+    new Promise((resolve) => {
+      const { runtime, lease, plan, dialect } = options;
       let sent = false;
       let over = false;
       let streaming = false;
-      let head: { status: number; raw: readonly string[]; said: Incoming } | undefined;
+      let response: { status: number; rawHeaders: readonly string[]; head: WorkerResponseHead } | undefined;
       let size = 0;
-      const parts: Uint8Array[] = [];
+      const chunks: Uint8Array[] = [];
       const reader = events.reader();
-      const finish = (x: Outcome, clean: boolean): void => {
+      const finish = (outcome: Outcome, reusable: boolean): void => {
         if (over) return;
         over = true;
         stopTimer();
-        if (clean) lease.done(head?.said.keepAlive ?? null);
+        if (reusable) lease.done(response?.head.keepAlive ?? null);
         else {
-          lease.spoilt();
+          lease.discard();
           control?.abort();
         }
-        done(x);
+        resolve(outcome);
       };
-      const broken = (why: string): void =>
+      const fail = (why: string): void =>
         finish(
-          sent ? (streaming ? { how: 'cut', why } : { how: 'lost', why }) : { how: 'unsent', why, worker: true },
+          sent ? (streaming ? { type: 'cut', why } : { type: 'lost', why }) : { type: 'unsent', why, workerDown: true },
           false,
         );
-      const stopTimer = runtime.clock.schedule(o.left + overrun, () => broken('its time ran out'));
-      const onHead = (status: number, headers: Record<string, string>, raw: readonly string[]): void => {
-        const said = d.incoming(plan, status, headers);
-        if (!said.mine) return broken('an answer to another request');
-        if (said.unsound) return broken('a success without its stamp');
-        head = { status, raw, said };
+      const stopTimer = runtime.clock.schedule(options.left + overrun, () => fail('the deadline passed'));
+      const onHead = (status: number, headers: Record<string, string>, rawHeaders: readonly string[]): void => {
+        const head = dialect.responseHead(plan, status, headers);
+        if (!head.matchesAttempt) return fail('the response names another attempt');
+        if (head.unsound) return fail('the response lacks a required header or has a content encoding');
+        response = { status, rawHeaders, head };
         streaming = false;
       };
       const onEvents = (bytes: Uint8Array): void => {
-        for (const e of reader.take(bytes)) {
+        for (const event of reader.push(bytes)) {
           if (!streaming) {
             streaming = true;
-            o.sink.head(head!.status, d.passed(head!.raw));
+            options.sink.head(response!.status, dialect.clientHeaders(response!.rawHeaders));
           }
-          if (!o.sink.event(e)) {
+          if (!options.sink.event(event)) {
             control?.pause();
-            void o.sink.drained().then(() => control?.resume());
+            void options.sink.drained().then(() => control?.resume());
           }
         }
       };
-      const isStream = (): boolean => plan.route.semantics === 'stream' && head!.said.success;
+      const isStream = (): boolean => plan.route.semantics === 'stream' && response!.head.success;
       const onData = (bytes: Uint8Array): void => {
-        if (over || !head) return;
+        if (over || !response) return;
         if (isStream()) return onEvents(bytes);
         size += bytes.length;
-        if (size > o.most) return broken('an answer that is too large');
-        parts.push(bytes);
+        if (size > options.maxBodySize) return fail('the response is too large');
+        chunks.push(bytes);
       };
       const onEnd = (): void => {
-        if (!head) return broken('no answer');
-        // Another worker at this address: the one that was meant is gone, and has not got it.
-        const { notRun, wrongInstance } = head.said;
-        if (notRun) return finish({ how: 'unsent', why: `status ${head.status}`, worker: wrongInstance }, true);
+        if (!response) return fail('the connection ended without a response head');
+        // `wrongInstance`: another worker has this address; the intended one has ended and did not get the request.
+        const { notRun, wrongInstance } = response.head;
+        if (notRun)
+          return finish({ type: 'unsent', why: `status ${response.status}`, workerDown: wrongInstance }, true);
         if (isStream()) {
-          if (!streaming) o.sink.head(head.status, d.passed(head.raw));
+          if (!streaming) options.sink.head(response.status, dialect.clientHeaders(response.rawHeaders));
           streaming = true;
-          return finish({ how: 'streamed', rest: reader.rest() }, true);
+          return finish({ type: 'streamed', rest: reader.rest() }, true);
         }
-        const headers = d.passed(head.raw);
-        finish({ how: 'answer', status: head.status, headers, body: Buffer.concat(parts), load: head.said.load }, true);
+        const headers = dialect.clientHeaders(response.rawHeaders);
+        finish(
+          {
+            type: 'answer',
+            status: response.status,
+            headers,
+            body: Buffer.concat(chunks),
+            load: response.head.load,
+          },
+          true,
+        );
       };
       const control: ExchangeControl | undefined = lease.connection.exchange(
         {
           method: plan.method,
           target: plan.target,
-          headers: d.outgoing(plan, {
-            instance: o.worker.id,
-            left: o.left,
-            lastEvent: o.lastEvent,
-            length: o.body.length,
+          headers: dialect.requestHeaders(plan, {
+            instance: options.worker.id,
+            left: options.left,
+            lastEvent: options.lastEvent,
+            length: options.body.length,
           }),
-          body: o.body,
+          body: options.body,
         },
         {
           onSent: () => {
@@ -136,12 +155,12 @@
           onHead: onHead,
           onData: onData,
           onEnd: onEnd,
-          onError: (e) => broken(e.message),
+          onError: (error) => fail(error.message),
         },
       );
-      o.say.onClose(() => {
-        // A keyed request goes on: its result is what a repeat gets.
-        if (!over && plan.key === null) finish({ how: 'gone' }, false);
+      options.client.onClose(() => {
+        // A keyed request runs on: its result is recorded for a repeat with the same key.
+        if (!over && plan.key === null) finish({ type: 'gone' }, false);
       });
     }),
 };
--- a/packages/data-plane/src/forward/finish.ts
+++ b/packages/data-plane/src/forward/finish.ts
@@ -1,4 +1,4 @@
-// What follows an exchange with a worker (§5.4, §5.9): the end of its answer, another worker, or the request's end.
+/** What follows an exchange with a worker (§5.4, §5.9): the response's end, another worker, or an error. */
 import type { WorkerEntry } from '@thornsail/load-balancer';
 import { fault, time, duration, type Microseconds } from '@thornsail/runtime';
 import { closeTimeout } from '../requests/deadline.js';
@@ -8,23 +8,26 @@
 import { isRepeatable } from './plan.js';
 import { requests, type Request } from './request.js';
 
-/** Line feed, carriage return. */
-const blanks: ReadonlySet<number> = new Set([10, 13]);
-/** So many more workers are tried where those before them were not there. */
+/** Line feed and carriage return. */
+const lineBreaks: ReadonlySet<number> = new Set([10, 13]);
+/** Sends allowed beyond the route's maximum where workers could not be reached or had been replaced. */
 const extraSends = 3;
-const leastTimeToResend = duration.ms(20);
-/** An answer does not wait for its record for longer than this after its deadline. */
+const minimumTimeToResend = duration.ms(20);
+/** A response waits for the record of its result until this long after the request's deadline. */
 const recordOverrun = duration.ms(100);
 
-/** Ends a request whose client has part of an answer, or none: what reached it is settled, the rest is cut off. */
-const cutOff = (request: Request): 'answered' => {
+/** Ends a request by aborting its response: the tokens that reached the client are settled. */
+const abortResponse = (request: Request): 'answered' => {
   void requests.settle(request, requests.tokensRelayed(request), null);
   requests.leaveScheduler(request, null, null);
   request.response.abort();
   return 'answered';
 };
 
-/** The end of a stream: kept and settled first, beside one another; a turn that cannot be kept is cut (§5.9). */
+/**
+ * Ends a stream. The turn is stored and its tokens are settled first, concurrently; if the turn cannot be stored, the
+ * response is aborted, so that the client does not take it for complete (§5.9).
+ */
 const endStream = async (request: Request, worker: WorkerEntry, rest: Uint8Array): Promise<'answered'> => {
   const { plan, forwarding, gateway, context, relayed, response } = request;
   const used = requests.tokensRelayed(request);
@@ -40,7 +43,7 @@
     }
     await settled;
   } catch (error) {
-    requests.log(request, `a turn was not kept, so its stream is cut: ${fault.text(error)}.`);
+    requests.log(request, `a turn could not be stored, so its stream is aborted: ${fault.text(error)}.`);
     requests.leaveScheduler(request, context.prompt + used, worker.id);
     request.phases.transition('lose');
     gateway.count('cut');
@@ -58,11 +61,11 @@
   return 'answered';
 };
 
-/** The end of an answer that is no stream; that of a key is recorded first. */
+/** Ends a response that is not a stream. The result of a keyed request is recorded first. */
 const endAnswer = async (
   request: Request,
   worker: WorkerEntry,
-  answer: Outcome & { how: 'answer' },
+  answer: Outcome & { type: 'answer' },
 ): Promise<'answered'> => {
   const { gateway, reservations, response } = request;
   const { status, headers, body } = answer;
@@ -77,8 +80,8 @@
       headers,
       body: body.toString('latin1'),
     });
-    const longest = Math.max(0, requests.left(request) + recordOverrun);
-    await Promise.race([recorded, time.sleep(gateway.runtime.clock, longest)]);
+    const maxWait = Math.max(0, requests.left(request) + recordOverrun);
+    await Promise.race([recorded, time.sleep(gateway.runtime.clock, maxWait)]);
   }
   request.phases.transition('end');
   gateway.count('results');
@@ -88,10 +91,10 @@
   return 'answered';
 };
 
-/** Whether the route, its client's time and its client allow another worker. */
+/** Whether another worker may be tried: sends of the route and time are left, and the client is connected. */
 const mayTryAnother = ({ plan, placement, response }: Request, left: Microseconds): boolean =>
   placement.sends < plan.route.maxAttempts && left > 0 && !response.isClosed();
-/** Gives the request to another worker, which may run it although this one may have run it. */
+/** Has another worker chosen for a request that this worker may have run. */
 const tryAnother = (request: Request, worker: WorkerEntry): 'continue' => {
   request.gateway.count('retried');
   request.placement.excluded.add(worker.id);
@@ -100,19 +103,20 @@
   return 'continue';
 };
 
-/** What may be sent again is, to another worker; else its outcome is told as far as it is known (§5.4). */
-const lost = (request: Request, worker: WorkerEntry, outcome: Outcome & { how: 'lost' | 'cut' }): StepResult => {
+/** The worker may have run the request: another one is tried if it may run again, else it ends with an error (§5.4). */
+const lost = (request: Request, worker: WorkerEntry, outcome: Outcome & { type: 'lost' | 'cut' }): StepResult => {
   const { gateway, plan, relayed } = request;
-  requests.log(request, `${plan.attempt} was lost at ${worker.id}: ${outcome.why}.`);
-  if (relayed.last) relayed.lastId = events.fields(relayed.last).id ?? relayed.lastId;
-  const repeats = outcome.how === 'lost' && plan.route.semantics === 'idempotent';
+  requests.log(request, `attempt ${plan.attempt} was lost at worker ${worker.id}: ${outcome.why}.`);
+  if (relayed.lastEventBytes)
+    relayed.lastEventId = events.parseFields(relayed.lastEventBytes).id ?? relayed.lastEventId;
+  const repeats = outcome.type === 'lost' && plan.route.semantics === 'idempotent';
   const resumes = plan.route.semantics === 'stream' && plan.route.resumable;
-  const mayGoOn = mayTryAnother(request, requests.left(request));
+  const mayRetry = mayTryAnother(request, requests.left(request));
   request.phases.transition('lose');
-  if ((repeats || resumes) && mayGoOn) return tryAnother(request, worker);
+  if ((repeats || resumes) && mayRetry) return tryAnother(request, worker);
   gateway.count('lost');
   request.timeline.setOutcome(relayed.headSent ? 'cut' : 'worker_lost');
-  if (relayed.headSent) return cutOff(request);
+  if (relayed.headSent) return abortResponse(request);
   void requests.settle(request, requests.tokensRelayed(request), null);
   requests.leaveScheduler(request, null, null);
   if (requests.left(request) <= 0) requests.answerError(request, 'timed_out', 'the worker is still at work', null);
@@ -120,22 +124,22 @@
   return 'answered';
 };
 
-/** Nothing of it ran: another worker may have it. */
-const unsent = (request: Request, worker: WorkerEntry, outcome: Outcome & { how: 'unsent' }): StepResult => {
+/** The request has not run: another worker may be tried. */
+const unsent = (request: Request, worker: WorkerEntry, outcome: Outcome & { type: 'unsent' }): StepResult => {
   const { gateway, plan, placement, relayed } = request;
   request.phases.transition('unsent');
   placement.excluded.add(worker.id);
   placement.preferred = null;
-  // One that was asked for a version of weights may be well, and have another one.
-  if (outcome.worker && relayed.version === null) gateway.admission.markUnhealthy(worker.id);
-  const most = plan.route.maxAttempts + (outcome.worker ? extraSends : 0);
-  if (placement.sends < most && requests.left(request) > leastTimeToResend) return 'continue';
-  // A stream that was already begun and cannot go on anywhere is cut.
-  if (relayed.headSent) return cutOff(request);
-  return requests.reject(request, 'no_worker', `no worker took it: ${outcome.why}`, requests.retrySoon(request));
+  // A healthy worker refuses a request that names another version of the weights than its own.
+  if (outcome.workerDown && relayed.version === null) gateway.admission.markUnhealthy(worker.id);
+  const maxSends = plan.route.maxAttempts + (outcome.workerDown ? extraSends : 0);
+  if (placement.sends < maxSends && requests.left(request) > minimumTimeToResend) return 'continue';
+  // A stream that has begun and that no worker can resume is aborted.
+  if (relayed.headSent) return abortResponse(request);
+  return requests.reject(request, 'no_worker', `no worker took it: ${outcome.why}`, requests.retryDelay(request));
 };
 
-const clientLeft = (request: Request, worker: WorkerEntry): 'answered' => {
+const endAbandoned = (request: Request, worker: WorkerEntry): 'answered' => {
   request.gateway.count('orphaned');
   request.timeline.setOutcome('gone');
   request.phases.transition('lose');
@@ -144,12 +148,12 @@
   return 'answered';
 };
 
-const isBlank = (bytes: Uint8Array): boolean => bytes.every((byte) => blanks.has(byte));
-/** A worker's own failure; at its deadline a worker says 504, which says nothing of the worker. */
+const isBlank = (bytes: Uint8Array): boolean => bytes.every((byte) => lineBreaks.has(byte));
+/** A failure of the worker. It answers 504 at the request's deadline, which is no sign of a fault of its own. */
 const isServerFailure = (status: number): boolean => status >= 500 && status !== 504;
-/** Whether a worker has done what it was asked; null: the exchange does not tell. */
+/** Whether the worker served the request, as its health record counts it; null: the exchange does not show it. */
 const hasSucceeded = (request: Request, outcome: Outcome): boolean | null => {
-  switch (outcome.how) {
+  switch (outcome.type) {
     case 'streamed':
       return isBlank(outcome.rest);
     case 'answer':
@@ -170,37 +174,38 @@
   unsent: 'not_run',
   gone: 'abandoned',
 } as const;
-/** Tells the load balancer and the metrics what became of an exchange. */
+/** Reports the outcome of an exchange to the load balancer and the metrics. */
 const report = ({ gateway }: Request, worker: WorkerEntry, outcome: Outcome, succeeded: boolean | null): void => {
   if (succeeded !== null) gateway.admission.recordExchange(worker.id, succeeded);
-  const hasFailed = outcome.how === 'answer' && isServerFailure(outcome.status);
-  gateway.workerOutcome(worker.id, hasFailed ? 'failed' : outcomeNames[outcome.how]);
+  const hasFailed = outcome.type === 'answer' && isServerFailure(outcome.status);
+  gateway.workerOutcome(worker.id, hasFailed ? 'failed' : outcomeNames[outcome.type]);
 };
-/** A failure of which nothing has reached the client, of a request that may run again: another worker may have it. */
+/** Whether a failure of which nothing has reached the client is retried at another worker. */
 const mayReplace = (request: Request, status: number): boolean =>
   isServerFailure(status) &&
   isRepeatable(request.plan) &&
-  requests.left(request) > leastTimeToResend &&
+  requests.left(request) > minimumTimeToResend &&
   mayTryAnother(request, requests.left(request));
 
-/** What becomes of the request after one exchange. */
+/** Continues or ends the request after one exchange. `continue` if another worker is to be chosen. */
 export const finish = async (request: Request, worker: WorkerEntry, outcome: Outcome): Promise<StepResult> => {
   report(request, worker, outcome, hasSucceeded(request, outcome));
-  switch (outcome.how) {
+  switch (outcome.type) {
     case 'streamed':
-      // A connection that is closed within an event was broken off, whatever its framing says.
-      if (!isBlank(outcome.rest)) return lost(request, worker, { how: 'cut', why: 'it ended within an event' });
+      // A stream that ends within an event was broken off, even if its HTTP framing is complete.
+      if (!isBlank(outcome.rest))
+        return lost(request, worker, { type: 'cut', why: 'the stream ended within an event' });
       return endStream(request, worker, outcome.rest);
     case 'answer':
-      // The client has a part of a stream already: no other answer can follow it.
-      if (request.relayed.headSent) return lost(request, worker, { how: 'cut', why: `status ${outcome.status}` });
+      // The client has part of a stream already, so no other response can follow.
+      if (request.relayed.headSent) return lost(request, worker, { type: 'cut', why: `status ${outcome.status}` });
       if (mayReplace(request, outcome.status)) {
         request.phases.transition('lose');
         return tryAnother(request, worker);
       }
       return endAnswer(request, worker, outcome);
     case 'gone':
-      return clientLeft(request, worker);
+      return endAbandoned(request, worker);
     case 'unsent':
       return unsent(request, worker, outcome);
     case 'lost':
--- a/packages/data-plane/src/forward/forward.ts
+++ b/packages/data-plane/src/forward/forward.ts
@@ -1,9 +1,11 @@
-// Carrying out a request that is passed on unread (§5.7), stage by stage: claim, context, charge, admission, slot,
-// send, end. A turn of a program goes through all of them, a call of a tool through some.
+/**
+ * Serves a forwarded request, whose body the gateway does not read (§5.7), stage by stage: claim, context, charge,
+ * admission, slot, send, end. A turn of a program goes through all stages, a tool call through some.
+ */
 import { invariant, duration, type HttpResponseWriter, type Microseconds } from '@thornsail/runtime';
 import { charge, readChain } from './charge.js';
 import { claim } from './claim.js';
-import { admit, takeSlot } from './place.js';
+import { admit, takeSlot } from './admission.js';
 import type { ForwardRequest } from './plan.js';
 import { requests, type Forwarding, type Request } from './request.js';
 import { timedResponse } from './response.js';
@@ -11,41 +13,42 @@
 
 export type { Forwarding } from './request.js';
 
-const mostRounds = 100;
+/** Rounds of choosing and trying a worker; more of them indicate a programming error. */
+const maxRounds = 100;
 
-/** So long after the deadline the final answer is given, whatever the request waits for. */
+/** The final answer is sent this long after the deadline, whatever the request waits for. */
 const overrun = duration.ms(200);
 
-/** The final answer of a request whose time is over. */
+/** Sends the final answer of a request whose deadline has passed. */
 const expire = (request: Request): void => {
   request.gateway.count('timed_out');
   request.timeline.setOutcome('timed_out');
-  // Nothing was sent, and nothing will be: its client counts as gone from here on.
+  // No worker was sent the request, and none will be: the response counts as closed from now on.
   if (request.phases.execution() === 'no')
     requests.answerError(
       request,
       'late',
       'the time left ran out before anything was sent',
-      requests.retrySoon(request),
+      requests.retryDelay(request),
     );
   else requests.answerError(request, 'timed_out', 'the outcome was not known in time', null);
 };
 
-const carryOut = async (request: Request): Promise<void> => {
+const runStages = async (request: Request): Promise<void> => {
   for (const stage of [claim, readChain, charge, admit]) {
     if ((await stage(request)) === 'answered') return;
     if (request.response.isClosed()) return void requests.clientDisconnected(request);
   }
   for (let round = 0; ; round++) {
-    invariant.hold(round < mostRounds, 'a request was tried a hundred times');
+    invariant.hold(round < maxRounds, 'a request has been tried 100 times');
     const worker = await takeSlot(request);
     if (worker === 'answered' || (await tryWorker(request, worker)) === 'answered') return;
   }
 };
 
 /**
- * Serves a request to its final answer. `arrivedAt` is when the request came (clock time in microseconds): what it
- * waited before this counts.
+ * Serves a request to its final answer. `arrivedAt` is the clock time at which the request arrived, in microseconds:
+ * the time that it has waited since then counts against its deadline.
  */
 export const forward = async (
   forwarding: Forwarding,
@@ -61,7 +64,7 @@
   request.response = timed.response;
   gateway.inFlight.add(request.id);
   try {
-    await carryOut(request);
+    await runStages(request);
   } finally {
     timed.stop();
     request.timeline.close();
--- a/packages/data-plane/src/forward/plan.ts
+++ b/packages/data-plane/src/forward/plan.ts
@@ -1,46 +1,53 @@
-// The plan of a request that is passed on unread (§5.7): made first, as data, in whatever words its dialect has.
+/** The plan of a forwarded request, whose body the gateway does not read (§5.7): what its dialect parsed from it. */
 import type { Route } from '@thornsail/config-schema';
 import type { Microseconds } from '@thornsail/runtime';
 import { errors, type ErrorCode } from '../errors.js';
 
-/** A turn of a program (§4): what its caller says of the program besides the request itself. */
+/** A turn of a program (§4): what the request states about its program. */
 export type Turn = {
   program: string;
-  /** The line of turns within the program; the scheduler's unit (§4.3). */
+  /** A sequence of turns within the program; program and session together are the scheduler's unit (§4.3). */
   session: string;
-  /** Until the program should be over, from arrival on; null: not told. */
+  /** Time from the request's arrival until the program should end; null: not stated. */
   remaining: Microseconds | null;
-  /** Tokens that all turns of the program may put out; null: no budget. */
+  /** Output tokens that all turns of the program together may use; null: no budget. */
   budget: number | null;
 };
+/** A request to be forwarded to a worker. */
 export type ForwardRequest = {
   kind: 'forward';
   route: Route;
-  cls: string;
-  /** Names this attempt of the caller; every answer of a worker is held against it. */
+  /** The scheduling class of the route. */
+  className: string;
+  /** The caller's id of this attempt; a worker's response must name the same id. */
   attempt: string;
   method: string;
+  /** The request target as received: path and query. */
   target: string;
-  /** Name, value, ...: what is passed on, without what concerns one connection or is set anew. */
+  /** Headers to pass on, as name, value, ...; without hop-by-hop headers and those that the gateway sets itself. */
   headers: readonly string[];
   body: Uint8Array;
-  /** What the caller will wait, from arrival on. */
+  /** How long the caller waits, from the request's arrival on. */
   deadline: Microseconds;
+  /** The idempotency key; null on routes that are not keyed. */
   key: string | null;
-  /** Tokens of the prompt, and the most that may be put out. */
+  /** In tokens: the length of the prompt, and `most`, the largest output. */
   usage: { prompt: number; most: number };
+  /** Null: the request is no turn of a program. */
   turn: Turn | null;
-  /** The earlier turn that this one continues. */
+  /** Attempt id of the earlier turn that this one continues; null: none. */
   previous: string | null;
-  /** The last event that the caller has seen of this stream. */
+  /** Id of the last event that the caller has of this stream; null: it starts the stream. */
   lastEvent: string | null;
-  /** Only a worker with this version of its weights may run it; null: any may. */
+  /** Version of the weights that the worker must have; null: any. */
   expectVersion: string | null;
 };
+/** A request that is refused before it is served. `field` names the part of the request that is wrong, if any. */
 export type Refused = { kind: 'refuse'; status: number; error: ErrorCode; field: string | null; text: string };
+/** What is done with a request. */
 export type ForwardPlan = ForwardRequest | Refused;
 
-/** A refusal with the status of its error. `field` names what is wrong in the request, if anything is. */
+/** A refusal with the HTTP status of its error code. */
 export const refusal = (error: ErrorCode, field: string | null, text: string): Refused => ({
   kind: 'refuse',
   status: errors.status('unread', error),
@@ -50,12 +57,12 @@
 });
 
 /**
- * Whether its run is of no use once its client has gone: it is ended then. What may run only once, and is no stream, is
- * let run to its end (§5.7).
+ * Whether the run is aborted when the client disconnects, since nobody can use its result. A request that may run only
+ * once and is no stream runs to its end (§5.7).
  */
 export const endsWithClient = (plan: ForwardRequest): boolean =>
   plan.route.semantics === 'idempotent' || plan.route.semantics === 'stream';
 
 /** Whether a request may run more than once (§5.4). */
-export const isRepeatable = (p: ForwardRequest): boolean =>
-  p.route.semantics === 'idempotent' || (p.route.semantics === 'stream' && p.route.resumable);
+export const isRepeatable = (plan: ForwardRequest): boolean =>
+  plan.route.semantics === 'idempotent' || (plan.route.semantics === 'stream' && plan.route.resumable);
--- a/packages/data-plane/src/forward/response.ts
+++ b/packages/data-plane/src/forward/response.ts
@@ -1,54 +1,56 @@
-// The way back to a client, until its time is over (§5.7): whoever waits on its behalf is told when it has gone away,
-// and when it has had its final answer at its deadline.
+/**
+ * A client's response with a deadline (§5.7): close listeners are called when the client disconnects and when it has
+ * had its final answer at the deadline.
+ */
 import type { Clock, HttpResponseWriter, Microseconds } from '@thornsail/runtime';
 
 /** A response that is closed once its deadline has passed. */
 export type TimedResponse = {
   response: HttpResponseWriter;
-  /** To be called when the request is over. */
+  /** Cancels the deadline; to be called when the request is over. */
   stop: () => void;
 };
 
 /**
- * `expire` gives the final answer after `within`; from then on the client counts as gone, and whatever else is said to
- * it is dropped. It is not called if the answer has ended or the client has gone before.
+ * `expire` writes the final answer after `within`. From then on the response counts as closed, and later writes are
+ * dropped. `expire` is not called if the response has ended or the client has disconnected before.
  */
 const open = (clock: Clock, raw: HttpResponseWriter, within: Microseconds, expire: () => void): TimedResponse => {
   let ended = false;
   let expired = false;
-  let waiting: (() => void)[] = [];
-  const tellAll = (): void => {
-    const all = waiting;
-    waiting = [];
-    for (const tell of all) tell();
+  let listeners: (() => void)[] = [];
+  const notifyListeners = (): void => {
+    const notified = listeners;
+    listeners = [];
+    for (const listener of notified) listener();
   };
-  const isGone = (): boolean => expired || raw.isClosed();
+  const hasClosed = (): boolean => expired || raw.isClosed();
   const stop = clock.schedule(Math.max(0, within), () => {
-    if (ended || isGone()) return;
+    if (ended || hasClosed()) return;
     expire();
     expired = true;
-    tellAll();
+    notifyListeners();
   });
-  raw.onClose(tellAll);
+  raw.onClose(notifyListeners);
   const response: HttpResponseWriter = {
     writeHead: (status, headers) => {
       if (!expired) raw.writeHead(status, headers);
     },
-    write: (piece) => expired || raw.write(piece),
+    write: (chunk) => expired || raw.write(chunk),
     drained: () => (expired ? Promise.resolve() : raw.drained()),
-    end: (piece) => {
+    end: (chunk) => {
       ended = true;
-      if (!expired) raw.end(piece);
+      if (!expired) raw.end(chunk);
     },
     abort: () => {
       ended = true;
       if (!expired) raw.abort();
     },
-    isClosed: isGone,
-    onClose: (tell) => {
-      // One that is gone already tells nobody any more.
-      if (isGone()) tell();
-      else waiting.push(tell);
+    isClosed: hasClosed,
+    onClose: (listener) => {
+      // A response that is closed already calls no listeners any more.
+      if (hasClosed()) listener();
+      else listeners.push(listener);
     },
   };
   return { response, stop };
--- a/packages/data-plane/src/forward/send.ts
+++ b/packages/data-plane/src/forward/send.ts
@@ -1,4 +1,4 @@
-// Sending a request to one worker (§5.7): a last look at the news, a connection, the exchange, and what it relays.
+/** Sends a request to one worker (§5.7): a last check, a connection, the exchange, and the relay of its stream. */
 import type { WorkerEntry } from '@thornsail/load-balancer';
 import { duration, type HttpResponseWriter, type Microseconds } from '@thornsail/runtime';
 import { preSendCheck, waitUntilRead } from '../requests/attempt.js';
@@ -10,92 +10,95 @@
 import { endsWithClient } from './plan.js';
 import { requests, type Request } from './request.js';
 
-const largestAnswer = 8 << 20;
-const leastTimeToSend = duration.ms(1);
-/** What of a worker's connections all gateways together may use, and where a service tells no limit. */
+/** In bytes, of a response that is not a stream. */
+const maxResponseSize = 8 << 20;
+const minimumTimeToSend = duration.ms(1);
+/** Share of a worker's connection limit that all gateways together use. */
 const connectionShare = 0.9;
-const untoldConnections = 64;
-const leastConnections = 2;
+/** Connection limit of a worker whose service configures none. */
+const defaultConnectionLimit = 64;
+/** Connections that a gateway may use to a worker however many gateways share its limit. */
+const minimumConnections = 2;
 
 const checkBeforeSend = preSendCheck<Request>({
   remaining: requests.left,
-  minimumTime: leastTimeToSend,
+  minimumTime: minimumTimeToSend,
   reject: requests.reject,
-  retryAfter: requests.retrySoon,
+  retryAfter: requests.retryDelay,
   clientDisconnected: requests.clientDisconnected,
 });
 
-const leaseOf = ({ gateway, forwarding, placement }: Request, worker: WorkerEntry): Lease | undefined => {
-  const service = gateway.config().services.find((known) => known.name === placement.service);
-  const part = ((service?.connections ?? untoldConnections) * connectionShare) / forwarding.gatewayCount();
-  return forwarding.connections.take(worker, Math.max(leastConnections, Math.floor(part)));
+const acquireLease = ({ gateway, forwarding, placement }: Request, worker: WorkerEntry): Lease | undefined => {
+  const service = gateway.config().services.find((configured) => configured.name === placement.service);
+  const share = ((service?.connections ?? defaultConnectionLimit) * connectionShare) / forwarding.gatewayCount();
+  return forwarding.connections.acquire(worker, Math.max(minimumConnections, Math.floor(share)));
 };
 
-/** Ends one exchange from this side, because of what its worker sent or because its client has gone. */
-type Stop = {
-  /** As the exchange watches it: told when the exchange is to end. */
-  watched: HttpResponseWriter;
-  stop: (why: string) => void;
-  /** Why it was stopped; null: it was not. */
-  why: () => string | null;
+/** Aborts an exchange from the gateway's side: because of what its worker sent, or since its client disconnected. */
+type ExchangeAborter = {
+  /** The client's response as the exchange sees it: closes when the exchange is to be broken off. */
+  watchedResponse: HttpResponseWriter;
+  abort: (reason: string) => void;
+  /** The reason of the first call of `abort`; null: not aborted. */
+  reason: () => string | null;
 };
-const stopOf = ({ plan, response }: Request): Stop => {
-  let why: string | null = null;
-  let waiting: (() => void)[] = [];
+const createAborter = ({ plan, response }: Request): ExchangeAborter => {
+  let reason: string | null = null;
+  let listeners: (() => void)[] = [];
   return {
-    watched: {
+    watchedResponse: {
       ...response,
-      onClose: (tell) => {
-        waiting.push(tell);
-        if (endsWithClient(plan)) response.onClose(tell);
+      onClose: (listener) => {
+        listeners.push(listener);
+        if (endsWithClient(plan)) response.onClose(listener);
       },
     },
-    stop: (text) => {
-      why ??= text;
-      const all = waiting;
-      waiting = [];
-      for (const tell of all) tell();
+    abort: (text) => {
+      reason ??= text;
+      const notified = listeners;
+      listeners = [];
+      for (const listener of notified) listener();
     },
-    why: () => why,
+    reason: () => reason,
   };
 };
 
-/** Whether a stream that was taken up goes on behind the last event that the client has. */
-const goesOn = (lastId: string | null, event: StreamEvent): boolean => {
-  const [last, next] = [Number(lastId ?? Number.NaN), Number(events.fields(event.bytes).id ?? Number.NaN)];
+/** Whether a resumed stream continues after the client's last event. Ids that are not numbers are accepted. */
+const continuesAfter = (lastEventId: string | null, event: StreamEvent): boolean => {
+  const [last, next] = [Number(lastEventId ?? Number.NaN), Number(events.parseFields(event.bytes).id ?? Number.NaN)];
   return !(next <= last);
 };
-/** Events go to the caller as they come; what was said of the first worker stays the answer's head. */
-const sinkOf = (request: Request, sentAt: Microseconds, stop: Stop): StreamSink => {
+/** Relays events to the caller as they arrive. A resumed stream keeps the response head of its first worker. */
+const sinkOf = (request: Request, sentAt: Microseconds, aborter: ExchangeAborter): StreamSink => {
   const { gateway, plan, placement, relayed, response } = request;
   const { dialect } = request.forwarding;
-  const resumed = relayed.lastId !== null;
+  const resumed = relayed.lastEventId !== null;
   let first = true;
   const relay = (event: StreamEvent): void => {
     relayed.events += 1;
-    relayed.last = event.bytes;
+    relayed.lastEventBytes = event.bytes;
     relayed.version = dialect.eventVersion(event.bytes) ?? relayed.version;
-    if (plan.route.keepSeconds > 0) relayed.output += `${events.fields(event.bytes).data}\n`;
+    if (plan.route.keepSeconds > 0) relayed.output += `${events.parseFields(event.bytes).data}\n`;
   };
   return {
     head: (status, headers) => {
-      gateway.admission.observeFirstToken(plan.cls, gateway.runtime.clock.now() - sentAt, placement.forced);
+      gateway.admission.observeFirstToken(plan.className, gateway.runtime.clock.now() - sentAt, placement.forced);
       if (request.phases.current() === 'sent') request.phases.transition('relay');
       request.timeline.enter('stream');
       const version = dialect.headVersion(headers);
-      // An answer never mixes two versions of weights.
+      // A response must not mix two versions of the weights.
       if (relayed.version !== null && version !== null && version !== relayed.version)
-        return stop.stop(`version ${version} of its weights in place of ${relayed.version}`);
+        return aborter.abort(`the worker has version ${version} of the weights, the stream has ${relayed.version}`);
       relayed.version ??= version;
       if (relayed.headSent || response.isClosed()) return;
       relayed.headSent = true;
       response.writeHead(status, headers);
     },
     event: (event) => {
-      if (stop.why() !== null) return true;
+      if (aborter.reason() !== null) return true;
       if (event.hasData) {
-        if (resumed && first && !goesOn(relayed.lastId, event)) {
-          stop.stop('it did not go on behind the last event');
+        if (resumed && first && !continuesAfter(relayed.lastEventId, event)) {
+          aborter.abort('the resumed stream repeats events that the client has');
           return true;
         }
         first = false;
@@ -114,7 +117,7 @@
   sentAt: Microseconds,
 ): Promise<Outcome> => {
   const { plan, relayed } = request;
-  const stop = stopOf(request);
+  const aborter = createAborter(request);
   const outcome = await exchange.run({
     runtime: request.gateway.runtime,
     lease,
@@ -123,44 +126,44 @@
     plan: { ...plan, expectVersion: relayed.version ?? plan.expectVersion },
     body: request.context.body,
     left: requests.left(request),
-    lastEvent: relayed.lastId,
-    say: stop.watched,
-    sink: sinkOf(request, sentAt, stop),
-    most: largestAnswer,
+    lastEvent: relayed.lastEventId,
+    client: aborter.watchedResponse,
+    sink: sinkOf(request, sentAt, aborter),
+    maxBodySize: maxResponseSize,
   });
-  const why = stop.why();
-  return why === null ? outcome : { how: 'cut', why };
+  const why = aborter.reason();
+  return why === null ? outcome : { type: 'cut', why };
 };
 
-/** Whether a turn goes where the turn before it was answered; null: there was none. */
+/** Whether the worker is the one that answered the previous turn; null: there is no previous turn. */
 const reachedContext = ({ plan, placement }: Request, worker: string): boolean | null =>
-  plan.previous === null ? null : worker === placement.contextAt;
+  plan.previous === null ? null : worker === placement.contextWorker;
 
-/** One worker: looked at again, sent to. `continue` if another one is to be chosen. */
+/** Checks one worker again and sends the request to it. `continue` if another worker is to be chosen. */
 export const tryWorker = async (request: Request, worker: WorkerEntry): Promise<StepResult> => {
   const { gateway, plan, placement } = request;
-  let took: Microseconds | null = null;
-  const another = (): StepResult => {
+  let serviceTime: Microseconds | null = null;
+  const chooseAnother = (): StepResult => {
     placement.excluded.add(worker.id);
     return 'continue';
   };
   try {
     if (request.phases.current() === 'admitted') request.phases.transition('charge');
-    const now = checkBeforeSend(request, worker, await gateway.refreshIfStale());
-    if (now === 'answered') return 'answered';
-    if (now === 'continue') return another();
-    const lease = leaseOf(request, now);
-    if (!lease) return another();
+    const current = checkBeforeSend(request, worker, await gateway.refreshIfStale());
+    if (current === 'answered') return 'answered';
+    if (current === 'continue') return chooseAnother();
+    const lease = acquireLease(request, current);
+    if (!lease) return chooseAnother();
     request.phases.transition('send');
     request.timeline.enter('first_event');
-    request.timeline.sentTo(now.id, reachedContext(request, now.id));
+    request.timeline.sentTo(current.id, reachedContext(request, current.id));
     placement.sends += 1;
     const sentAt = gateway.runtime.clock.now();
-    const outcome = await exchangeWith(request, now, lease, sentAt);
-    if (outcome.how === 'unsent' && outcome.worker) placement.sends -= 1;
-    if (outcome.how === 'streamed' || outcome.how === 'answer') took = gateway.runtime.clock.now() - sentAt;
+    const outcome = await exchangeWith(request, current, lease, sentAt);
+    if (outcome.type === 'unsent' && outcome.workerDown) placement.sends -= 1;
+    if (outcome.type === 'streamed' || outcome.type === 'answer') serviceTime = gateway.runtime.clock.now() - sentAt;
     return await finish(request, worker, outcome);
   } finally {
-    gateway.admission.releaseSlot(worker.id, plan.cls, took);
+    gateway.admission.releaseSlot(worker.id, plan.className, serviceTime);
   }
 };
--- a/packages/data-plane/src/forward/stored-turns.ts
+++ b/packages/data-plane/src/forward/stored-turns.ts
@@ -1,41 +1,41 @@
 /**
- * Turns that are stored (§5.9): each is a register of its own, written once before the end of its answer leaves. A turn
- * names the chain before it, so that a continued one is put together from the turns of a tree. A chain is retained as
- * long as its last turn: earlier ones whose time runs out sooner are retained longer when a turn is added.
+ * Stored turns (§5.9): each is a register of its own, written once before the end of its response is sent. A turn lists
+ * the chain of turns before it; turns may share ancestors, so stored turns form a tree. A chain is retained as long as
+ * its last turn: when a turn is added, the retention of earlier turns that would expire sooner is extended.
  */
 import type { Registers } from '@thornsail/register-store';
 import { duration, type Clock, type Microseconds } from '@thornsail/runtime';
 import { internalErrors } from '../errors.js';
 
 /**
- * A turn as it is stored. Input and output as Latin-1, a character a byte; `chain` from the oldest turn on, without
- * this one. `until` is the wall-clock time up to which it is retained, as it was when this copy was read.
+ * The stored form of a turn. Input and output are Latin-1, one character a byte. `chain` holds the ids of the earlier
+ * turns, oldest first. `until` is the wall-clock time up to which the turn was retained when this copy was read.
  */
 export type StoredTurn = { chain: string[]; input: string; output: string; until?: Microseconds };
-/** The turns of a chain, oldest first; `here`: this gateway had the last one in its cache. */
-export type Chain = { ids: string[]; text: string; here: boolean };
-/** The stored turns, as one gateway uses them. Time limits are microseconds. */
+/** A chain of turns, oldest first. `text`: inputs and outputs joined; `cached`: the last turn was in the cache. */
+export type Chain = { ids: string[]; text: string; cached: boolean };
+/** One gateway's access to the stored turns. Timeouts are in microseconds. */
 export type StoredTurns = {
-  /** The turns up to `last`; undefined if there is no such turn. Rejects rather than guess. */
+  /** The chain up to `last`; undefined if there is no such turn. Rejects where that cannot be determined. */
   chain: (last: string, timeout: Microseconds) => Promise<Chain | undefined>;
-  /** Resolves once a majority has it. */
+  /** Resolves once a majority has stored the turn. */
   store: (id: string, turn: StoredTurn, keepSeconds: number, timeout: Microseconds) => Promise<void>;
-  /** Size of the cache. */
+  /** Size of the cache in bytes. */
   bytes: () => number;
 };
 
-/** Bytes of the turns that this gateway stored or read, and remembers: they never change. */
-const cacheSize = 24 << 20;
-/** A turn's time begins when its answer has ended at the caller, and what continues it is on its way for a while. */
-const slack = duration.s(5);
-/** Bytes of an id in a cached turn, about. */
+/** In bytes. The cache holds turns that this gateway has stored or read; a stored turn never changes. */
+const maxCacheSize = 24 << 20;
+/** Added to the retention, which begins at the response's end at the caller: a continuing turn takes time to arrive. */
+const retentionMargin = duration.s(5);
+/** Approximate size of an id in a cached turn, in bytes. */
 const idSize = 64;
 const registerOf = (id: string): string => `turn/${id}`;
 const sizeOf = (turn: StoredTurn): number => turn.input.length + turn.output.length + idSize * (turn.chain.length + 2);
 
 type Cache = {
   get: (id: string) => StoredTurn | undefined;
-  /** The oldest entries are dropped first. */
+  /** Evicts the oldest entries when the cache is full. */
   set: (id: string, turn: StoredTurn) => void;
   size: () => number;
 };
@@ -51,7 +51,7 @@
       entries.set(id, turn);
       size += sizeOf(turn);
       for (const [oldest, entry] of entries) {
-        if (size <= cacheSize) break;
+        if (size <= maxCacheSize) break;
         entries.delete(oldest);
         size -= sizeOf(entry);
       }
@@ -62,7 +62,7 @@
 
 const open = ({ clock, registers }: { clock: Clock; registers: Registers }): StoredTurns => {
   const cache = openCache();
-  /** Those that are not cached are read together; a turn never changes once it is there. */
+  /** Reads the turns that are not cached in one round; `once`: a turn never changes after it is stored. */
   const read = async (ids: string[], timeout: Microseconds): Promise<(StoredTurn | undefined)[]> => {
     const unknown = ids.filter((id) => !cache.get(id));
     const values = unknown.length ? await registers.readMany(unknown.map(registerOf), timeout, { once: true }) : [];
@@ -70,7 +70,7 @@
     for (const [id, turn] of found) if (turn) cache.set(id, turn);
     return ids.map((id) => found.get(id) ?? cache.get(id));
   };
-  /** Retained for twice its span, so that one of a living chain is written again once in that span at most. */
+  /** Retains for twice the span, so that a turn of a continued chain is rewritten at most once in a span. */
   const retain = async (id: string, span: Microseconds, timeout: Microseconds, turn?: StoredTurn): Promise<void> => {
     const stored = await registers.change<StoredTurn | undefined>(
       registerOf(id),
@@ -86,27 +86,28 @@
     );
     if (stored) cache.set(id, stored);
   };
-  const endsSoon = (id: string, span: Microseconds): boolean => (cache.get(id)?.until ?? 0) < clock.wallTime() + span;
+  const expiresWithin = (id: string, span: Microseconds): boolean =>
+    (cache.get(id)?.until ?? 0) < clock.wallTime() + span;
   const chain: StoredTurns['chain'] = async (last, timeout) => {
-    const here = cache.get(last) !== undefined;
+    const cached = cache.get(last) !== undefined;
     const [end] = await read([last], timeout);
     if (!end) return undefined;
-    const before = await read(end.chain, timeout);
-    // A chain is retained as long as its last turn: one that lacks a turn is not known for sure.
-    if (before.some((turn) => turn === undefined))
+    const earlier = await read(end.chain, timeout);
+    // A chain is retained as long as its last turn, so a missing turn means that the read was incomplete.
+    if (earlier.some((turn) => turn === undefined))
       throw internalErrors.create('chain-incomplete', { step: 'chain', peer: last });
-    const turns = [...(before as StoredTurn[]), end];
-    return { ids: [...end.chain, last], text: turns.map((turn) => turn.input + turn.output).join(''), here };
+    const turns = [...(earlier as StoredTurn[]), end];
+    return { ids: [...end.chain, last], text: turns.map((turn) => turn.input + turn.output).join(''), cached };
   };
   const store: StoredTurns['store'] = async (id, turn, keepSeconds, timeout) => {
-    const span = duration.s(keepSeconds) + slack;
-    const earlier = turn.chain
-      .filter((ancestor) => endsSoon(ancestor, span))
+    const span = duration.s(keepSeconds) + retentionMargin;
+    const extensions = turn.chain
+      .filter((ancestor) => expiresWithin(ancestor, span))
       .map((ancestor) => retain(ancestor, span, timeout));
-    await Promise.all([retain(id, span, timeout, turn), ...earlier]);
+    await Promise.all([retain(id, span, timeout, turn), ...extensions]);
   };
   return { chain, store, bytes: () => cache.size() };
 };
 
-/** Opens the stored turns for one gateway. */
+/** Opens one gateway's access to the stored turns. */
 export const storedTurns = { open };
--- a/packages/data-plane/test/connections.test.ts
+++ b/packages/data-plane/test/connections.test.ts
@@ -26,12 +26,12 @@
   return { pool: connections.open(runtime), opened, advance: (time) => void (now += time) };
 };
 const workerOf = (id: string, at = '10.0.0.1:80'): WorkerEntry => ({ id, at }) as WorkerEntry;
-const take = (pool: Connections, id = 'w1'): Lease => pool.take(workerOf(id), 4)!;
+const take = (pool: Connections, id = 'w1'): Lease => pool.acquire(workerOf(id), 4)!;
 
 test('a connection is reused only after a complete response', () => {
   const { pool, opened } = openPool();
   take(pool).done(null);
-  take(pool).spoilt();
+  take(pool).discard();
   assert.is(opened.length, 1);
   assert.ok(opened[0]!.closed());
   assert.not.ok(take(pool).reused);
@@ -65,7 +65,7 @@
   for (let i = 0; i < 4; i++) take(pool);
   pool.retain(new Set());
   pool.retain(new Set(['w1']));
-  assert.is(pool.take(workerOf('w1'), 4), undefined);
+  assert.is(pool.acquire(workerOf('w1'), 4), undefined);
 });
 test('a connection in use when the pool is closed is closed after its response', () => {
   const { pool, opened } = openPool();
--- a/packages/data-plane/test/events.test.ts
+++ b/packages/data-plane/test/events.test.ts
@@ -31,8 +31,12 @@
     const received: { text: string; id: string | null; data: string | null; hasData: boolean }[] = [];
     for (let offset = 0; offset < bytes.length;) {
       const chunkSize = 1 + random.int([1, 5, 300][seed % 3]!);
-      for (const event of reader.take(bytes.subarray(offset, offset + chunkSize)))
-        received.push({ text: event.bytes.toString('latin1'), ...events.fields(event.bytes), hasData: event.hasData });
+      for (const event of reader.push(bytes.subarray(offset, offset + chunkSize)))
+        received.push({
+          text: event.bytes.toString('latin1'),
+          ...events.parseFields(event.bytes),
+          hasData: event.hasData,
+        });
       offset += chunkSize;
     }
     assert.equal(
@@ -45,7 +49,7 @@
 });
 test('an event that is contained in one chunk is returned without a copy', () => {
   const chunk = Buffer.from('id: 1\ndata: a\n\n');
-  const [event] = events.reader().take(chunk);
+  const [event] = events.reader().push(chunk);
   assert.is(event!.bytes.buffer, chunk.buffer);
   assert.is(event!.bytes.length, chunk.length);
 });
--- a/tools/simulation/src/guards/data-plane.ts
+++ b/tools/simulation/src/guards/data-plane.ts
@@ -149,7 +149,7 @@
     name: 'a connection is not reused for a worker that left the list',
     rule: 'answers',
     file: 'data-plane/src/forward/connections.js',
-    find: 'if (pool.kept && connection.isOpen()',
+    find: 'if (pool.listed && connection.isOpen()',
     replacement: 'if (connection.isOpen()',
     noticedBy: { test: 'data-plane/test/connections.test.js' },
   }),
