--- a/packages/consensus/src/client.ts
+++ b/packages/consensus/src/client.ts
@@ -1,16 +1,19 @@
-/** How any node reaches the coordinators (§3.3): the leader it knew last, then a redirect, then the others. */
+/**
+ * The client of the coordinators (§3.3), used by every node. It tries the last known leader first, then the leader that
+ * a member redirects it to, then the other members.
+ */
 import { time, duration, type Clock, type Runtime, type Address, type Microseconds } from '@thornsail/runtime';
 import type { Rpc } from '@thornsail/rpc';
 import { coreCodec, coreRequestName } from './core-messages.js';
 import { consensusErrors } from './errors.js';
 import type { CoreRequest, CoreResult, CoreValue, EncodedResult } from './core-messages.js';
 
-/** A node's client of the coordinators. Time-outs are in microseconds. */
+/** A node's client of the coordinators. Timeouts are in microseconds. */
 export type CoreClient = {
   /**
-   * Every operation may be repeated safely, so an unknown outcome is simply asked again. Throws with code
-   * `no-quorum` when `timeLeft` is over; for what an operator waits for, as soon as no member has given an agreed
-   * answer for `operatorPatience`.
+   * Sends a request and returns its agreed result. All requests are idempotent, so a request with an unknown outcome is
+   * sent again. Throws `no-quorum` after `timeLeft` without an agreed result; requests that an operator waits for end
+   * after `operatorTimeout` already.
    */
   request: <R extends CoreRequest>(
     request: R,
@@ -18,52 +21,56 @@
   ) => Promise<{ index: number; value: CoreValue<R> }>;
 };
 
-type Agreed<R extends CoreRequest> = Extract<CoreResult<CoreValue<R>>, { ok: true }>;
+type AgreedResult<R extends CoreRequest> = Extract<CoreResult<CoreValue<R>>, { ok: true }>;
 
-/** A member that does not answer in this time may be gone. To ask another, or twice, has no other effect. */
-const requestLimit = duration.ms(500);
-/** A member that has not answered in this time is still waited for, while the next one is asked. */
-const hedgeAfter = duration.ms(150);
-/** An operator's client goes on to another node after a second of silence: it gets its answer before. */
-const operatorPatience = duration.ms(800);
-const operatorCalls: readonly CoreRequest['type'][] = ['push', 'read', 'drain'];
+/** A member that does not reply in this time may be down. Sending the request again or to another member is safe. */
+const requestTimeout = duration.ms(500);
+/** After this time without a reply the next member is tried as well; the first reply that arrives counts. */
+const hedgeDelay = duration.ms(150);
+/** Below one second, because an operator's client goes on to another node after a second without a reply. */
+const operatorTimeout = duration.ms(800);
+const operatorRequests: readonly CoreRequest['type'][] = ['push', 'read', 'drain'];
 const defaultTimeLeft = duration.s(4);
 const pauseBetweenRounds = duration.ms(40);
-const pauseSpread = duration.ms(60);
+/** Upper bound of the random time that is added to the pause. */
+const pauseJitter = duration.ms(60);
 
 type Client = {
   runtime: Runtime;
   rpc: Rpc;
   leader: Address | undefined;
-  /** Members that a coordinator named last. */
-  named: Address[];
+  /** The members in the most recent redirect of a coordinator. */
+  redirectMembers: Address[];
   lastError: unknown;
 };
 
-/** A question to the node's own coordinator goes over no connection, so nothing else bounds it. */
-const answerWithin = <T>(clock: Clock, limit: Microseconds, to: Address, answer: Promise<T>): Promise<T> =>
+/**
+ * Rejects after `timeout` microseconds without a reply. A request to the node's own coordinator uses no connection, so
+ * no other timeout applies to it.
+ */
+const withTimeout = <T>(clock: Clock, timeout: Microseconds, to: Address, reply: Promise<T>): Promise<T> =>
   new Promise((resolve, reject) => {
-    const stopTimer = clock.schedule(limit, () =>
-      reject(consensusErrors.create('outcome-unknown', { step: 'core', peer: to, message: 'no answer in time' })),
+    const stopTimer = clock.schedule(timeout, () =>
+      reject(consensusErrors.create('outcome-unknown', { step: 'core', peer: to, message: 'no reply in time' })),
     );
-    answer.then(resolve, reject).finally(stopTimer);
+    reply.then(resolve, reject).finally(stopTimer);
   });
 
-/** One member's answer, if it is an agreed one; what it says of the leader is remembered. */
-const askOne = async <R extends CoreRequest>(
+/** Sends the request to one member. Returns its result if it is agreed; otherwise records the leader that it names. */
+const requestFromMember = async <R extends CoreRequest>(
   client: Client,
   to: Address,
   request: R,
-  limit: Microseconds,
-): Promise<Agreed<R> | undefined> => {
+  timeout: Microseconds,
+): Promise<AgreedResult<R> | undefined> => {
   try {
-    const sent = client.rpc.request<EncodedResult>(to, coreRequestName, coreCodec.encodeRequest(request), limit);
-    const result = coreCodec.decodeResult(request, await answerWithin(client.runtime.clock, limit, to, sent));
+    const reply = client.rpc.request<EncodedResult>(to, coreRequestName, coreCodec.encodeRequest(request), timeout);
+    const result = coreCodec.decodeResult(request, await withTimeout(client.runtime.clock, timeout, to, reply));
     if (result.ok) {
       client.leader = to;
       return result;
     }
-    client.named = result.members;
+    client.redirectMembers = result.members;
     if (result.leader && result.leader !== to) client.leader = result.leader;
     else if (client.leader === to) client.leader = undefined;
     client.lastError = consensusErrors.create(result.reason, { step: `core.${request.type}`, peer: to });
@@ -74,78 +81,81 @@
   return undefined;
 };
 
-/** Asks each member once, the next one when one refused or is slow; the first agreed answer ends it. */
-const askRound = <R extends CoreRequest>(
+/**
+ * Sends the request to each member at most once, going on to the next when one refuses, fails or is slow. Ends with the
+ * first agreed result, or `undefined` if no member returned one.
+ */
+const requestRound = <R extends CoreRequest>(
   client: Client,
   request: R,
   members: Address[],
   end: Microseconds,
-): Promise<Agreed<R> | undefined> =>
+): Promise<AgreedResult<R> | undefined> =>
   new Promise((resolve) => {
     const { clock } = client.runtime;
-    const left = [...members];
-    const asked = new Set<Address>();
-    let open = 0;
+    const candidates = [...members];
+    const requested = new Set<Address>();
+    let outstanding = 0;
     let stopTimer = (): void => undefined;
     const next = (): Address | undefined => {
       const { leader } = client;
-      if (leader !== undefined && !asked.has(leader)) return leader;
-      return left.find((member) => !asked.has(member));
+      if (leader !== undefined && !requested.has(leader)) return leader;
+      return candidates.find((member) => !requested.has(member));
     };
-    const finish = (result: Agreed<R> | undefined): void => {
+    const finish = (result: AgreedResult<R> | undefined): void => {
       stopTimer();
-      asked.clear();
-      left.length = 0;
-      open = -Infinity;
+      requested.clear();
+      candidates.length = 0;
+      outstanding = -Infinity;
       resolve(result);
     };
-    const askNext = (): void => {
+    const requestNext = (): void => {
       stopTimer();
-      const to = open < 0 ? undefined : next();
+      const to = outstanding < 0 ? undefined : next();
       if (to === undefined) {
-        if (open === 0) finish(undefined);
+        if (outstanding === 0) finish(undefined);
         return;
       }
-      asked.add(to);
-      open += 1;
-      stopTimer = clock.schedule(hedgeAfter, askNext);
-      const limit = Math.min(requestLimit, Math.max(duration.ms(1), end - clock.now()));
-      void askOne(client, to, request, limit).then((result) => {
-        open -= 1;
+      requested.add(to);
+      outstanding += 1;
+      stopTimer = clock.schedule(hedgeDelay, requestNext);
+      const timeout = Math.min(requestTimeout, Math.max(duration.ms(1), end - clock.now()));
+      void requestFromMember(client, to, request, timeout).then((result) => {
+        outstanding -= 1;
         if (result) finish(result);
-        else askNext();
+        else requestNext();
       });
     };
-    askNext();
+    requestNext();
   });
 
-const askUntil = async <R extends CoreRequest>(
+const requestUntilTimeout = async <R extends CoreRequest>(
   client: Client,
   request: R,
   members: () => Address[],
   timeLeft: Microseconds,
 ): Promise<{ index: number; value: CoreValue<R> }> => {
   const { clock, rand } = client.runtime;
-  const patience = operatorCalls.includes(request.type) ? Math.min(timeLeft, operatorPatience) : timeLeft;
-  const end = clock.now() + patience;
+  const timeout = operatorRequests.includes(request.type) ? Math.min(timeLeft, operatorTimeout) : timeLeft;
+  const end = clock.now() + timeout;
   while (clock.now() < end) {
-    const all = [...new Set([...members(), ...client.named])];
-    const result = await askRound(client, request, all, end);
+    const targets = [...new Set([...members(), ...client.redirectMembers])];
+    const result = await requestRound(client, request, targets, end);
     if (result) return { index: result.index, value: result.value };
-    const pause = pauseBetweenRounds + rand.int(pauseSpread);
+    const pause = pauseBetweenRounds + rand.int(pauseJitter);
     if (clock.now() + pause >= end) break;
     await time.sleep(clock, pause);
   }
   throw consensusErrors.create('no-quorum', { step: `core.${request.type}`, cause: client.lastError });
 };
 
-/** Opens a client; `coordinators` gives the addresses known now, to which those that members name are added. */
+/** Opens a client. `coordinators` returns the addresses known now; those in redirects of the members are added. */
 export const coreClient = {
   open: (options: { runtime: Runtime; rpc: Rpc; coordinators: () => Address[] }): CoreClient => {
     const { runtime, rpc, coordinators } = options;
-    const client: Client = { runtime, rpc, leader: undefined, named: [], lastError: undefined };
+    const client: Client = { runtime, rpc, leader: undefined, redirectMembers: [], lastError: undefined };
     return {
-      request: (request, timeLeft = defaultTimeLeft) => askUntil(client, request, coordinators, timeLeft),
+      request: (request, timeLeft = defaultTimeLeft) => requestUntilTimeout(client, request, coordinators, timeLeft),
     };
   },
 };
--- a/packages/consensus/src/core-messages.ts
+++ b/packages/consensus/src/core-messages.ts
@@ -1,56 +1,57 @@
 /**
- * Requests that any node makes of the coordinators, and their results (§3.3). In code they have a `type`; between nodes
- * they have the form of the releases before, which the codec here maps them to.
+ * Requests of any node to the coordinators, and their results (§3.3). The codec maps them to the wire format of the
+ * previous releases, which has other names for requests and fields.
  */
 import { validate } from '@thornsail/rpc';
 import type { Address } from '@thornsail/runtime';
 import type { Push, PushResult } from './configuration.js';
 import type { RefusalCode } from './errors.js';
 import type { AgreedState, JoiningNode } from './agreed-state.js';
-import type { Suspicion } from './rulings.js';
+import type { Suspicion } from './suspicions.js';
 import { nodeCodec, stateCodec, type EncodedJoiningNode } from './state-codec.js';
 import type { Member } from './types.js';
 
-/** A request to the coordinators. Each may be repeated safely. */
+/** A request to the coordinators. All requests are idempotent. */
 export type CoreRequest =
   | { type: 'push'; push: Push }
   | { type: 'read' }
   | { type: 'join'; node: JoiningNode }
   | { type: 'suspect'; suspicions: Suspicion[] }
-  /** Every record of the store group of this version is on a majority (§6.5). */
+  /** Reports that every record is on a majority of the members of this version of the store group (§6.5). */
   | { type: 'sweep-complete'; version: number }
+  /** Starts the drain of a store, or cancels it if `on` is false. */
   | { type: 'drain'; id: string; on: boolean };
 
-/** The agreed state as the leader gives it. */
+/** The agreed state with the leader's term, members and additions. */
 export type ReadResult<News = unknown> = {
   state: AgreedState;
   term: number;
   members: Member[];
-  /** What the leader adds of its own knowledge. */
+  /** Data of the leader's own, outside the agreed state. */
   news: News | null;
-  /** Whether the store group needs no further change; a leader of the release before does not say. */
+  /** Whether the store group needs no further change; absent if the leader runs the previous release. */
   repaired?: boolean;
 };
 /** Whether a node has joined, and the newest incarnation known of it. */
 export type JoinResult = { ok: boolean; incarnation: number };
-/** What each request gives once it is agreed on. */
+/** The value of the agreed result of each request. */
 export type CoreValues = {
   push: PushResult;
   read: ReadResult;
-  /** Refused where a newer incarnation of the node is known; that one is given. */
+  /** Refused if a newer incarnation of the node is known; the result has that incarnation. */
   join: JoinResult;
   suspect: boolean;
   'sweep-complete': boolean;
   drain: boolean;
 };
-/** The value that a request of this kind gives. */
+/** The value of the agreed result of a request of type `R`. */
 export type CoreValue<R extends CoreRequest> = CoreValues[R['type']];
-/** `index` is that of the version which the value was read at, or which carries the change. */
+/** A result; `index` is that of the version that was read or that carries the change. */
 export type CoreResult<Value = unknown> =
   | { ok: true; index: number; value: Value }
   | { ok: false; reason: RefusalCode; leader: Address | null; members: Address[] };
 
-/** The name of these requests between nodes. */
+/** The RPC name of these requests. */
 export const coreRequestName = 'core';
 
 const isEncodedRequest = validate.anyOf(
@@ -75,7 +76,7 @@
 );
 
 type EncodedSuspicion = { by: string; id: string; inc: number };
-/** A request as it is between nodes. */
+/** A request in wire format. */
 export type EncodedRequest =
   | { op: 'push'; push: Push }
   | { op: 'read' }
@@ -161,11 +162,11 @@
   return type === 'read' ? decodeReadResult(encoded as EncodedReadResult) : encoded;
 };
 
-/** Names of refusals between nodes. */
+/** Names of refusals in wire format. */
 const encodedReasons = { 'not-leader': 'moved', 'outcome-unknown': 'unknown' } as const;
 const decodedReasons = { moved: 'not-leader', unknown: 'outcome-unknown' } as const;
 
-/** A result as it is between nodes. */
+/** A result in wire format. */
 export type EncodedResult =
   | { ok: true; seq: number; value: unknown }
   | { ok: false; why: 'moved' | 'unknown'; head: Address | null; towers: Address[] };
@@ -179,5 +180,5 @@
     ? { ok: true, index: encoded.seq, value: decodeValue(request.type, encoded.value) as CoreValue<R> }
     : { ok: false, reason: decodedReasons[encoded.why], leader: encoded.head, members: encoded.towers };
 
-/** Requests to the coordinators and their results, by their form between nodes. */
+/** Encodes, decodes and validates requests to the coordinators and their results. */
 export const coreCodec = { isEncodedRequest, encodeRequest, decodeRequest, encodeResult, decodeResult };
--- a/packages/consensus/src/core.ts
+++ b/packages/consensus/src/core.ts
@@ -1,6 +1,6 @@
 /**
- * A coordinator's part of the core (§3.3): the consensus group over the agreed state, the operations that it serves,
- * and the tasks of its leader.
+ * A coordinator (§3.3): a member of the consensus group over the agreed state, with the operations that it serves and
+ * the tasks that it runs while it is the leader.
  */
 import type { DurableStore } from '@thornsail/durable-files';
 import type { Rpc } from '@thornsail/rpc';
@@ -12,36 +12,39 @@
 import { leaderTasks } from './leader-tasks.js';
 import { serveRequest, type OperationOptions } from './operations.js';
 import { agreedState, type AgreedState } from './agreed-state.js';
-import { rulings } from './rulings.js';
+import { suspicionTracker } from './suspicions.js';
 import { stateCodec } from './state-codec.js';
 import type { Snapshot } from './types.js';
 
-/** A coordinator as it runs. */
+/** A running coordinator. */
 export type Core = { consensus: Consensus<AgreedState>; close: () => void };
-/** The sizes of the groups, and how soon the leader acts on a failure, in microseconds. */
+/** The sizes of the groups, and the delays after which the leader acts on a failure, in microseconds. */
 export type CoreSettings = {
-  /** For how long a suspicion counts. */
+  /** How long a suspicion counts after it was received. */
   suspectFor: Microseconds;
-  /** How long a member is missed before a spare takes its place. */
+  /** How long a member must be silent before a spare replaces it. */
   replaceAfter: Microseconds;
+  /** The intended number of members of the store group. */
   stores: number;
+  /** The intended number of coordinators. */
   coordinators: number;
-  /** A drain never leaves fewer stores than this. */
+  /** A drain that would leave fewer live stores than this is refused. */
   leastStores: number;
 };
-/** What a coordinator needs of its process. */
+/** Dependencies, callbacks and settings of a coordinator. */
 export type CoreOptions = {
   runtime: Runtime;
   rpc: Rpc;
   durable: DurableStore;
-  /** The addresses of the first coordinators; none where the group exists already. */
+  /** The addresses of the first coordinators; empty if the group exists already. */
   founders: Address[];
   onCommit: (version: Snapshot<AgreedState>) => void;
-  /** What the leader adds to a read of its own knowledge. */
+  /** Data of the leader's own, outside the agreed state, that it adds to the result of a read. */
   news?: () => unknown;
+  /** The configuration version in use at a gateway. If absent, a push is acknowledged as soon as it is committed. */
   usedVersion?: UsedVersion;
-  /** Told now and then, with a growing number, while a majority confirms this leader. */
-  onLead?: (version: number) => void;
+  /** Called periodically while this leader's lease is valid, with a number that grows with each call. */
+  onLeadershipConfirmed?: (version: number) => void;
   settings?: Partial<CoreSettings>;
 };
 
@@ -59,14 +62,14 @@
     return coreCodec.encodeResult(request.type, await serveRequest(operations, request, founders));
   });
 
-/** Opens a coordinator on its disk; it serves from then on. */
+/** Opens a coordinator from the state on its disk; it serves requests as soon as it is open. */
 export const core = {
   open: async (options: CoreOptions): Promise<Core> => {
-    const { runtime, rpc, durable, founders, onCommit, onLead, usedVersion, news } = options;
+    const { runtime, rpc, durable, founders, onCommit, onLeadershipConfirmed, usedVersion, news } = options;
     const { clock } = runtime;
     const settings = { ...defaultSettings, ...options.settings };
     const log = runtime.log('coordinator');
-    let onAgreed = (): void => undefined;
+    let onLeaderCommit = (): void => undefined;
     const group = await consensus.open<AgreedState>({
       runtime,
       rpc,
@@ -76,15 +79,15 @@
       codec: stateCodec,
       onCommit: (version) => {
         onCommit(version);
-        onAgreed();
+        onLeaderCommit();
       },
     });
-    const failures = rulings.open({ clock, suspectFor: settings.suspectFor });
+    const suspicions = suspicionTracker.open({ clock, suspectFor: settings.suspectFor });
     const { replaceAfter, leastStores } = settings;
     const maintenance = groupMaintenance.open({ clock, consensus: group, sizes: settings, replaceAfter, log });
-    listen(rpc, founders, { clock, consensus: group, failures, maintenance, leastStores, usedVersion, news });
-    const leader = leaderTasks.open({ clock, consensus: group, failures, maintenance, onLead, log });
-    onAgreed = leader.onCommit;
+    listen(rpc, founders, { clock, consensus: group, suspicions, maintenance, leastStores, usedVersion, news });
+    const leader = leaderTasks.open({ clock, consensus: group, suspicions, maintenance, onLeadershipConfirmed, log });
+    onLeaderCommit = leader.onCommit;
     return {
       consensus: group,
       close: () => {
--- a/packages/consensus/src/driver.ts
+++ b/packages/consensus/src/driver.ts
@@ -1,5 +1,6 @@
 /**
- * Runs the consensus state machine (§3.3): carries out its effects over RPC and disk, and feeds it what comes of them.
+ * Runs the consensus state machine (§3.3): executes its effects by RPC and disk I/O, and feeds the outcomes back to it
+ * as events.
  */
 import { fault, time, duration, type Runtime, type Address, type Microseconds } from '@thornsail/runtime';
 import { recoverFolder, type DurableStore } from '@thornsail/durable-files';
@@ -11,94 +12,107 @@
 import * as wire from './wire.js';
 import type { EncodedSnapshot, StateCodec } from './wire.js';
 
-/** A running member of the group. Times are in microseconds, indices grow by one with each version. */
+/** A running member of the group. The index grows by one with each version. */
 export type Consensus<S> = {
   id: string;
   role: () => Role;
-  /** The newest version known to be held by a quorum. */
+  /** The newest version that a quorum is known to have accepted. */
   committed: () => Snapshot<S> | undefined;
-  /** The address of the leader, as far as it is known here. */
+  /** The address of the leader, if this member knows it. */
   leader: () => Address | undefined;
-  /** True while this leader was confirmed by a quorum lately. */
+  /** Whether this member is the leader and a quorum has confirmed it within the lease. */
   isLeaseValid: () => boolean;
-  /** Whether a member has acknowledged something of this leader lately; always true of itself. */
-  isInTouch: (memberId: string) => boolean;
-  /** Resolves once synced at a quorum. An error `not-leader` was not taken; `outcome-unknown` may have been. */
+  /** Whether a member has acknowledged a message of this leader within the lease; always true of itself. */
+  hasRecentContact: (memberId: string) => boolean;
+  /**
+   * Resolves once the change is synced by a quorum. Errors: `not-leader` (the change had no effect), `outcome-unknown`
+   * (it may have had one), or the error that the change itself throws.
+   */
   propose: <R>(change: Change<S, R>) => Promise<{ index: number; result: R }>;
-  /** The committed state, confirmed by a quorum after the time of asking. Errors: `not-leader`, `outcome-unknown`. */
-  readAgreed: () => Promise<Snapshot<S>>;
+  /**
+   * Linearizable read: the committed version, after a quorum has confirmed the leader since the call. Errors:
+   * `not-leader`, `outcome-unknown`.
+   */
+  readLinearizable: () => Promise<Snapshot<S>>;
   close: () => void;
 };
-/** What a member needs: its clock and chance, its connections, its disk, and the state to start from. */
+/** Dependencies and settings of a member: clock and random source, RPC, disk, and the initial state. */
 export type ConsensusOptions<S> = {
   runtime: Runtime;
   rpc: Rpc;
   durable: DurableStore;
+  /** The addresses of the members of the first group; empty if the group exists already. */
   founders: Address[];
   initial: S;
   onCommit: (snapshot: Snapshot<S>) => void;
-  /** How the state is written between members and on disk; as it is where there is none. */
+  /** Encodes the state for the wire and the disk; without a codec the state is used as it is. */
   codec?: StateCodec<S>;
   timing?: Partial<Timing>;
 };
 
 const tickInterval: Microseconds = duration.ms(50);
-/** Codes of a write that the caller is told of; any other error is a fault of this program. */
-const diskErrors = ['full', 'failed'];
+/** Error codes of a failed disk write; any other error is a programming error and is thrown. */
+const diskErrorCodes = ['full', 'failed'];
 
-type Waiting<T> = { resolve: (value: T) => void; reject: (error: Error) => void };
+type PendingCall<T> = { resolve: (value: T) => void; reject: (error: Error) => void };
 
-type Stored<S> = { id: string; term: number; accepted: Snapshot<S> | undefined; fileMark: number };
+type Stored<S> = { id: string; term: number; accepted: Snapshot<S> | undefined; fileVersion: number };
 const load = async <S>(durable: DurableStore, codec: StateCodec<S>, newId: () => string): Promise<Stored<S>> => {
   const identity = await durable.read<wire.IdentityDocument>(wire.documents.identity);
   const id = identity?.value.id ?? newId();
   if (!identity) await durable.write(wire.documents.identity, 1, { id });
   const term = (await durable.read<wire.TermDocument>(wire.documents.term))?.value.view ?? 0;
-  const kept = await durable.read<EncodedSnapshot>(wire.documents.snapshot);
-  return { id, term, accepted: kept && wire.decodeSnapshot(kept.value, codec), fileMark: kept?.version ?? 0 };
+  const snapshot = await durable.read<EncodedSnapshot>(wire.documents.snapshot);
+  return {
+    id,
+    term,
+    accepted: snapshot && wire.decodeSnapshot(snapshot.value, codec),
+    fileVersion: snapshot?.version ?? 0,
+  };
 };
 
-/** The promises of callers, by number. */
-const waitingCalls = <T>(): {
-  add: (begin: (number: number) => void) => Promise<T>;
-  settle: (number: number, act: (waiting: Waiting<T>) => void) => void;
+/** Promises of callers that wait for the outcome of an event, by number. */
+const pendingCalls = <T>(): {
+  add: (start: (number: number) => void) => Promise<T>;
+  settle: (number: number, complete: (pending: PendingCall<T>) => void) => void;
 } => {
-  const waiting = new Map<number, Waiting<T>>();
-  let last = 0;
+  const calls = new Map<number, PendingCall<T>>();
+  let lastNumber = 0;
   return {
-    add: (begin) =>
+    add: (start) =>
       new Promise((resolve, reject) => {
-        const number = ++last;
-        waiting.set(number, { resolve, reject });
-        begin(number);
+        const number = ++lastNumber;
+        calls.set(number, { resolve, reject });
+        start(number);
       }),
-    settle: (number, act) => {
-      const one = waiting.get(number);
-      waiting.delete(number);
-      if (one) act(one);
+    settle: (number, complete) => {
+      const pending = calls.get(number);
+      calls.delete(number);
+      if (pending) complete(pending);
     },
   };
 };
 
-const settleProposal = (waiting: Waiting<{ index: number; result: unknown }>, outcome: ProposalOutcome): void => {
-  if (outcome.ok) waiting.resolve({ index: outcome.index, result: outcome.result });
-  else if (outcome.code === 'failed') waiting.reject(outcome.error);
-  else waiting.reject(consensusErrors.create(outcome.code, { step: 'consensus.propose' }));
+const settleProposal = (pending: PendingCall<{ index: number; result: unknown }>, outcome: ProposalOutcome): void => {
+  if (outcome.ok) pending.resolve({ index: outcome.index, result: outcome.result });
+  else if (outcome.code === 'failed') pending.reject(outcome.error);
+  else pending.reject(consensusErrors.create(outcome.code, { step: 'consensus.propose' }));
 };
-const settleRead = <S>(waiting: Waiting<Snapshot<S>>, outcome: ReadOutcome<S>): void => {
-  if (outcome.ok) waiting.resolve(outcome.snapshot);
-  else waiting.reject(consensusErrors.create(outcome.code, { step: 'consensus.read' }));
+const settleRead = <S>(pending: PendingCall<Snapshot<S>>, outcome: ReadOutcome<S>): void => {
+  if (outcome.ok) pending.resolve(outcome.snapshot);
+  else pending.reject(consensusErrors.create(outcome.code, { step: 'consensus.read' }));
 };
 
+/** The I/O of a member: event dispatch, log, pending calls, and the versions of the snapshot file. */
 type Io<S> = {
   options: ConsensusOptions<S>;
   codec: StateCodec<S>;
   dispatch: (event: Event<S>) => void;
   log: (text: string) => void;
-  calls: ReturnType<typeof waitingCalls<ReplyMessage<S>>>;
-  proposals: ReturnType<typeof waitingCalls<{ index: number; result: unknown }>>;
-  reads: ReturnType<typeof waitingCalls<Snapshot<S>>>;
-  nextFileMark: () => number;
+  calls: ReturnType<typeof pendingCalls<ReplyMessage<S>>>;
+  proposals: ReturnType<typeof pendingCalls<{ index: number; result: unknown }>>;
+  reads: ReturnType<typeof pendingCalls<Snapshot<S>>>;
+  nextFileVersion: () => number;
 };
 
 const sendRequest = async <S>(io: Io<S>, effect: Effect<S> & { type: 'send' }): Promise<void> => {
@@ -115,18 +129,22 @@
   try {
     if (effect.document === 'term') await durable.write(wire.documents.term, effect.term, { view: effect.term });
     else
-      await durable.write(wire.documents.snapshot, io.nextFileMark(), wire.encodeSnapshot(effect.snapshot, io.codec));
+      await durable.write(
+        wire.documents.snapshot,
+        io.nextFileVersion(),
+        wire.encodeSnapshot(effect.snapshot, io.codec),
+      );
   } catch (error) {
     const code = fault.info(error).code ?? '';
-    io.log(`${effect.document} was not written: ${fault.text(error)}.`);
+    io.log(`writing the ${effect.document} document failed: ${fault.text(error)}.`);
     io.dispatch({ type: 'write-failed', unchanged: code === 'full' });
-    if (!diskErrors.includes(code)) throw error;
+    if (!diskErrorCodes.includes(code)) throw error;
     return;
   }
   io.dispatch({ type: 'written' });
 };
 
-const carryOut = <S>(io: Io<S>, effect: Effect<S>): void => {
+const execute = <S>(io: Io<S>, effect: Effect<S>): void => {
   switch (effect.type) {
     case 'send':
       return void sendRequest(io, effect);
@@ -136,14 +154,19 @@
       return io.calls.settle(effect.call, ({ resolve }) => resolve(effect.reply));
     case 'refuse':
       return io.calls.settle(effect.call, ({ reject }) =>
-        reject(fault.make({ step: 'consensus.write', code: 'full' }, 'nothing was written')),
+        reject(
+          fault.make(
+            { step: 'consensus.write', code: 'full' },
+            'the request failed because its write did not complete',
+          ),
+        ),
       );
     case 'commit':
       return io.options.onCommit(effect.snapshot);
     case 'proposal-outcome':
-      return io.proposals.settle(effect.proposal, (waiting) => settleProposal(waiting, effect.outcome));
+      return io.proposals.settle(effect.proposal, (pending) => settleProposal(pending, effect.outcome));
     case 'read-outcome':
-      return io.reads.settle(effect.read, (waiting) => settleRead(waiting, effect.outcome));
+      return io.reads.settle(effect.read, (pending) => settleRead(pending, effect.outcome));
     case 'timer':
       return void io.options.runtime.clock.schedule(effect.after, () => io.dispatch(effect.event));
     case 'log':
@@ -151,11 +174,11 @@
   }
 };
 
-/** Events are handled one after another, each with all its effects begun before the next. */
+/** Returns a function that queues events and handles them in order: all effects of one are started before the next. */
 const dispatcher = <S>(
   options: ConsensusOptions<S>,
   state: ReplicaState<S>,
-  carryOutEffect: (effect: Effect<S>) => void,
+  executeEffect: (effect: Effect<S>) => void,
   onFault: (event: Event<S>, error: Error) => void,
 ): ((event: Event<S>) => void) => {
   const { clock, rand } = options.runtime;
@@ -164,7 +187,7 @@
   const handle = (event: Event<S>): void => {
     try {
       const effects = replica.step(state, event, clock.now(), (limit) => rand.int(limit));
-      for (const effect of effects) carryOutEffect(effect);
+      for (const effect of effects) executeEffect(effect);
     } catch (error) {
       onFault(event, error as Error);
     }
@@ -179,9 +202,9 @@
 };
 
 const serve = <S>(io: Io<S>): void => {
-  const shapes = wire.requestValidators(io.codec);
+  const validators = wire.requestValidators(io.codec);
   for (const kind of Object.keys(wire.requestNames) as RequestMessage<S>['kind'][])
-    io.options.rpc.on<unknown>(wire.requestNames[kind], shapes[kind], async (body, from) => {
+    io.options.rpc.on<unknown>(wire.requestNames[kind], validators[kind], async (body, from) => {
       const message = wire.decodeRequest<S>(kind, body, io.codec);
       const reply = await io.calls.add((call) => io.dispatch({ type: 'request', call, from, message }));
       return wire.encodeReply(reply, io.codec);
@@ -209,10 +232,10 @@
   options: ConsensusOptions<S>,
   codec: StateCodec<S>,
   state: ReplicaState<S>,
-  lastFileMark: number,
+  lastFileVersion: number,
   log: (text: string) => void,
 ): Io<S> => {
-  let fileMark = lastFileMark;
+  let fileVersion = lastFileVersion;
   const io: Io<S> = {
     options,
     codec,
@@ -220,16 +243,16 @@
     dispatch: dispatcher(
       options,
       state,
-      (effect) => carryOut(io, effect),
+      (effect) => execute(io, effect),
       (event, error) => {
-        log(`${event.type} failed: ${fault.text(error)}.`);
+        log(`handling the event ${event.type} failed: ${fault.text(error)}.`);
         if (event.type === 'request') io.calls.settle(event.call, ({ reject }) => reject(error));
       },
     ),
-    calls: waitingCalls(),
-    proposals: waitingCalls(),
-    reads: waitingCalls(),
-    nextFileMark: () => ++fileMark,
+    calls: pendingCalls(),
+    proposals: pendingCalls(),
+    reads: pendingCalls(),
+    nextFileVersion: () => ++fileVersion,
   };
   return io;
 };
@@ -242,7 +265,7 @@
   const stored = await load(durable, codec, () => `coordinator-${runtime.rand.id()}`);
   const timing = { ...defaultTiming, ...options.timing };
   const state = createState(options, stored, timing);
-  const io = openIo(options, codec, state, stored.fileMark, log);
+  const io = openIo(options, codec, state, stored.fileVersion, log);
   serve(io);
   const stops = [
     time.every(runtime.clock, timing.heartbeat, () => io.dispatch({ type: 'heartbeat-due' })),
@@ -254,13 +277,13 @@
     committed: () => state.committed,
     leader: () => state.leader,
     isLeaseValid: () => replica.isLeaseValid(state, runtime.clock.now()),
-    isInTouch: (memberId) => replica.isInTouch(state, memberId, runtime.clock.now()),
+    hasRecentContact: (memberId) => replica.hasRecentContact(state, memberId, runtime.clock.now()),
     propose: <R>(change: Change<S, R>) =>
       io.proposals.add((proposal) => io.dispatch({ type: 'propose', proposal, change })) as Promise<{
         index: number;
         result: R;
       }>,
-    readAgreed: () => io.reads.add((read) => io.dispatch({ type: 'read', read })),
+    readLinearizable: () => io.reads.add((read) => io.dispatch({ type: 'read', read })),
     close: () => {
       for (const stop of stops) stop();
       io.dispatch({ type: 'close' });
@@ -268,5 +291,5 @@
   };
 };
 
-/** Starts a member from its documents on disk. Rejects with the error of the disk where these cannot be read. */
+/** Starts a member from its documents on disk; rejects with the disk's error if they cannot be read. */
 export const consensus = { open };
--- a/packages/consensus/src/election.ts
+++ b/packages/consensus/src/election.ts
@@ -1,14 +1,24 @@
-/** Elections (§3.3): a pre-vote that changes nothing, a vote that does, and the new leader's first version. */
-import { abandonElection, log, otherMembers, send, writeSnapshot, writeTerm } from './actions.js';
+/** Elections (§3.3): the pre-vote, which changes no durable state, the vote, and the new leader's first version. */
+import { abandonElection, log, otherMembers, send, writeSnapshot, writeTerm } from './effects.js';
 import { replicate } from './leader.js';
 import { hasQuorum, isNewer } from './quorum.js';
 import { changeRole } from './role.js';
 import type { Microseconds } from '@thornsail/runtime';
-import type { Election, Member, Outstanding, PreVoteReply, ReplicaState, Snapshot, Step, VoteReply } from './types.js';
+import type {
+  Election,
+  Member,
+  OutstandingRequest,
+  PreVoteReply,
+  ReplicaState,
+  Snapshot,
+  Step,
+  VoteReply,
+} from './types.js';
 
 /**
- * How long nobody must have been heard. After a start of all, the members wait for one another in their order, one
- * heartbeat each, instead of by chance.
+ * How long no leader must have been heard before this replica starts an election. Right after a restart the members
+ * use fixed delays in the order of the member list, one heartbeat apart, instead of random ones: when all restart
+ * together they do not compete.
  */
 export const electionDelay = <S>(
   state: ReplicaState<S>,
@@ -17,7 +27,7 @@
 ): Microseconds => {
   const { electionTimeout, electionSpread, heartbeat } = state.timing;
   const rank = Math.max(0, state.accepted?.members.findIndex((member) => member.id === state.id) ?? 0);
-  const ordered = state.restarted && now - state.heardAt < 2 * electionTimeout;
+  const ordered = state.restarted && now - state.lastContactAt < 2 * electionTimeout;
   return electionTimeout + (ordered ? rank * heartbeat : random(electionSpread));
 };
 
@@ -38,11 +48,11 @@
   return state.election;
 };
 
-/** Asks whether a quorum misses the leader too; nobody's term changes by it. */
+/** Starts a pre-vote: asks whether a quorum has lost contact with the leader too. No member's term changes. */
 export const startElection = <S>(step: Step<S>): void => {
   const { state } = step;
   const base = state.accepted;
-  if (!base || state.role !== 'follower' || state.election || state.writing || state.removed) return;
+  if (!base || state.role !== 'follower' || state.election || state.pendingWrite || state.removed) return;
   if (!base.members.some((member) => member.id === state.id)) return;
   const term = state.term + 1;
   const election = beginPhase(step, 'pre-vote', term, base);
@@ -56,10 +66,11 @@
 };
 
 /**
- * A newcomer's state comes with the version that adds it. If its leader was lost before that arrived it has no vote,
- * and its vote may be needed: whoever accepted the version passes it on, as the leader would have.
+ * Sends the version that added a new member to that member. A new member gets its state with this version; if the
+ * leader was lost before it arrived, the member cannot vote although its vote may be needed for a quorum. Any member
+ * that accepted the version may send it, as the leader would have.
  */
-const bringUp = <S>(step: Step<S>, member: Member, snapshot: Snapshot<S>): void =>
+const sendVersionToNewMember = <S>(step: Step<S>, member: Member, snapshot: Snapshot<S>): void =>
   send(
     step,
     member.at,
@@ -68,16 +79,16 @@
     { kind: 'append', member, snapshot, catchUp: true },
   );
 
-/** Counts an answer to a pre-vote; a failed request (`undefined`) counts as no. */
+/** Counts a reply to a pre-vote; a failed request (`undefined`) counts as a refusal. */
 export const onPreVoteReply = <S>(
   step: Step<S>,
-  request: Outstanding<S> & { kind: 'pre-vote' },
+  request: OutstandingRequest<S> & { kind: 'pre-vote' },
   reply: PreVoteReply | undefined,
 ): void => {
   const { election } = step.state;
   if (election?.number !== request.election) return;
   election.pending -= 1;
-  if (reply?.unformed) bringUp(step, request.member, election.base);
+  if (reply?.unformed) sendVersionToNewMember(step, request.member, election.base);
   if (reply?.ok) election.granted.push(request.member.id);
   election.highestTerm = Math.max(election.highestTerm, reply?.term ?? 0);
   settlePreVote(step, election);
@@ -87,8 +98,8 @@
   const { state } = step;
   if (hasQuorum(election.base.members, election.granted)) {
     state.election = undefined;
-    const silent = step.now - state.heardAt >= state.timing.electionTimeout;
-    if (!silent || state.role !== 'follower' || state.writing) return;
+    const isTimedOut = step.now - state.lastContactAt >= state.timing.electionTimeout;
+    if (!isTimedOut || state.role !== 'follower' || state.pendingWrite) return;
     changeRole(step, 'election-started');
     state.leader = undefined;
     const term = Math.max(state.term, election.highestTerm) + 1;
@@ -97,12 +108,13 @@
   }
   if (election.pending > 0) return;
   state.election = undefined;
-  // A member that promised a higher term to a candidate that failed: it is followed, or no one ever could be elected.
-  if (election.highestTerm > state.term && !state.writing)
+  // A member has promised a higher term to a candidate that failed. This replica adopts that term, because otherwise no
+  // member could ever be elected.
+  if (election.highestTerm > state.term && !state.pendingWrite)
     writeTerm(step, election.highestTerm, { kind: 'adopt-term' });
 };
 
-/** The candidate's own vote is on its disk: it asks for the others'. */
+/** Requests the votes of the other members, once the candidate's own vote is on its disk. */
 export const requestVotes = <S>(step: Step<S>, term: number): void => {
   const { state } = step;
   const base = state.accepted;
@@ -119,8 +131,8 @@
     election: number,
   });
 
-/** A voter told of a newer version: those of its members that the candidate did not know are asked too. */
-const widen = <S>(step: Step<S>, election: Election<S>, newest: Snapshot<S>): void => {
+/** A voter returned a newer version: requests the votes of those of its members that the candidate did not know. */
+const requestVotesOfUnknownMembers = <S>(step: Step<S>, election: Election<S>, newest: Snapshot<S>): void => {
   const known = new Set([...election.base.members, ...election.newest.members].map((member) => member.id));
   election.newest = newest;
   for (const member of otherMembers(step, newest.members))
@@ -130,10 +142,10 @@
     }
 };
 
-/** Counts an answer to a vote; a failed request (`undefined`) counts as no. */
+/** Counts a reply to a vote request; a failed request (`undefined`) counts as a refusal. */
 export const onVoteReply = <S>(
   step: Step<S>,
-  request: Outstanding<S> & { kind: 'vote' },
+  request: OutstandingRequest<S> & { kind: 'vote' },
   reply: VoteReply<S> | undefined,
 ): void => {
   const { election } = step.state;
@@ -141,44 +153,47 @@
   election.pending -= 1;
   if (reply?.ok && reply.accepted) {
     election.granted.push(request.member.id);
-    if (isNewer(reply.accepted, election.newest)) widen(step, election, reply.accepted);
+    if (isNewer(reply.accepted, election.newest)) requestVotesOfUnknownMembers(step, election, reply.accepted);
   }
   settleVote(step, election);
 };
 
-/** Won by a quorum of the members that the candidate knew and of those of the newest version that it was told of. */
+/** An election needs a quorum of the members that the candidate knew and of those of the newest version returned. */
 const isWon = <S>(election: Election<S>): boolean =>
   hasQuorum(election.base.members, election.granted) && hasQuorum(election.newest.members, election.granted);
 
 const settleVote = <S>(step: Step<S>, election: Election<S>): void => {
   const { state } = step;
   const { newest, term } = election;
-  const current = state.role === 'candidate' && state.term === term && !state.writing;
+  const isCurrent = state.role === 'candidate' && state.term === term && !state.pendingWrite;
   const isMember = newest.members.some((member) => member.id === state.id);
   const won = isWon(election) && isMember;
-  if (current && !won && election.pending > 0) return;
+  if (isCurrent && !won && election.pending > 0) return;
   state.election = undefined;
-  if (current && won) {
+  if (isCurrent && won) {
     const snapshot = { term, index: newest.index + 1, members: newest.members, state: newest.state };
     writeSnapshot(step, snapshot, { kind: 'take-over', snapshot });
     return;
   }
   state.removed = !isMember;
   abandonElection(step);
-  state.heardAt = step.now;
+  state.lastContactAt = step.now;
 };
 
-/** The newest version, written again under the new term: the term's first commit, before any proposal. */
+/**
+ * Becomes the leader and replicates the newest version again under the new term: it has to be the term's first commit,
+ * before any proposal.
+ */
 export const takeOver = <S>(step: Step<S>, snapshot: Snapshot<S>): void => {
   const { state } = step;
   if (state.role !== 'candidate' || state.term !== snapshot.term) return abandonElection(step);
   changeRole(step, 'elected');
   state.leader = state.at;
-  state.quorumAt = step.now;
-  state.leaseFrom = 0;
-  log(step, `term ${snapshot.term} goes on from version ${snapshot.index}.`);
+  state.quorumConfirmedAt = step.now;
+  state.leaseStartedAt = 0;
+  log(step, `leading term ${snapshot.term} from version ${snapshot.index}.`);
   replicate(step, { snapshot, outcomes: [] });
 };
 
-/** The candidate's term or first version was not written: it is a follower again. */
+/** Makes the candidate a follower after its term or its first version could not be written. */
 export const onElectionWriteFailed = <S>(step: Step<S>): void => abandonElection(step);
--- a/packages/consensus/src/errors.ts
+++ b/packages/consensus/src/errors.ts
@@ -1,11 +1,11 @@
-/** The errors of this package. Callers decide by their codes (§3.3). */
+/** The errors of this package (§3.3). Callers distinguish them by code. */
 import { errorCatalogue } from '@thornsail/runtime';
 
-/** Codes of the consensus group and of the client that reaches it. */
+/** Error codes of the consensus group and of its client. */
 export const consensusErrors = errorCatalogue('ConsensusError', {
   'not-leader': { message: 'not the leader', retryable: true },
   'outcome-unknown': { message: 'outcome unknown', retryable: false },
   'no-quorum': { message: 'the coordinators gave no agreed result in time', retryable: false },
 });
-/** Why a member could not give an agreed answer: `not-leader` had no effect, `outcome-unknown` may have had one. */
+/** Why a member returned no agreed result: `not-leader` had no effect, `outcome-unknown` may have had one. */
 export type RefusalCode = 'not-leader' | 'outcome-unknown';
--- a/packages/consensus/src/follower.ts
+++ b/packages/consensus/src/follower.ts
@@ -1,5 +1,5 @@
-/** What every member does when another asks (§3.3): accept a version, hear a leader, vote, be formed. */
-import { abandonElection, commit, writeSnapshot, writeTerm } from './actions.js';
+/** Requests that every member handles (§3.3): append, heartbeat, pre-vote, vote, form, resign and discover. */
+import { abandonElection, commit, writeSnapshot, writeTerm } from './effects.js';
 import { stepDown } from './leader.js';
 import { isNewer } from './quorum.js';
 import type { Address } from '@thornsail/runtime';
@@ -11,20 +11,21 @@
   message: RequestMessage<S> & { kind: K };
 };
 
-const neverHeld = -1;
-const heldIndex = <S>(state: ReplicaState<S>, term: number): number =>
-  state.accepted?.term === term ? state.accepted.index : neverHeld;
+/** The index in a reply of a replica that has accepted no version (of the term in question). */
+const noIndex = -1;
+const acceptedIndex = <S>(state: ReplicaState<S>, term: number): number =>
+  state.accepted?.term === term ? state.accepted.index : noIndex;
 
-/** A leader of this term or a higher one is there. */
-const hearLeader = <S>(step: Step<S>, term: number, from: Address): void => {
+/** Records contact from the leader of a term, unless the term is older than this replica's. */
+const recordLeaderContact = <S>(step: Step<S>, term: number, from: Address): void => {
   const { state } = step;
   if (term < state.term) return;
   if (from !== state.at) {
-    stepDown(step, 'a newer term');
+    stepDown(step, 'there is a leader of a newer term');
     abandonElection(step);
   }
   state.leader = from;
-  state.heardAt = step.now;
+  state.lastContactAt = step.now;
   state.restarted = false;
   state.removed = false;
 };
@@ -40,10 +41,13 @@
 };
 const refuseAppend = <S>(step: Step<S>, call: number): void => {
   const { term, accepted } = step.state;
-  const index = accepted?.index ?? neverHeld;
+  const index = accepted?.index ?? noIndex;
   step.effects.push({ type: 'reply', call, reply: { kind: 'append', ok: false, term, index } });
 };
-/** Whether a newer version waits for the disk: on a slow disk all that came meanwhile need not be written in turn. */
+/**
+ * Whether a newer version is already queued for the disk. A slow disk writes only the newest of the versions that
+ * arrived during a write.
+ */
 const isSuperseded = <S>(state: ReplicaState<S>, snapshot: Snapshot<S>): boolean =>
   state.deferred.some(
     (event) =>
@@ -56,7 +60,7 @@
   const { state } = step;
   const { snapshot } = message;
   if (message.to !== state.id || snapshot.term < state.term) return refuseAppend(step, call);
-  hearLeader(step, snapshot.term, from);
+  recordLeaderContact(step, snapshot.term, from);
   commitAt(step, snapshot.term, message.commitIndex);
   if (isSuperseded(state, snapshot)) return refuseAppend(step, call);
   if (!state.accepted || isNewer(snapshot, state.accepted))
@@ -69,16 +73,16 @@
   { call, from, term, commitIndex }: Continuation<S> & { kind: 'acknowledge-heartbeat' },
 ): void => {
   const { state } = step;
-  hearLeader(step, term, from);
+  recordLeaderContact(step, term, from);
   commitAt(step, term, commitIndex);
-  const index = heldIndex(state, term);
+  const index = acceptedIndex(state, term);
   step.effects.push({ type: 'reply', call, reply: { kind: 'heartbeat', ok: true, term: state.term, index } });
 };
 const onHeartbeat = <S>(step: Step<S>, { call, from, message }: Request<S, 'heartbeat'>): void => {
   const { state } = step;
   const { term, commitIndex } = message;
   if (message.to !== state.id || term < state.term || !state.accepted) {
-    const index = heldIndex(state, term);
+    const index = acceptedIndex(state, term);
     step.effects.push({ type: 'reply', call, reply: { kind: 'heartbeat', ok: false, term: state.term, index } });
     return;
   }
@@ -87,12 +91,15 @@
   else acknowledgeHeartbeat(step, continuation);
 };
 
-/** Changes nothing here. A leader that asks for a pre-vote leads no more: its followers need not wait. */
+/**
+ * Replies to a pre-vote without changing any state. A pre-vote request from the known leader shows that it no longer
+ * leads, so the follower need not wait for the election timeout.
+ */
 const onPreVote = <S>(step: Step<S>, { call, from, message }: Request<S, 'pre-vote'>): void => {
   const { state } = step;
   const unformed = state.role === 'unformed';
-  const silent = step.now - state.heardAt >= state.timing.electionTimeout || from === state.leader;
-  const ok = !unformed && message.term > state.term && state.role !== 'leader' && silent;
+  const isLeaderLost = step.now - state.lastContactAt >= state.timing.electionTimeout || from === state.leader;
+  const ok = !unformed && message.term > state.term && state.role !== 'leader' && isLeaderLost;
   step.effects.push({ type: 'reply', call, reply: { kind: 'pre-vote', ok, term: state.term, unformed } });
 };
 
@@ -104,15 +111,15 @@
 };
 const grantVote = <S>(step: Step<S>, { call, term }: Continuation<S> & { kind: 'grant-vote' }): void => {
   const { state } = step;
-  stepDown(step, 'it voted for another');
+  stepDown(step, 'it voted for another member');
   abandonElection(step);
   state.leader = undefined;
-  state.heardAt = step.now;
+  state.lastContactAt = step.now;
   state.restarted = false;
   step.effects.push({ type: 'reply', call, reply: { kind: 'vote', ok: true, term, accepted: state.accepted } });
 };
 
-/** Accepts version 0 with the given members; `call` is null where no request asked for it. */
+/** Accepts version 0 with the given members; `call` is null if this replica forms the group itself. */
 export const formGroup = <S>(
   step: Step<S>,
   call: number | null,
@@ -124,13 +131,13 @@
     writeSnapshot(step, { term: 0, index: 0, members, state: state.initial }, { kind: 'form', call });
   else if (call !== null) step.effects.push({ type: 'reply', call, reply: { kind: 'form', ok: false } });
 };
-const formed = <S>(step: Step<S>, call: number | null): void => {
-  step.state.heardAt = step.now;
-  step.effects.push({ type: 'log', text: 'formed with the other founders.' });
+const onFormed = <S>(step: Step<S>, call: number | null): void => {
+  step.state.lastContactAt = step.now;
+  step.effects.push({ type: 'log', text: 'the group was formed with the other founders.' });
   if (call !== null) step.effects.push({ type: 'reply', call, reply: { kind: 'form', ok: true } });
 };
 
-/** The leader gives up: the members ask for the lead at once, one after another in their order. */
+/** The leader has resigned: the members start elections at once, one heartbeat apart in the order of the list. */
 const onResign = <S>(step: Step<S>, { call, from, message }: Request<S, 'resign'>): void => {
   const { state } = step;
   const ok =
@@ -139,17 +146,17 @@
     const { electionTimeout, heartbeat } = state.timing;
     const rank = state.accepted?.members.findIndex((member) => member.id === state.id) ?? 0;
     state.leader = undefined;
-    state.heardAt = step.now - electionTimeout;
+    state.lastContactAt = step.now - electionTimeout;
     state.electionDelay = electionTimeout + Math.max(0, rank) * heartbeat;
   }
   step.effects.push({ type: 'reply', call, reply: { kind: 'resign', ok } });
 };
 
-/** Answers that rest on what is on the disk wait for the write under way; the others do not. */
+/** Whether the handling of an event depends on the disk and so has to wait for the pending write. */
 export const needsDisk = <S>(event: Event<S>): boolean =>
   event.type === 'request' && !['pre-vote', 'discover', 'resign'].includes(event.message.kind);
 
-/** Handles a request of another member; its answer is an effect of this step, or of a later one. */
+/** Handles a request of another member; the reply is an effect of this step or of a later one. */
 export const onRequest = <S>(step: Step<S>, event: Event<S> & { type: 'request' }): void => {
   const { call, from, message } = event;
   switch (message.kind) {
@@ -172,10 +179,10 @@
   }
 };
 
-/** What a member answers once its write is synced. */
+/** Sends the reply that depended on a write, once the write is synced. */
 export const onMemberWritten = <S>(step: Step<S>, continuation: Continuation<S>): void => {
   if (continuation.kind === 'acknowledge-append') acknowledgeAppend(step, continuation.call);
   else if (continuation.kind === 'acknowledge-heartbeat') acknowledgeHeartbeat(step, continuation);
   else if (continuation.kind === 'grant-vote') grantVote(step, continuation);
-  else if (continuation.kind === 'form') formed(step, continuation.call);
+  else if (continuation.kind === 'form') onFormed(step, continuation.call);
 };
--- a/packages/consensus/src/group-maintenance.ts
+++ b/packages/consensus/src/group-maintenance.ts
@@ -1,29 +1,29 @@
 /**
- * The leader's upkeep of the two groups (§3.3, §6.5): it forms the store group, and takes one step of repair after
- * another, each as soon as the one before is agreed on.
+ * Maintenance of the coordinator group and the store group by the leader (§3.3, §6.5): forms the store group, and takes
+ * repair steps one after another, each as soon as the previous one is committed.
  */
 import type { Clock, Microseconds } from '@thornsail/runtime';
 import { storeGroup } from './store-group.js';
 import { agreedState, type NodeEntry, type AgreedState } from './agreed-state.js';
-import { presence, sparesOf, spreadOver, type Presence } from './presence.js';
+import { conditionTracker, sparesOf, spreadOver, type ConditionTracker } from './member-conditions.js';
 import { repair, type Condition, type ReplicaGroup, type RepairStep } from './repair.js';
 import type { Consensus } from './driver.js';
 import type { Member, Snapshot } from './types.js';
 
-/** How many members each group should have. */
+/** The intended number of members of each group. */
 export type GroupSizes = { stores: number; coordinators: number };
-/** The upkeep as the leader runs it. */
+/** The maintenance of both groups. */
 export type GroupMaintenance = {
-  /** Takes the steps that are due, until there is none; a call while one runs makes it look once more. */
-  act: () => Promise<void>;
-  /** Whether the store group's last change is complete and no further one is due (§6.5). */
-  storesRepaired: (state: AgreedState) => boolean;
+  /** Takes steps until none is due. A call during a run makes that run check once more at its end. */
+  runDueSteps: () => Promise<void>;
+  /** Whether the last change of the store group is complete and no further one is due (§6.5). */
+  isStoreGroupRepaired: (state: AgreedState) => boolean;
 };
 type MaintenanceOptions = {
   clock: Clock;
   consensus: Consensus<AgreedState>;
   sizes: GroupSizes;
-  /** How long a member is missed before a spare takes its place, in microseconds. */
+  /** How long a member must be silent before a spare replaces it, in microseconds. */
   replaceAfter: Microseconds;
   log: (text: string) => void;
 };
@@ -31,28 +31,36 @@
 
 const memberOf = (node: NodeEntry): Member => ({ id: node.id, at: node.place });
 
-/** Both groups as the repair sees them. */
+/** Derives the input of the repair decision for each group from the agreed state. */
 type GroupReader = {
   stores: (state: AgreedState) => ReplicaGroup;
   coordinators: (state: AgreedState, members: Member[]) => ReplicaGroup;
 };
 /**
- * The leader hears the coordinators itself, and sooner than the agreed state says so: one that answers is not removed,
- * and one that does not is no part of the majority that a change relies on. One that is gone stays gone.
+ * Corrects a coordinator's condition by the leader's own contact with it, which is more recent than the agreed state. A
+ * coordinator that answers is not removed, and one that does not answer is not counted for the majority that a change
+ * needs. A replaced member stays `replaced`.
  */
-const conditionByContact = (condition: Condition, isInTouch: boolean): Condition => {
-  if (isInTouch && (condition === 'silent' || condition === 'overdue')) return 'serving';
-  return !isInTouch && condition === 'serving' ? 'silent' : condition;
+const conditionByContact = (condition: Condition, isInContact: boolean): Condition => {
+  if (isInContact && (condition === 'silent' || condition === 'overdue')) return 'serving';
+  return !isInContact && condition === 'serving' ? 'silent' : condition;
 };
-const heardDirectly = (group: ReplicaGroup, isInTouch: (id: string) => boolean): ReplicaGroup => ({
+const correctedByContact = (group: ReplicaGroup, hasRecentContact: (id: string) => boolean): ReplicaGroup => ({
   ...group,
-  members: group.members.map(({ id, condition }) => ({ id, condition: conditionByContact(condition, isInTouch(id)) })),
+  members: group.members.map(({ id, condition }) => ({
+    id,
+    condition: conditionByContact(condition, hasRecentContact(id)),
+  })),
 });
-const groupReader = (present: Presence, sizes: GroupSizes, isInTouch: (id: string) => boolean): GroupReader => {
+const groupReader = (
+  conditions: ConditionTracker,
+  sizes: GroupSizes,
+  hasRecentContact: (id: string) => boolean,
+): GroupReader => {
   const groupOf = (state: AgreedState, members: Member[], spares: NodeEntry[], size: number): ReplicaGroup => ({
     members: members.map((member) => ({
       id: member.id,
-      condition: present.condition(state, member, spares, members.length),
+      condition: conditions.condition(state, member, spares, members.length),
     })),
     spares: spares.map((node) => node.id),
     size,
@@ -66,7 +74,7 @@
     },
     coordinators: (state, members) => {
       const group = groupOf(state, members, sparesOf(state, 'coordinator', members), sizes.coordinators);
-      return heardDirectly(group, isInTouch);
+      return correctedByContact(group, hasRecentContact);
     },
   };
 };
@@ -76,16 +84,16 @@
   async ({ state }) => {
     const live = agreedState.liveNodes(state, 'store').filter((node) => node.status === 'live');
     if (state.storeGroup.mark !== 0 || live.length < sizes.stores) return false;
-    const first = spreadOver(live, []).slice(0, sizes.stores).map(memberOf);
-    await consensus.propose((state) => storeGroup.form(state, first));
+    const members = spreadOver(live, []).slice(0, sizes.stores).map(memberOf);
+    await consensus.propose((state) => storeGroup.form(state, members));
     return true;
   };
 
 const logStep = ({ log }: MaintenanceOptions, role: string, state: AgreedState, step: RepairStep): void => {
   const name = state.nodes[step.id]?.name ?? '';
-  log(`${role} ${name} (${step.id}): ${step.change} in its group, ${step.why}.`);
+  log(`repair of the ${role} group, node ${name} (${step.id}): ${step.change}, because ${step.why}.`);
 };
-/** A step is judged again on the state that it changes. */
+/** Whether a step is still due in the state that it is applied to, which may be newer than the one it was chosen by. */
 const isStillNext = (step: RepairStep, group: ReplicaGroup): boolean => {
   const next = repair.next(group);
   return next?.id === step.id && next.change === step.change;
@@ -123,18 +131,21 @@
     return true;
   };
 
-/** Runs `once` until it gives false; a call while it runs makes it run once more. */
-const untilDone = (once: () => Promise<boolean>): (() => Promise<void>) => {
+/**
+ * Returns a function that calls `runOnce` until it returns false. Runs do not overlap: a call during a run makes that
+ * run check once more at its end.
+ */
+const untilDone = (runOnce: () => Promise<boolean>): (() => Promise<void>) => {
   let running: Promise<void> | undefined;
-  let again = false;
+  let runAgain = false;
   const run = async (): Promise<void> => {
     do {
-      again = false;
-      while (await once());
-    } while (again);
+      runAgain = false;
+      while (await runOnce());
+    } while (runAgain);
   };
   return () => {
-    again = true;
+    runAgain = true;
     running ??= run().finally(() => {
       running = undefined;
     });
@@ -142,25 +153,25 @@
   };
 };
 
-/** Opens the upkeep of both groups. It acts on the leader alone. */
+/** Opens the maintenance of both groups. On a member that is not the leader it does nothing. */
 export const groupMaintenance = {
   open: (options: MaintenanceOptions): GroupMaintenance => {
     const { consensus, sizes } = options;
-    const reader = groupReader(presence.open(options), sizes, consensus.isInTouch);
+    const reader = groupReader(conditionTracker.open(options), sizes, consensus.hasRecentContact);
     const tasks = [storeFormation(options), storeRepair(options, reader), coordinatorRepair(options, reader)];
-    /** One step for each group; false if nothing was due. */
-    const once = async (): Promise<boolean> => {
+    /** Takes one step for each group; returns false if none was due. */
+    const runOnce = async (): Promise<boolean> => {
       const version = consensus.committed();
       if (consensus.role() !== 'leader' || !version) return false;
-      const taken = await Promise.all(tasks.map((task) => task(version)));
-      return taken.includes(true);
+      const results = await Promise.all(tasks.map((task) => task(version)));
+      return results.includes(true);
     };
     return {
-      storesRepaired: (state) => {
+      isStoreGroupRepaired: (state) => {
         const group = reader.stores(state);
         return group.settled && repair.next(group) === undefined;
       },
-      act: untilDone(once),
+      runDueSteps: untilDone(runOnce),
     };
   },
 };
--- a/packages/consensus/src/leader-tasks.ts
+++ b/packages/consensus/src/leader-tasks.ts
@@ -1,60 +1,64 @@
-/** What the leader does by itself (§3.2, §3.3): rules on failures, repairs both groups, and says that it is there. */
+/** Periodic tasks of the leader (§3.2, §3.3): confirm failures, repair both groups, and announce its leadership. */
 import { duration, fault, time, type Clock } from '@thornsail/runtime';
 import type { Consensus } from './driver.js';
 import { consensusErrors } from './errors.js';
 import type { GroupMaintenance } from './group-maintenance.js';
 import { agreedState, type AgreedState } from './agreed-state.js';
-import type { Rulings } from './rulings.js';
+import type { SuspicionTracker } from './suspicions.js';
 
-/** What the tasks work on. */
+/** Dependencies and callbacks of the tasks. */
 export type LeaderTaskOptions = {
   clock: Clock;
   consensus: Consensus<AgreedState>;
-  failures: Rulings;
+  suspicions: SuspicionTracker;
   maintenance: GroupMaintenance;
-  /** Told now and then, with a growing number, while a majority confirms this leader. */
-  onLead?: (version: number) => void;
+  /** Called every `announceInterval` while the leader's lease is valid, with a number that grows with each call. */
+  onLeadershipConfirmed?: (version: number) => void;
   log: (text: string) => void;
 };
-/** The tasks as they run; on a member that does not lead they do nothing. */
+/** The running tasks; on a member that is not the leader they do nothing. */
 export type LeaderTasks = {
-  /** What is agreed on may make a step due: a loss, a return, a sweep that is complete. */
+  /** Runs the repair after a commit, because the new version may call for a step: a lost or returned node, a sweep. */
   onCommit: () => void;
   close: () => void;
 };
 
 const announceInterval = duration.ms(500);
 const taskInterval = duration.ms(200);
-/** Announcements of a later term have higher numbers. */
-const announcementsInTerm = 1e9;
+/** The term is multiplied by this, so that announcements of a later term have higher numbers. */
+const announcementsPerTerm = 1e9;
 
-const ruleOnFailures = async ({ clock, consensus, failures, log }: LeaderTaskOptions): Promise<void> => {
+const markConfirmedDead = async ({ clock, consensus, suspicions, log }: LeaderTaskOptions): Promise<void> => {
   const version = consensus.committed();
   if (consensus.role() !== 'leader' || !version) return;
-  for (const { entry, watchers } of failures.due(version.state)) {
-    log(`${entry.name} is dead: ${watchers} watchers agree.`);
+  for (const { entry, watchers } of suspicions.takeConfirmed(version.state)) {
+    log(`marking ${entry.name} dead: ${watchers} watchers suspect it.`);
     await consensus.propose((state) => agreedState.markDead(state, entry.id, entry.incarnation, clock.wallTime()));
   }
 };
 
-/** A loss of the lead in between is no failure: the next leader does what is due. */
+/** Wraps a task to log its errors. Losing the leadership meanwhile is not an error: the next leader runs the task. */
 const loggingFailures =
   (log: LeaderTaskOptions['log'], task: () => Promise<void>): (() => Promise<void>) =>
   async () => {
     try {
       await task();
     } catch (error) {
-      if (!consensusErrors.is(error, 'not-leader', 'outcome-unknown')) log(`a duty failed: ${fault.text(error)}.`);
+      if (!consensusErrors.is(error, 'not-leader', 'outcome-unknown'))
+        log(`a leader task failed: ${fault.text(error)}.`);
     }
   };
 
-/** A gateway that hears the leader's announcements gets every configuration in time (§7.2). */
-const announcer = ({ consensus, onLead }: LeaderTaskOptions): (() => void) => {
+/**
+ * Announces the leadership. A gateway that receives the announcements is in contact with the leader and so gets each
+ * configuration in time (§7.2).
+ */
+const announcer = ({ consensus, onLeadershipConfirmed }: LeaderTaskOptions): (() => void) => {
   let announced = 0;
   return () => {
-    if (!consensus.isLeaseValid() || !onLead) return;
+    if (!consensus.isLeaseValid() || !onLeadershipConfirmed) return;
     announced += 1;
-    onLead((consensus.committed()?.term ?? 0) * announcementsInTerm + announced);
+    onLeadershipConfirmed((consensus.committed()?.term ?? 0) * announcementsPerTerm + announced);
   };
 };
 
@@ -62,13 +66,13 @@
 export const leaderTasks = {
   open: (options: LeaderTaskOptions): LeaderTasks => {
     const { clock, log } = options;
-    const repair = loggingFailures(log, options.maintenance.act);
+    const repair = loggingFailures(log, options.maintenance.runDueSteps);
     const stops = [
       time.every(clock, announceInterval, announcer(options)),
       time.every(
         clock,
         taskInterval,
-        loggingFailures(log, () => ruleOnFailures(options)),
+        loggingFailures(log, () => markConfirmedDead(options)),
       ),
       time.every(clock, taskInterval, repair),
     ];
--- a/packages/consensus/src/leader.ts
+++ b/packages/consensus/src/leader.ts
@@ -1,44 +1,49 @@
 /**
- * The leader (§3.3): replicates one version at a time, confirms itself by heartbeats, answers reads, and steps down.
+ * The leader (§3.3): replicates one version at a time, confirms its leadership by heartbeats, serves reads, and steps
+ * down.
  */
 import { invariant } from '@thornsail/runtime';
-import { commit, log, otherMembers, send, writeSnapshot } from './actions.js';
+import { commit, log, otherMembers, send, writeSnapshot } from './effects.js';
 import type { RefusalCode } from './errors.js';
-import { ownWriteLimit } from './own-write-limit.js';
+import { leaderWriteTimeout } from './leader-write-timeout.js';
 import { hasQuorum, membersChanged } from './quorum.js';
 import { changeRole } from './role.js';
-import type { AppendReply, Batch, HeartbeatReply, HeartbeatRound, Member, Outstanding } from './types.js';
+import type { AppendReply, Batch, HeartbeatReply, HeartbeatRound, Member, OutstandingRequest } from './types.js';
 import type { Proposal, ProposalOutcome, Snapshot, Step } from './types.js';
 
-const noCommit = -1;
+/** The commit index of a leader without a commit, and the index of a follower that has accepted no version. */
+const noIndex = -1;
 
 const settleProposals = <S>(step: Step<S>, proposals: readonly { proposal: number }[], code: RefusalCode): void => {
   for (const { proposal } of proposals)
     step.effects.push({ type: 'proposal-outcome', proposal, outcome: { ok: false, code } });
 };
 
-/** Gives up the lead. What was never sent has not happened; of what was, the outcome is not known. */
+/**
+ * Gives up the leadership. Queued proposals end as `not-leader`, since nothing of them was sent; the outcome of those
+ * being written or replicated is unknown.
+ */
 export const stepDown = <S>(step: Step<S>, reason: string): void => {
   const { state } = step;
   if (state.role !== 'leader') return;
-  log(step, `gave up the lead: ${reason}.`);
+  log(step, `stepped down as leader: ${reason}.`);
   changeRole(step, 'stepped-down');
-  state.heardAt = step.now;
+  state.lastContactAt = step.now;
   state.leader = undefined;
   settleProposals(step, state.queue, 'not-leader');
   state.queue = [];
   if (state.replication) settleProposals(step, state.replication.outcomes, 'outcome-unknown');
   state.replication = undefined;
-  const { writing } = state;
-  if (writing?.continuation.kind === 'replicate') {
-    settleProposals(step, writing.continuation.batch.outcomes, 'outcome-unknown');
-    writing.continuation.batch.outcomes = [];
+  const { pendingWrite } = state;
+  if (pendingWrite?.continuation.kind === 'replicate') {
+    settleProposals(step, pendingWrite.continuation.batch.outcomes, 'outcome-unknown');
+    pendingWrite.continuation.batch.outcomes = [];
   }
   for (const round of state.rounds.values()) failReads(step, round);
   state.rounds.clear();
 };
 
-/** Gives up the lead and tells the followers, so that they need not wait for its silence. */
+/** Steps down and notifies the followers, so that they need not wait for the election timeout. */
 export const resign = <S>(step: Step<S>, reason: string): void => {
   const { state } = step;
   const followers = otherMembers(step, state.accepted?.members ?? []);
@@ -47,17 +52,24 @@
     send(step, at, { kind: 'resign', to: id, term: state.term }, state.timing.requestTimeout, { kind: 'resign' });
 };
 
-/** A leader whose own disk takes too long hands over; its version may still be taken up from that disk. */
-export const checkOwnWrite = <S>(step: Step<S>): void => {
-  const { writing, lastWriteTook } = step.state;
-  if (writing?.continuation.kind !== 'replicate' || step.state.role !== 'leader') return;
-  if (step.now - writing.startedAt > ownWriteLimit(lastWriteTook)) resign(step, 'its disk does not answer');
+/**
+ * Resigns if the write to this leader's own disk takes too long. The version that is being written may still be
+ * committed later if it reaches that disk.
+ */
+export const checkLeaderWrite = <S>(step: Step<S>): void => {
+  const { pendingWrite, lastWriteDuration } = step.state;
+  if (pendingWrite?.continuation.kind !== 'replicate' || step.state.role !== 'leader') return;
+  if (step.now - pendingWrite.startedAt > leaderWriteTimeout(lastWriteDuration))
+    resign(step, 'its disk is not responding');
 };
 
-/** Another member has promised a higher term. It may be a lone one, so this member asks for the lead again at once. */
-const yieldTo = <S>(step: Step<S>, term: number): void => {
+/**
+ * Steps down because another member has promised a higher term. That may be a single member that no majority follows,
+ * so this member starts the next election without waiting for the election timeout.
+ */
+const stepDownForTerm = <S>(step: Step<S>, term: number): void => {
   stepDown(step, `another member has promised term ${term}`);
-  step.state.heardAt = step.now - step.state.timing.electionTimeout;
+  step.state.lastContactAt = step.now - step.state.timing.electionTimeout;
   step.state.electionDelay = step.state.timing.electionTimeout + step.state.timing.heartbeat;
 };
 
@@ -67,12 +79,12 @@
   send(
     step,
     member.at,
-    { kind: 'append', to: member.id, snapshot, commitIndex: step.state.committed?.index ?? noCommit },
+    { kind: 'append', to: member.id, snapshot, commitIndex: step.state.committed?.index ?? noIndex },
     step.state.timing.requestTimeout,
     { kind: 'append', member, snapshot, catchUp: false },
   );
 
-/** Sends a version that this leader holds on its own disk to all others. */
+/** Sends a version that is synced to this leader's own disk to all other members. */
 export const replicate = <S>(step: Step<S>, batch: Batch<S>): void => {
   const { state } = step;
   state.replication = { ...batch, startedAt: step.now, acknowledged: [state.id] };
@@ -85,13 +97,14 @@
   const { replication } = state;
   if (!replication || !hasQuorum(replication.snapshot.members, replication.acknowledged)) return;
   state.replication = undefined;
-  state.quorumAt = step.now;
-  state.leaseFrom = Math.max(state.leaseFrom, replication.startedAt);
+  state.quorumConfirmedAt = step.now;
+  state.leaseStartedAt = Math.max(state.leaseStartedAt, replication.startedAt);
   commit(step, replication.snapshot);
   for (const { proposal, outcome } of replication.outcomes)
     step.effects.push({ type: 'proposal-outcome', proposal, outcome });
   sendHeartbeats(step);
-  if (!replication.snapshot.members.some((member) => member.id === state.id)) stepDown(step, 'no longer a member');
+  if (!replication.snapshot.members.some((member) => member.id === state.id))
+    stepDown(step, 'it is no longer a member');
 };
 
 type AppliedProposal<S> = { next: Snapshot<S>; changesMembers: boolean; outcome: ProposalOutcome };
@@ -99,7 +112,10 @@
   try {
     const changed = change(current.state, current.members);
     if (changed.members)
-      invariant.hold(membersChanged(base.members, changed.members) <= 1, 'a change of members takes one at a time');
+      invariant.hold(
+        membersChanged(base.members, changed.members) <= 1,
+        'a proposal may add or remove at most one member',
+      );
     const next = { ...current, state: changed.state, members: changed.members ?? current.members };
     const outcome = { ok: true as const, index: next.index, result: changed.result };
     return { next, changesMembers: changed.members !== undefined, outcome };
@@ -108,7 +124,7 @@
   }
 };
 
-/** Takes proposals from the queue into one version, up to the first that changes the members. */
+/** Applies queued proposals to one new version, up to and including the first that changes the members. */
 const takeBatch = <S>(step: Step<S>, base: Snapshot<S>): Batch<S> => {
   const { state } = step;
   let snapshot: Snapshot<S> = { ...base, term: state.term, index: base.index + 1 };
@@ -122,27 +138,31 @@
   return { snapshot, outcomes };
 };
 
-/** No proposal is taken before the leader's own term has a committed version, and only one version is under way. */
+/**
+ * Writes the next version from the queued proposals. Proposals wait until a version of the leader's own term is
+ * committed, and only one version is replicated at a time.
+ */
 export const startReplication = <S>(step: Step<S>): void => {
   const { state } = step;
   const { accepted, committed } = state;
-  if (state.role !== 'leader' || state.writing || state.replication || state.queue.length === 0 || !accepted) return;
+  if (state.role !== 'leader' || state.pendingWrite || state.replication || state.queue.length === 0 || !accepted)
+    return;
   if (committed?.term !== state.term || committed.index !== accepted.index) return;
   const batch = takeBatch(step, accepted);
   writeSnapshot(step, batch.snapshot, { kind: 'replicate', batch });
-  step.effects.push({ type: 'timer', after: ownWriteLimit(state.lastWriteTook) + 1, event: { type: 'tick' } });
+  step.effects.push({ type: 'timer', after: leaderWriteTimeout(state.lastWriteDuration) + 1, event: { type: 'tick' } });
 };
 
-/** Queues a proposal; a replica that is not the leader answers it with `not-leader`. */
+/** Queues a proposal; on a replica that is not the leader its outcome is `not-leader`. */
 export const propose = <S>(step: Step<S>, proposal: Proposal<S>): void => {
   if (step.state.role === 'leader') step.state.queue.push(proposal);
   else settleProposals(step, [proposal], 'not-leader');
 };
 
-/** Counts an acknowledged version, yields to a higher term, or retries after a failed request (`undefined`). */
+/** Counts an acknowledgement, steps down for a higher term, or retries a refused or failed (`undefined`) request. */
 export const onAppendReply = <S>(
   step: Step<S>,
-  request: Outstanding<S> & { kind: 'append' },
+  request: OutstandingRequest<S> & { kind: 'append' },
   reply: AppendReply | undefined,
 ): void => {
   const { state } = step;
@@ -157,7 +177,7 @@
     replication.acknowledged.push(member.id);
     state.acknowledgedAt.set(member.id, replication.startedAt);
     commitIfQuorum(step);
-  } else if (reply && !reply.ok && reply.term > state.term) yieldTo(step, reply.term);
+  } else if (reply && !reply.ok && reply.term > state.term) stepDownForTerm(step, reply.term);
   else if (replication)
     step.effects.push({
       type: 'timer',
@@ -166,12 +186,12 @@
     });
 };
 
-/** Sends a version once more to a member that has not acknowledged it, while it is still under way. */
+/** Resends a version to a member that has not acknowledged it, if the version is still being replicated. */
 export const retryAppend = <S>(step: Step<S>, memberId: string, term: number, index: number): void => {
   const { state } = step;
   const snapshot = state.replication?.snapshot;
   if (state.role !== 'leader' || !snapshot || snapshot.term !== term || snapshot.index !== index) return;
-  const member = snapshot.members.find((each) => each.id === memberId);
+  const member = snapshot.members.find((candidate) => candidate.id === memberId);
   if (member) sendAppend(step, member, snapshot);
 };
 
@@ -184,8 +204,8 @@
 };
 
 /**
- * Before the first commit of its term only those that took it over hear heartbeats: the others get the version itself.
- * A leader whose own disk is writing sends none, so that one whose disk stalls is replaced.
+ * The members that get heartbeats. Before the first commit of the term these are only the members that have accepted
+ * the term's first version; the others are sent the version itself.
  */
 const heartbeatTargets = <S>(step: Step<S>, members: readonly Member[]): Member[] => {
   const { committed, term, replication } = step.state;
@@ -194,7 +214,7 @@
   return others.filter((member) => replication?.acknowledged.includes(member.id));
 };
 
-/** Begins a round of heartbeats; the reads are answered once a quorum has acknowledged it. */
+/** Starts a round of heartbeats; its reads complete once a quorum has acknowledged the round. */
 export const sendHeartbeats = <S>(step: Step<S>, reads: HeartbeatRound<S>['reads'] = []): void => {
   const { state } = step;
   if (state.role !== 'leader' || !state.accepted) return;
@@ -210,7 +230,7 @@
     reads,
   };
   state.rounds.set(number, round);
-  const commitIndex = state.committed?.index ?? noCommit;
+  const commitIndex = state.committed?.index ?? noIndex;
   for (const member of targets)
     send(
       step,
@@ -225,8 +245,8 @@
 const settleRound = <S>(step: Step<S>, number: number, round: HeartbeatRound<S>): void => {
   const { state } = step;
   if (state.role === 'leader' && round.term === state.term && hasQuorum(round.members, round.acknowledged)) {
-    state.quorumAt = step.now;
-    state.leaseFrom = Math.max(state.leaseFrom, round.startedAt);
+    state.quorumConfirmedAt = step.now;
+    state.leaseStartedAt = Math.max(state.leaseStartedAt, round.startedAt);
     for (const { read, snapshot } of round.reads)
       step.effects.push({ type: 'read-outcome', read, outcome: { ok: true, snapshot } });
     round.reads = [];
@@ -244,14 +264,14 @@
   if (state.catchingUp.has(member.id)) return;
   state.catchingUp.add(member.id);
   const timeout = state.timing.requestTimeout * 2;
-  const message = { kind: 'append' as const, to: member.id, snapshot: accepted, commitIndex: noCommit };
+  const message = { kind: 'append' as const, to: member.id, snapshot: accepted, commitIndex: noIndex };
   send(step, member.at, message, timeout, { kind: 'append', member, snapshot: accepted, catchUp: true });
 };
 
-/** Counts a member's answer to a round; sends the newest version to a member that lacks it. */
+/** Counts a member's reply to a round; sends the newest version to a member that lacks it. */
 export const onHeartbeatReply = <S>(
   step: Step<S>,
-  request: Outstanding<S> & { kind: 'heartbeat' },
+  request: OutstandingRequest<S> & { kind: 'heartbeat' },
   reply: HeartbeatReply | undefined,
 ): void => {
   const { state } = step;
@@ -262,12 +282,15 @@
     round.acknowledged.push(request.member.id);
     state.acknowledgedAt.set(request.member.id, round.startedAt);
     if (state.accepted && reply.index < state.accepted.index) catchUp(step, request.member);
-  } else if (reply && reply.term > round.term) yieldTo(step, reply.term);
-  else if (reply?.index === noCommit) catchUp(step, request.member);
+  } else if (reply && reply.term > round.term) stepDownForTerm(step, reply.term);
+  else if (reply?.index === noIndex) catchUp(step, request.member);
   if (state.rounds.has(request.round)) settleRound(step, request.round, round);
 };
 
-/** Answered with what is committed now, once a quorum confirms this leader by a round that begins now. */
+/**
+ * Linearizable read: returns the version committed now, after a quorum has confirmed this leader in a heartbeat round
+ * that starts now.
+ */
 export const readCommitted = <S>(step: Step<S>, read: number): void => {
   const { state } = step;
   const { committed } = state;
@@ -278,16 +301,20 @@
   else sendHeartbeats(step, [{ read, snapshot: committed }]);
 };
 
-/** Sends the regular heartbeats; steps down after `quorumTimeout` without a quorum. */
+/**
+ * Sends the periodic heartbeats; steps down after `quorumTimeout` without a quorum. While the leader's own disk is
+ * writing a version it sends none, so that a leader with a stalled disk is replaced.
+ */
 export const onHeartbeatDue = <S>(step: Step<S>): void => {
   const { state } = step;
   if (state.role !== 'leader') return;
-  const writesOwn = state.writing?.continuation.kind === 'replicate';
-  if (!writesOwn) sendHeartbeats(step);
-  if (step.now - state.quorumAt > state.timing.quorumTimeout) stepDown(step, 'no quorum heard');
+  const isWritingVersion = state.pendingWrite?.continuation.kind === 'replicate';
+  if (!isWritingVersion) sendHeartbeats(step);
+  if (step.now - state.quorumConfirmedAt > state.timing.quorumTimeout) stepDown(step, 'no quorum answered in time');
 };
-/** Steps down where a version has been under way for longer than `quorumTimeout`. */
+/** Steps down if the replication of a version has taken longer than `quorumTimeout`. */
 export const checkReplication = <S>(step: Step<S>): void => {
   const { replication, timing } = step.state;
-  if (replication && step.now - replication.startedAt > timing.quorumTimeout) stepDown(step, 'no quorum');
+  if (replication && step.now - replication.startedAt > timing.quorumTimeout)
+    stepDown(step, 'no quorum acknowledged its version');
 };
--- a/packages/consensus/src/presence.ts
+++ b/packages/consensus/src/member-conditions.ts
@@ -1,6 +1,6 @@
 /**
- * In which condition the members of a group are (§3.3, §6.5): read from the agreed list of nodes, and from how long
- * this leader has missed them by its own clock.
+ * The conditions of the members of a group (§3.3, §6.5), derived from the agreed list of nodes and from how long a
+ * member has been dead by this leader's own clock.
  */
 import { duration, type Clock, type Microseconds } from '@thornsail/runtime';
 import type { Condition } from './repair.js';
@@ -9,32 +9,38 @@
 
 const isAlive = (entry: NodeEntry | undefined): boolean => entry !== undefined && entry.status !== 'dead';
 
-/** Whether another identity has taken a member's address since: a machine that lost its disk is not the one it was. */
-export const isGone = (state: AgreedState, member: Member): boolean => {
+/**
+ * Whether another identity has taken over a member's address since. A machine that lost its disk returns with a new
+ * identity, so the former member can never come back.
+ */
+export const isReplaced = (state: AgreedState, member: Member): boolean => {
   const entry = state.nodes[member.id];
   if (isAlive(entry)) return false;
-  const at = entry?.place ?? member.at;
+  const address = entry?.place ?? member.at;
   return Object.values(state.nodes).some(
     (other) =>
       other.id !== member.id &&
-      other.place === at &&
+      other.place === address &&
       (entry === undefined ? isAlive(other) : other.since >= entry.since),
   );
 };
-/** A spare that joined so shortly before a member was ruled dead, or after it, was started in that member's stead. */
-const successorWithin = duration.s(10);
+/**
+ * A spare that joined at most this long before a member was declared dead, or later, is taken to have been started as
+ * that member's replacement.
+ */
+const successorWindow = duration.s(10);
 const hasSuccessor = (state: AgreedState, member: Member, spares: NodeEntry[]): boolean => {
   const entry = state.nodes[member.id];
-  return entry !== undefined && spares.some((spare) => spare.since > entry.since - successorWithin);
+  return entry !== undefined && spares.some((spare) => spare.since > entry.since - successorWindow);
 };
 
-/** Those whose zone holds no member yet come first. */
+/** Orders nodes so that one node of each zone that is not in `zones` comes first. */
 export const spreadOver = (nodes: NodeEntry[], zones: string[]): NodeEntry[] => {
   const seen = new Set(zones);
   const first = nodes.filter((node) => !seen.has(node.zone) && seen.add(node.zone) !== undefined);
   return [...first, ...nodes.filter((node) => !first.includes(node))];
 };
-/** Live nodes of a role that are no members and were not asked to leave, in the order in which they should join. */
+/** The live nodes of a role that are neither members nor draining, in the order in which they should join. */
 export const sparesOf = (state: AgreedState, role: NodeRole, members: Member[]): NodeEntry[] => {
   const live = agreedState.liveNodes(state, role).filter((node) => node.status === 'live');
   const isMember = (node: NodeEntry): boolean => members.some((member) => member.id === node.id);
@@ -45,15 +51,18 @@
   );
 };
 
-/** The leader's view of the members of the groups. */
-export type Presence = {
-  /** `spares` are those that could take the member's place, `size` is how many members there are. */
+/** Tracks the conditions of members on the leader. */
+export type ConditionTracker = {
+  /** `spares` are the nodes that could replace the member, `size` is the current number of members. */
   condition: (state: AgreedState, member: Member, spares: NodeEntry[], size: number) => Condition;
 };
-/** Judges the conditions of members. What it remembers is lost with the process. */
-export const presence = {
-  /** Silent members are overdue after `replaceAfter`; walls may differ, so a new leader counts anew. */
-  open: (options: { clock: Clock; replaceAfter: Microseconds }): Presence => {
+/** Determines the conditions of members. The times at which members fell silent are kept in memory only. */
+export const conditionTracker = {
+  /**
+   * A silent member is overdue after `replaceAfter` microseconds. Each leader counts from the beginning by its own
+   * clock, because the wall clocks of the nodes may differ.
+   */
+  open: (options: { clock: Clock; replaceAfter: Microseconds }): ConditionTracker => {
     const silentSince = new Map<string, Microseconds>();
     const silentFor = (id: string): Microseconds => {
       const since = silentSince.get(id) ?? options.clock.now();
@@ -64,14 +73,14 @@
       condition: (state, member, spares, size) => {
         if (isAlive(state.nodes[member.id])) {
           silentSince.delete(member.id);
-          // One whose process ends in order stays a member unless a spare is there, or the group bears more without it:
-          // it may start again with its disk.
-          const ends = state.nodes[member.id]!.status === 'leaving' && (spares.length > 0 || size % 2 === 0);
-          return ends || state.storeGroup.draining.includes(member.id) ? 'leaving' : 'serving';
+          // A member that shuts down cleanly may start again with its disk. It stays a member unless there is
+          // a spare, or the group has an even size and tolerates as many failures without it.
+          const shouldLeave = state.nodes[member.id]!.status === 'leaving' && (spares.length > 0 || size % 2 === 0);
+          return shouldLeave || state.storeGroup.draining.includes(member.id) ? 'leaving' : 'serving';
         }
-        if (isGone(state, member)) return 'gone';
-        const waited = silentFor(member.id) > options.replaceAfter;
-        return waited || hasSuccessor(state, member, spares) ? 'overdue' : 'silent';
+        if (isReplaced(state, member)) return 'replaced';
+        const isOverdue = silentFor(member.id) > options.replaceAfter;
+        return isOverdue || hasSuccessor(state, member, spares) ? 'overdue' : 'silent';
       },
     };
   },
--- a/packages/consensus/src/operations.ts
+++ b/packages/consensus/src/operations.ts
@@ -1,4 +1,4 @@
-/** The operations that the coordinators serve (§3.3): each member takes requests, and the leader carries them out. */
+/** The operations that the coordinators serve (§3.3). Every member accepts requests; only the leader executes them. */
 import type { Clock } from '@thornsail/runtime';
 import { configuration, type Push, type PushResult } from './configuration.js';
 import { waitForConfirmation, type UsedVersion } from './confirmation.js';
@@ -8,28 +8,29 @@
 import { storeGroup } from './store-group.js';
 import type { GroupMaintenance } from './group-maintenance.js';
 import { agreedState, type AgreedState } from './agreed-state.js';
-import type { Rulings } from './rulings.js';
+import type { SuspicionTracker } from './suspicions.js';
 
-/** What the operations work on. */
+/** Dependencies and settings of the operations. */
 export type OperationOptions = {
   clock: Clock;
   consensus: Consensus<AgreedState>;
-  failures: Rulings;
-  maintenance: Pick<GroupMaintenance, 'storesRepaired'>;
-  /** A drain never leaves fewer stores than this. */
+  suspicions: SuspicionTracker;
+  maintenance: Pick<GroupMaintenance, 'isStoreGroupRepaired'>;
+  /** A drain that would leave fewer live stores than this is refused. */
   leastStores: number;
-  /** Where there is none, a push is acknowledged once it is committed. */
+  /** The configuration version in use at a gateway. If absent, a push is acknowledged as soon as it is committed. */
   usedVersion?: UsedVersion;
-  /** What the leader adds to a read of its own knowledge. */
+  /** Data of the leader's own, outside the agreed state, that it adds to the result of a read. */
   news?: () => unknown;
 };
 type Outcome = { index: number; result: unknown };
 type PushOutcome = { index: number; result: PushResult };
 
 /**
- * Acknowledged once a majority of coordinators has it and the gateways use it; otherwise its outcome is not known.
+ * Proposes the push and waits until the gateways use it. The result is `unconfirmed` if the push is committed but the
+ * gateways have not confirmed it in time. With `acknowledge: 'agreed'` the commit alone is enough.
  */
-const push = async (options: OperationOptions, request: Push): Promise<PushOutcome> => {
+const pushConfiguration = async (options: OperationOptions, request: Push): Promise<PushOutcome> => {
   const { clock, consensus, usedVersion } = options;
   const outcome = await consensus.propose((state) => configuration.push(state, request, clock.wallTime()));
   const { index, result } = outcome;
@@ -40,19 +41,19 @@
   return { index, result: { ok: false, why: 'unconfirmed', mark: result.mark, gateways: confirmation.gateways } };
 };
 
-const read = async ({ consensus, maintenance, news }: OperationOptions): Promise<Outcome> => {
-  const { term, index, members, state } = await consensus.readAgreed();
-  const repaired = maintenance.storesRepaired(state);
+const readState = async ({ consensus, maintenance, news }: OperationOptions): Promise<Outcome> => {
+  const { term, index, members, state } = await consensus.readLinearizable();
+  const repaired = maintenance.isStoreGroupRepaired(state);
   return { index, result: { state, term, members, news: news?.() ?? null, repaired } };
 };
 
-const run = async (options: OperationOptions, request: CoreRequest): Promise<Outcome> => {
+const execute = async (options: OperationOptions, request: CoreRequest): Promise<Outcome> => {
   const { clock, consensus } = options;
   switch (request.type) {
     case 'push':
-      return push(options, request.push);
+      return pushConfiguration(options, request.push);
     case 'read':
-      return read(options);
+      return readState(options);
     case 'join':
       return consensus.propose((state) => agreedState.join(state, request.node, clock.wallTime()));
     case 'sweep-complete':
@@ -61,12 +62,15 @@
       return consensus.propose((state) => storeGroup.drain(state, request.id, request.on, options.leastStores));
     case 'suspect':
       if (consensus.role() !== 'leader') throw consensusErrors.create('not-leader', { step: 'suspect' });
-      options.failures.hear(request.suspicions);
+      options.suspicions.record(request.suspicions);
       return { index: consensus.committed()?.index ?? 0, result: true };
   }
 };
 
-/** Carries out a request, or says who leads. `founders` are named as members while no version is known. */
+/**
+ * Executes a request. If this member is not the leader or cannot confirm the outcome, the result has the reason, the
+ * known leader and the members; `founders` are returned as members while no version is known.
+ */
 export const serveRequest = async (
   options: OperationOptions,
   request: CoreRequest,
@@ -74,7 +78,7 @@
 ): Promise<CoreResult> => {
   const { consensus } = options;
   try {
-    const { index, result } = await run(options, request);
+    const { index, result } = await execute(options, request);
     return { ok: true, index, value: result };
   } catch (error) {
     const code = consensusErrors.codeOf(error);
--- a/packages/consensus/src/replica.ts
+++ b/packages/consensus/src/replica.ts
@@ -1,18 +1,25 @@
 /**
- * The consensus state machine of one member (§3.3). It does no I/O: events go in, effects come out, and the state it is
- * given is all that it changes. `driver.ts` carries the effects out; the model test does so in every order.
+ * The consensus state machine of one member (§3.3). It does no I/O: it takes events, returns effects, and changes only
+ * the state that is passed in. `driver.ts` executes the effects; the model tests execute them in many orders.
  */
 import { duration, type Address, type Microseconds } from '@thornsail/runtime';
-import { applyWritten } from './actions.js';
+import { applyCompletedWrite } from './effects.js';
 import { electionDelay, onElectionWriteFailed, onPreVoteReply, onVoteReply } from './election.js';
 import { requestVotes, startElection, takeOver } from './election.js';
 import { needsDisk, onMemberWritten, onRequest } from './follower.js';
-import { discover, onDiscoverReply } from './founding.js';
-import { checkOwnWrite, checkReplication, onAppendReply, onHeartbeatDue, onHeartbeatReply, propose } from './leader.js';
+import { discover, onDiscoverReply } from './group-formation.js';
+import {
+  checkLeaderWrite,
+  checkReplication,
+  onAppendReply,
+  onHeartbeatDue,
+  onHeartbeatReply,
+  propose,
+} from './leader.js';
 import { readCommitted, replicate, resign, retryAppend, startReplication, stepDown } from './leader.js';
 import type { Continuation, Effect, Event, ReplicaState, ReplyMessage, Snapshot, Step, Timing } from './types.js';
 
-/** The timing where the options give none, in microseconds. */
+/** The default timing, in microseconds. */
 export const defaultTiming: Timing = {
   heartbeat: duration.ms(100),
   electionTimeout: duration.ms(600),
@@ -25,14 +32,17 @@
   retryDelay: duration.ms(20),
 };
 
-/** What a replica starts from. `now` is in microseconds; `random` gives a whole number from 0 to below `limit`. */
+/**
+ * The initial values of a replica. `at` is its address, `now` is in microseconds, and `random` returns an integer from
+ * 0 (inclusive) to `limit` (exclusive).
+ */
 export type ReplicaOptions<S> = {
   id: string;
   at: Address;
   founders: Address[];
   initial: S;
   timing: Timing;
-  /** What the disk holds. */
+  /** The term and the version that were read from the disk. */
   term: number;
   accepted?: Snapshot<S>;
   now: Microseconds;
@@ -47,12 +57,13 @@
     role: accepted ? 'follower' : 'unformed',
     term: Math.max(options.term, accepted?.term ?? 0),
     accepted,
-    // A leader that lives is heard within a heartbeat or two: a member that just started need not wait it all out.
-    heardAt: now - timing.electionTimeout + timing.heartbeat * 1.5,
+    // A running leader is heard within one or two heartbeats, so a member that has just started need not wait for a
+    // whole election timeout.
+    lastContactAt: now - timing.electionTimeout + timing.heartbeat * 1.5,
     restarted: accepted !== undefined,
     electionDelay: 0,
     removed: false,
-    lastWriteTook: 0,
+    lastWriteDuration: 0,
     deferred: [],
     nextRequest: 1,
     outstanding: new Map(),
@@ -62,8 +73,8 @@
     rounds: new Map(),
     catchingUp: new Set(),
     acknowledgedAt: new Map(),
-    quorumAt: now,
-    leaseFrom: 0,
+    quorumConfirmedAt: now,
+    leaseStartedAt: 0,
     closed: false,
   };
   state.electionDelay = electionDelay(state, now, random);
@@ -73,9 +84,9 @@
 const onTick = <S>(step: Step<S>): void => {
   const { state } = step;
   checkReplication(step);
-  checkOwnWrite(step);
+  checkLeaderWrite(step);
   if (state.role === 'unformed') discover(step);
-  else if (state.role === 'follower' && !state.election && step.now - state.heardAt > state.electionDelay) {
+  else if (state.role === 'follower' && !state.election && step.now - state.lastContactAt > state.electionDelay) {
     state.electionDelay = electionDelay(state, step.now, step.random);
     startElection(step);
   }
@@ -107,7 +118,7 @@
   }
 };
 
-const goOn = <S>(step: Step<S>, continuation: Continuation<S>): void => {
+const runContinuation = <S>(step: Step<S>, continuation: Continuation<S>): void => {
   const { state } = step;
   if (continuation.kind === 'request-votes') requestVotes(step, continuation.term);
   else if (continuation.kind === 'take-over') takeOver(step, continuation.snapshot);
@@ -117,24 +128,27 @@
   } else onMemberWritten(step, continuation);
 };
 const onWritten = <S>(step: Step<S>): void => {
-  const { writing } = step.state;
-  if (!writing) return;
-  step.state.writing = undefined;
-  if (writing.write.document === 'snapshot') step.state.lastWriteTook = step.now - writing.startedAt;
-  applyWritten(step, writing.write);
-  goOn(step, writing.continuation);
+  const { pendingWrite } = step.state;
+  if (!pendingWrite) return;
+  step.state.pendingWrite = undefined;
+  if (pendingWrite.write.document === 'snapshot') step.state.lastWriteDuration = step.now - pendingWrite.startedAt;
+  applyCompletedWrite(step, pendingWrite.write);
+  runContinuation(step, pendingWrite.continuation);
 };
-/** The state in memory stays as it was. Nothing has gone out; another member's disk may have room. */
+/**
+ * Handles a failed write. The state in memory stays as it was and nothing was sent. A leader resigns, since another
+ * member's disk may have space left.
+ */
 const onWriteFailed = <S>(step: Step<S>, unchanged: boolean): void => {
   const { state } = step;
-  const continuation = state.writing?.continuation;
-  state.writing = undefined;
+  const continuation = state.pendingWrite?.continuation;
+  state.pendingWrite = undefined;
   if (!continuation) return;
   if (continuation.kind === 'replicate') {
     const code = unchanged ? 'not-leader' : 'outcome-unknown';
     for (const { proposal } of continuation.batch.outcomes)
       step.effects.push({ type: 'proposal-outcome', proposal, outcome: { ok: false, code } });
-    resign(step, 'its state could not be written');
+    resign(step, 'it could not write a version to its disk');
   } else if (continuation.kind === 'request-votes' || continuation.kind === 'take-over') onElectionWriteFailed(step);
   else if ('call' in continuation && continuation.call !== null)
     step.effects.push({ type: 'refuse', call: continuation.call });
@@ -165,12 +179,12 @@
   }
 };
 
-/** Whoever waits for something gets an answer: nothing is answered after a close. */
+/** Fails everything that still waits for a reply or an outcome; the replica answers nothing after it is closed. */
 const close = <S>(step: Step<S>): void => {
   const { state } = step;
-  stepDown(step, 'closing');
+  stepDown(step, 'it is closing');
   state.closed = true;
-  const continuation = state.writing?.continuation;
+  const continuation = state.pendingWrite?.continuation;
   if (continuation && 'call' in continuation && continuation.call !== null)
     step.effects.push({ type: 'refuse', call: continuation.call });
   for (const event of state.deferred) refuseClosed(step, event);
@@ -185,7 +199,7 @@
 
 const handleDeferred = <S>(step: Step<S>): void => {
   const { state } = step;
-  while (!state.writing) {
+  while (!state.pendingWrite) {
     const next = state.deferred.shift();
     if (!next) break;
     handle(step, next);
@@ -193,10 +207,13 @@
   startReplication(step);
 };
 
-/** The state machine: `create` makes the state of a replica, `step` takes an event. */
+/** The state machine: `create` returns the initial state of a replica, `step` handles one event. */
 export const replica = {
   create,
-  /** Takes one event. The effects are to be carried out in their order; a write is answered by an event of its own. */
+  /**
+   * Handles one event and returns the effects, to be executed in order. The outcome of a write comes back as a
+   * `written` or `write-failed` event.
+   */
   step: <S>(
     state: ReplicaState<S>,
     event: Event<S>,
@@ -205,15 +222,18 @@
   ): Effect<S>[] => {
     const step: Step<S> = { state, now, random, effects: [] };
     if (state.closed) refuseClosed(step, event);
-    else if (needsDisk(event) && state.writing) state.deferred.push(event);
+    else if (needsDisk(event) && state.pendingWrite) state.deferred.push(event);
     else handle(step, event);
     if (!state.closed) handleDeferred(step);
     return step.effects;
   },
-  /** True while a quorum has confirmed this leader by a round that began within the lease. */
+  /** Whether this replica is the leader and a quorum has confirmed it in a round that started within the lease. */
   isLeaseValid: <S>(state: ReplicaState<S>, now: Microseconds): boolean =>
-    state.role === 'leader' && now - state.leaseFrom < state.timing.lease,
-  /** Whether a member is this replica itself, or has acknowledged something of it that began within the lease. */
-  isInTouch: <S>(state: ReplicaState<S>, memberId: string, now: Microseconds): boolean =>
+    state.role === 'leader' && now - state.leaseStartedAt < state.timing.lease,
+  /**
+   * Whether a member has acknowledged a heartbeat round or a replication of this leader that started within the lease;
+   * always true of this replica itself.
+   */
+  hasRecentContact: <S>(state: ReplicaState<S>, memberId: string, now: Microseconds): boolean =>
     memberId === state.id || now - (state.acknowledgedAt.get(memberId) ?? -Infinity) < state.timing.lease,
 };
--- a/packages/consensus/src/role.ts
+++ b/packages/consensus/src/role.ts
@@ -2,7 +2,7 @@
 import { createMachine, interpret, state, transition } from 'robot3';
 import type { Role, Step } from './types.js';
 
-/** What may change the role of a replica. */
+/** Events that may change the role of a replica. */
 export type RoleEvent = 'formed' | 'election-started' | 'elected' | 'stepped-down';
 
 const states = {
@@ -12,17 +12,17 @@
   leader: state(transition('stepped-down', 'follower')),
 };
 
-/** The role after an event; an event that a role has no transition for changes nothing. */
+/** The role after an event. An event without a transition from this role leaves it unchanged. */
 export const nextRole = (role: Role, event: RoleEvent): Role => {
   const service = interpret(createMachine(role, states), () => undefined);
   service.send(event);
   return service.machine.current as Role;
 };
 
-/** Takes the role that follows from the event, and logs it where it is another one. */
+/** Applies a role event to the replica and logs the new role if it changed. */
 export const changeRole = <S>(step: Step<S>, event: RoleEvent): void => {
   const role = nextRole(step.state.role, event);
   if (role === step.state.role) return;
   step.state.role = role;
-  step.effects.push({ type: 'log', text: `role is ${role}.` });
+  step.effects.push({ type: 'log', text: `role changed to ${role}.` });
 };
--- a/packages/consensus/src/state-codec.ts
+++ b/packages/consensus/src/state-codec.ts
@@ -1,7 +1,7 @@
 /**
- * The form that the agreed state has between nodes, on disk and in the operators' HTTP (§3.3, §7.3). It is that of the
- * releases before: roles have other names there, and the store group is called `keepers`. The order of fields, and
- * fields that this release does not know, are kept as they are.
+ * The encoded form of the agreed state on the wire, on disk and in the operators' HTTP interface (§3.3, §7.3). It is
+ * the format of the previous releases: roles have other names there, and the store group is called `keepers`. The order
+ * of fields and fields unknown to this release are preserved.
  */
 import { address } from '@thornsail/runtime';
 import { validate } from '@thornsail/rpc';
@@ -10,7 +10,7 @@
 import { decodeSnapshot, isEncodedSnapshot, encodeSnapshot, type EncodedSnapshot, type StateCodec } from './wire.js';
 import type { Member, Snapshot } from './types.js';
 
-/** A role by its name between nodes. */
+/** The name of a role in the encoded form. */
 export type EncodedRole = 'tower' | 'keeper' | 'pilot' | 'front';
 /** A node in its encoded form, as an entry of the agreed state. */
 export type EncodedNode = Omit<NodeEntry, 'role' | 'incarnation' | 'status'> & {
@@ -35,7 +35,7 @@
 };
 const decodedRoles = new Map(Object.entries(encodedRoles).map(([role, encoded]) => [encoded as string, role]));
 
-/** Names of roles. `decode` gives nothing for a name that is not a role's. */
+/** Maps the names of roles. `decode` returns undefined for an unknown name. */
 export const roleCodec = {
   roles: Object.keys(encodedRoles) as NodeRole[],
   encode: (role: NodeRole): EncodedRole => encodedRoles[role],
@@ -45,12 +45,12 @@
 
 type Fields = Record<string, unknown>;
 type Field = [name: string, value: unknown];
-/** Another object with its fields in the same order. */
-const mapFields = (from: object, change: (name: string, value: unknown) => Field): Fields =>
-  Object.fromEntries(Object.entries(from).map(([name, value]) => change(name, value)));
+/** Maps each field of an object and preserves their order. */
+const mapFields = (source: object, change: (name: string, value: unknown) => Field): Fields =>
+  Object.fromEntries(Object.entries(source).map(([name, value]) => change(name, value)));
 type Names = Readonly<Record<string, string>>;
 const reversed = (names: Names): Names =>
-  Object.fromEntries(Object.entries(names).map(([name, other]) => [other, name]));
+  Object.fromEntries(Object.entries(names).map(([name, encodedName]) => [encodedName, name]));
 
 const encodedNodeFields: Names = { incarnation: 'inc', status: 'standing' };
 const decodedNodeFields = reversed(encodedNodeFields);
@@ -63,7 +63,7 @@
     name === 'role' ? [name, decodedRoles.get(value as string)] : [decodedNodeFields[name] ?? name, value],
   );
 
-/** Nodes of the agreed state, and the requests to join it. */
+/** Encodes, decodes and validates nodes of the agreed state and nodes that join. */
 export const nodeCodec = {
   encode: (node: NodeEntry): EncodedNode => encodeNode(node) as EncodedNode,
   encodeJoining: (node: JoiningNode): EncodedJoiningNode => encodeNode(node) as EncodedJoiningNode,
@@ -110,29 +110,31 @@
     name === 'roster' ? mapFields(value as object, (id, node) => [id, nodeCodec.decode(node as EncodedNode)]) : value,
   ]);
 
-/** A function of immutable objects that does its work once for each, and gives the same object again. */
-const oncePerObject = <From extends object, To>(work: (from: From) => To): ((from: From) => To) => {
-  const known = new WeakMap<From, { result: To }>();
-  return (from) => {
-    const entry = known.get(from) ?? { result: work(from) };
-    known.set(from, entry);
+/** Memoizes a function of immutable objects: the same argument object returns the same result object. */
+const memoizedByObject = <Source extends object, Result>(
+  compute: (source: Source) => Result,
+): ((source: Source) => Result) => {
+  const cache = new WeakMap<Source, { result: Result }>();
+  return (source) => {
+    const entry = cache.get(source) ?? { result: compute(source) };
+    cache.set(source, entry);
     return entry.result;
   };
 };
 
-/** The agreed state. Nothing is decoded before `isValid` has passed its encoded form. */
+/** The codec of the agreed state. `decode` may only be called on an encoded form that `isValid` accepts. */
 export const stateCodec: StateCodec<AgreedState> = {
-  /** A version goes to several members: it is encoded once. */
-  encode: oncePerObject(encodeState),
+  /** Memoized, because a version is sent to several members. */
+  encode: memoizedByObject(encodeState),
   decode: (encoded) => decodeState(encoded as EncodedState) as AgreedState,
   isValid: isEncodedState,
 };
 
-/** Versions of the agreed state as they are spread to all nodes (§3.5). */
+/** The codec of versions of the agreed state as they are disseminated to all nodes (§3.5). */
 export const snapshotCodec = {
   encode: (snapshot: Snapshot<AgreedState>): EncodedSnapshot => encodeSnapshot(snapshot, stateCodec),
-  /** Gives the same object for the same one: readers compare by identity. */
-  decode: oncePerObject((encoded: EncodedSnapshot): Snapshot<AgreedState> => decodeSnapshot(encoded, stateCodec)),
+  /** Returns the same object for the same argument, because readers compare versions by object identity. */
+  decode: memoizedByObject((encoded: EncodedSnapshot): Snapshot<AgreedState> => decodeSnapshot(encoded, stateCodec)),
   isValid: (encoded: unknown): encoded is EncodedSnapshot =>
     isEncodedSnapshot(encoded) && stateCodec.isValid((encoded as EncodedSnapshot).state),
 };
--- a/packages/consensus/src/types.ts
+++ b/packages/consensus/src/types.ts
@@ -1,26 +1,26 @@
-/** Types of the consensus state machine (§3.3): its durable state, the events it takes and the effects it asks for. */
+/** Types of the consensus state machine (§3.3): its state, the events that it handles and the effects that it emits. */
 import type { Address, Microseconds } from '@thornsail/runtime';
 import type { RefusalCode } from './errors.js';
 
-/** A voting member: its identity, which is lost with its disk, and its address. */
+/** A voting member: its identity, which is lost with its disk, and its address (`at`). */
 export type Member = { id: string; at: Address };
-/** One version of the replicated state. It is always sent and stored whole; (term, index) orders versions. */
+/** One version of the replicated state, always sent and stored in full. Versions are ordered by (term, index). */
 export type Snapshot<S> = { term: number; index: number; members: Member[]; state: S };
-/** A proposed change, applied by the leader to its newest version. It may change one member at most. */
+/** A proposed change, applied by the leader to its newest version. It may add or remove at most one member. */
 export type Change<S, R> = (state: S, members: Member[]) => { state: S; members?: Member[]; result: R };
-/** The roles of a replica; `unformed` holds no version and votes for nobody. */
+/** The roles of a replica. An `unformed` replica holds no version and grants no votes. */
 export type Role = 'unformed' | 'follower' | 'candidate' | 'leader';
 
-/** Intervals in microseconds. */
+/** Intervals and timeouts in microseconds. */
 export type Timing = {
   heartbeat: Microseconds;
-  /** A follower that has heard no leader for this long may start an election. */
+  /** A follower without contact with a leader for this long may start an election. */
   electionTimeout: Microseconds;
-  /** The random part that is added to the election timeout. */
+  /** Upper bound of the random delay that is added to the election timeout. */
   electionSpread: Microseconds;
-  /** A leader without a quorum for this long steps down. */
+  /** A leader that has reached no quorum for this long steps down. */
   quorumTimeout: Microseconds;
-  /** How long one round's confirmation by a quorum is good for `isLeaseValid`; below the election timeout. */
+  /** How long the lease lasts from the start of a round that a quorum confirmed; below the election timeout. */
   lease: Microseconds;
   requestTimeout: Microseconds;
   preVoteTimeout: Microseconds;
@@ -28,7 +28,7 @@
   retryDelay: Microseconds;
 };
 
-/** Requests between members. `to` is the identity asked; another one at its address must not answer for it. */
+/** Requests between members. `to` is the recipient's identity: a member with another identity must not accept it. */
 export type RequestMessage<S> =
   | { kind: 'append'; to: string; snapshot: Snapshot<S>; commitIndex: number }
   | { kind: 'heartbeat'; to: string; term: number; commitIndex: number }
@@ -36,62 +36,65 @@
   | { kind: 'vote'; to: string; term: number }
   | { kind: 'discover' }
   | { kind: 'form'; members: Member[] }
-  /** A leader that gives up asks its followers not to wait for its silence. */
+  /** Sent by a leader that steps down, so that its followers need not wait for the election timeout. */
   | { kind: 'resign'; to: string; term: number };
-/** `index` is the index of the accepted version, -1 without one; not `ok` where the version was not accepted. */
+/** The reply to an append. `index` is that of the accepted version, -1 without one; `ok` is false if it was refused. */
 export type AppendReply = { kind: 'append'; ok: boolean; term: number; index: number };
-/** `index` is that of the version held under the term of the heartbeat, -1 without one. */
+/** The reply to a heartbeat. `index` is that of the version accepted in the heartbeat's term, -1 without one. */
 export type HeartbeatReply = { kind: 'heartbeat'; ok: boolean; term: number; index: number };
-/** Whether the member would vote; `unformed` where it holds no version. */
+/** Whether the member would grant its vote; `unformed` if it holds no version. */
 export type PreVoteReply = { kind: 'pre-vote'; ok: boolean; term: number; unformed: boolean };
-/** A granted vote carries the newest version that the voter holds. */
+/** The reply to a vote request. A granted vote carries the newest version that the voter has accepted. */
 export type VoteReply<S> = { kind: 'vote'; ok: boolean; term: number; accepted?: Snapshot<S> };
-/** Who is at an address, and whether it is a member already. */
+/** The identity of the replica at an address, and whether it is a member already. */
 export type DiscoverReply = { kind: 'discover'; id: string; formed: boolean };
 /** Whether the first version was accepted. */
 export type FormReply = { kind: 'form'; ok: boolean };
-/** Whether the follower begins an election early. */
+/** Whether the follower will start an election early. */
 export type ResignReply = { kind: 'resign'; ok: boolean };
 /** Replies between members, each to the request of the same kind. */
 export type ReplyMessage<S> =
   AppendReply | HeartbeatReply | PreVoteReply | VoteReply<S> | DiscoverReply | FormReply | ResignReply;
 
-/** `not-leader` and `failed` were not taken, the latter by the change's own error; `outcome-unknown` may have been. */
+/**
+ * The outcome of a proposal. `not-leader` and `failed` had no effect, the latter because the change threw an error;
+ * `outcome-unknown` may have had one.
+ */
 export type ProposalOutcome =
   | { ok: true; index: number; result: unknown }
   | { ok: false; code: RefusalCode }
   | { ok: false; code: 'failed'; error: Error };
-/** `not-leader`: this replica is not the leader; `outcome-unknown`: no quorum confirmed that it is. */
+/** The outcome of a read. `not-leader`: this replica is not the leader; `outcome-unknown`: no quorum confirmed it. */
 export type ReadOutcome<S> = { ok: true; snapshot: Snapshot<S> } | { ok: false; code: RefusalCode };
 
-/** A change with the number by which its outcome is told. */
+/** A change with the number that its outcome refers to. */
 export type Proposal<S> = { proposal: number; change: Change<S, unknown> };
 
-/** What a replica is told; each event is one step. */
+/** An input of the state machine; each event is handled in one step. */
 export type Event<S> =
   | { type: 'tick' }
   | { type: 'heartbeat-due' }
   | { type: 'request'; call: number; from: Address; message: RequestMessage<S> }
-  /** Without a reply: the request was lost, refused or timed out. */
+  /** `reply` is absent if the request was lost, refused or timed out. */
   | { type: 'response'; request: number; reply?: ReplyMessage<S> }
   | { type: 'retry-append'; member: string; term: number; index: number }
   | ({ type: 'propose' } & Proposal<S>)
   | { type: 'read'; read: number }
   | { type: 'written' }
-  /** `unchanged`: the disk is certain to hold what it held before. */
+  /** `unchanged`: the disk is certain to hold the previous content. */
   | { type: 'write-failed'; unchanged: boolean }
   | { type: 'close' };
 
 /** Writes one of the two durable documents. */
 export type WriteEffect<S> =
   { type: 'write'; document: 'term'; term: number } | { type: 'write'; document: 'snapshot'; snapshot: Snapshot<S> };
-/** What a step asks for. Times are in microseconds. */
+/** An output of a step, executed by the driver. Times are in microseconds. */
 export type Effect<S> =
   | { type: 'send'; request: number; at: Address; message: RequestMessage<S>; timeout: Microseconds }
   | { type: 'reply'; call: number; reply: ReplyMessage<S> }
-  /** The call cannot be served: what it needed was not written. */
+  /** Fails the call without a reply, because its write failed or the replica is closed. */
   | { type: 'refuse'; call: number }
-  /** To be synced and answered by `written` or `write-failed`; at most one is under way. */
+  /** The driver syncs the document and answers with `written` or `write-failed`; at most one write is pending. */
   | WriteEffect<S>
   | { type: 'commit'; snapshot: Snapshot<S> }
   | { type: 'proposal-outcome'; proposal: number; outcome: ProposalOutcome }
@@ -99,7 +102,7 @@
   | { type: 'timer'; after: Microseconds; event: Event<S> }
   | { type: 'log'; text: string };
 
-/** What goes on once the write under way is synced. */
+/** The work to do once the pending write is synced. */
 export type Continuation<S> =
   | { kind: 'acknowledge-append'; call: number }
   | { kind: 'acknowledge-heartbeat'; call: number; from: Address; term: number; commitIndex: number }
@@ -109,11 +112,11 @@
   | { kind: 'request-votes'; term: number }
   | { kind: 'take-over'; snapshot: Snapshot<S> }
   | { kind: 'replicate'; batch: Batch<S> };
-/** Proposals that one version carries, with the outcome that each has once it is committed. */
+/** One version with the proposals that it carries, and the outcome of each once the version is committed. */
 export type Batch<S> = { snapshot: Snapshot<S>; outcomes: { proposal: number; outcome: ProposalOutcome }[] };
 
-/** What a request under way is for. */
-export type Outstanding<S> =
+/** The context of a request that awaits its reply. */
+export type OutstandingRequest<S> =
   | { kind: 'append'; member: Member; snapshot: Snapshot<S>; catchUp: boolean }
   | { kind: 'heartbeat'; member: Member; round: number }
   | { kind: 'pre-vote'; member: Member; election: number }
@@ -121,7 +124,7 @@
   | { kind: 'discover'; at: Address }
   | { kind: 'form' }
   | { kind: 'resign' };
-/** One round of heartbeats with the reads that wait for it; `pending` counts the answers still to come. */
+/** One round of heartbeats with the reads that wait for it; `pending` counts the outstanding replies. */
 export type HeartbeatRound<S> = {
   term: number;
   startedAt: Microseconds;
@@ -130,7 +133,7 @@
   pending: number;
   reads: { read: number; snapshot: Snapshot<S> }[];
 };
-/** One phase of an election; `granted` holds identities, `pending` counts the answers still to come. */
+/** One phase of an election; `granted` holds identities, `pending` counts the outstanding replies. */
 export type Election<S> = {
   number: number;
   phase: 'pre-vote' | 'vote';
@@ -138,18 +141,20 @@
   /** The candidate's own version when the phase began. */
   base: Snapshot<S>;
   granted: string[];
+  /** The newest version among the candidate's own and those that the voters returned. */
   newest: Snapshot<S>;
   highestTerm: number;
   pending: number;
 };
-/** The version under way, with the identities of those that hold it. */
+/** The version being replicated, with the identities of the members that have accepted it. */
 export type Replication<S> = Batch<S> & { startedAt: Microseconds; acknowledged: string[] };
-/** The founders found so far; `pending` counts the answers still to come. */
+/** The founders found so far; `pending` counts the outstanding replies. */
 export type Discovery = { found: (Member & { formed: boolean })[]; pending: number };
 
-/** All that a replica knows. `term` and `accepted` are what its disk holds, never more. */
+/** The state of a replica in memory. `term` and `accepted` never run ahead of what is synced to its disk. */
 export type ReplicaState<S> = {
   id: string;
+  /** This replica's own address. */
   at: Address;
   founders: Address[];
   initial: S;
@@ -157,43 +162,48 @@
   role: Role;
   term: number;
   accepted?: Snapshot<S>;
-  /** The newest version known to be held by a quorum. */
+  /** The newest version that a quorum is known to have accepted. */
   committed?: Snapshot<S>;
   leader?: Address;
-  heardAt: Microseconds;
-  /** Formed in an earlier life and nobody heard in this one. */
+  /** When a leader was last heard, or an event happened that restarts the election timeout. */
+  lastContactAt: Microseconds;
+  /** The process restarted with an accepted version and has neither heard a leader nor granted a vote since. */
   restarted: boolean;
   electionDelay: Microseconds;
-  /** A newer version without this member was seen: until a leader is heard it starts no more elections. */
+  /** A newer version without this member was seen; it starts no elections until it hears a leader. */
   removed: boolean;
-  writing?: { write: WriteEffect<S>; continuation: Continuation<S>; startedAt: Microseconds };
-  /** How long the last snapshot took to be written. */
-  lastWriteTook: Microseconds;
-  /** Events that need the disk, in their order, while a write is under way. */
+  pendingWrite?: { write: WriteEffect<S>; continuation: Continuation<S>; startedAt: Microseconds };
+  /** How long the last snapshot write took. */
+  lastWriteDuration: Microseconds;
+  /** Events that depend on the disk, in order of arrival, queued while a write is pending. */
   deferred: Event<S>[];
+  /** The number of the next request; `outstanding` has the context of each request by its number. */
   nextRequest: number;
-  outstanding: Map<number, Outstanding<S>>;
+  outstanding: Map<number, OutstandingRequest<S>>;
   nextElection: number;
   election?: Election<S>;
+  /** Proposals that no version carries yet. */
   queue: Proposal<S>[];
   replication?: Replication<S>;
   nextRound: number;
   rounds: Map<number, HeartbeatRound<S>>;
+  /** Identities of the members to which a catch-up version is being sent. */
   catchingUp: Set<string>;
-  /** When the round or version that a member acknowledged last had begun, by member. */
+  /** The start time of the heartbeat round or replication that each member last acknowledged, by identity. */
   acknowledgedAt: Map<string, Microseconds>;
-  /** When a quorum last answered, by arrival, and when the round that it answered had begun. */
-  quorumAt: Microseconds;
-  leaseFrom: Microseconds;
+  /** When the replies of a quorum last arrived. */
+  quorumConfirmedAt: Microseconds;
+  /** The start time of the newest round or replication that a quorum confirmed; the lease runs from here. */
+  leaseStartedAt: Microseconds;
   discovery?: Discovery;
   closed: boolean;
 };
 
-/** One step: the state that it may change, the time, a source of chance, and the effects that it gathers. */
+/** The context of one step: the state that it may change, the time, a random source and the effects to execute. */
 export type Step<S> = {
   state: ReplicaState<S>;
   now: Microseconds;
-  /** A whole number from 0 to below `limit`. */
+  /** A random integer from 0 (inclusive) to `limit` (exclusive). */
   random: (limit: number) => number;
   effects: Effect<S>[];
 };
--- a/packages/consensus/src/wire.ts
+++ b/packages/consensus/src/wire.ts
@@ -1,35 +1,35 @@
 /**
- * The form that consensus messages and documents have between nodes and on disk (§3.3, §3.4). It is that of the release
- * before: `view` is the term, `seq` the index.
+ * The format of consensus messages on the wire and of documents on disk (§3.3, §3.4). It is the format of the previous
+ * release: `view` is the term, `seq` the index, `doneSeq` the commit index and `v` a version.
  */
 import { address } from '@thornsail/runtime';
 import { validate, type Validator } from '@thornsail/rpc';
 import type { Member, ReplyMessage, RequestMessage, Snapshot } from './types.js';
 
-/** How a state is written between nodes and on disk. `isValid` checks the encoded form, before it is decoded. */
+/** Encodes and decodes a state for the wire and the disk. `isValid` checks the encoded form before it is decoded. */
 export type StateCodec<S> = {
   encode: (state: S) => unknown;
   decode: (encoded: unknown) => S;
   isValid: (encoded: unknown) => boolean;
 };
-/** A state that is sent and stored as it is, unchecked. */
+/** A codec that sends and stores a state as it is, without validation. */
 export const plainCodec = <S>(): StateCodec<S> => ({
   encode: (state) => state,
   decode: (encoded) => encoded as S,
   isValid: () => true,
 });
 
-/** A snapshot between nodes and on disk; its state is in the encoded form. */
+/** A snapshot in the format of the wire and the disk; its state is encoded too. */
 export type EncodedSnapshot = { view: number; seq: number; members: Member[]; state: unknown };
-/** The promised term on disk. */
+/** The document with the promised term. */
 export type TermDocument = { view: number };
-/** The identity on disk, made at the first start. */
+/** The document with the member's identity, created at the first start. */
 export type IdentityDocument = { id: string };
 /** The names of the documents on disk. */
 export const documents = { identity: 'identity', term: 'promise', snapshot: 'state' } as const;
 
 const isMembers = validate.arrayOf(validate.object({ id: validate.string, at: address.ok }));
-/** Whether something is an encoded snapshot, whatever its state; that is for the state's codec to say. */
+/** Validates an encoded snapshot except for its state, which is validated by the state's codec. */
 export const isEncodedSnapshot = validate.object({
   view: validate.integer,
   seq: validate.integer,
@@ -37,14 +37,14 @@
   state: validate.anything,
 });
 
-/** A version in the form for other nodes and the disk. */
+/** Encodes a version for the wire and the disk. */
 export const encodeSnapshot = <S>(snapshot: Snapshot<S>, codec: StateCodec<S>): EncodedSnapshot => ({
   view: snapshot.term,
   seq: snapshot.index,
   members: snapshot.members,
   state: codec.encode(snapshot.state),
 });
-/** A version from the form for other nodes and the disk. */
+/** Decodes a version from the wire or the disk. */
 export const decodeSnapshot = <S>(encoded: EncodedSnapshot, codec: StateCodec<S>): Snapshot<S> => ({
   term: encoded.view,
   index: encoded.seq,
@@ -53,7 +53,7 @@
 });
 
 type RequestKind = RequestMessage<unknown>['kind'];
-/** The name of each request between nodes. */
+/** The RPC name of each request. */
 export const requestNames: Record<RequestKind, string> = {
   append: 'view.order',
   heartbeat: 'view.beat',
@@ -67,7 +67,7 @@
 type AppendBody = { to: string; v: EncodedSnapshot; doneSeq: number };
 type HeartbeatBody = { to: string; view: number; doneSeq: number };
 
-/** The validators of the bodies of requests, by kind. */
+/** The validators of request bodies, by kind. */
 export const requestValidators = <S>(codec: StateCodec<S>): Record<RequestKind, Validator> => ({
   append: validate.object({
     to: validate.string,
@@ -82,7 +82,7 @@
   resign: validate.object({ to: validate.string, view: validate.integer }),
 });
 
-/** The body of a request. */
+/** Encodes the body of a request. */
 export const encodeRequest = <S>(message: RequestMessage<S>, codec: StateCodec<S>): unknown => {
   switch (message.kind) {
     case 'append':
@@ -100,12 +100,12 @@
       return { members: message.members };
   }
 };
-/** `body` has been checked against the shape of its kind. */
+/** Decodes a request body that has passed the validator of its kind. */
 export const decodeRequest = <S>(kind: RequestKind, body: unknown, codec: StateCodec<S>): RequestMessage<S> => {
   switch (kind) {
     case 'append': {
-      const { to, v, doneSeq } = body as AppendBody;
-      return { kind, to, snapshot: decodeSnapshot(v, codec), commitIndex: doneSeq };
+      const { to, v: encoded, doneSeq } = body as AppendBody;
+      return { kind, to, snapshot: decodeSnapshot(encoded, codec), commitIndex: doneSeq };
     }
     case 'heartbeat': {
       const { to, view, doneSeq } = body as HeartbeatBody;
@@ -125,7 +125,7 @@
   }
 };
 
-/** The body of a reply. */
+/** Encodes the body of a reply. */
 export const encodeReply = <S>(reply: ReplyMessage<S>, codec: StateCodec<S>): unknown => {
   switch (reply.kind) {
     case 'append':
@@ -150,7 +150,7 @@
 const isDiscoverReply = validate.object({ id: validate.string, formed: validate.boolean });
 const isFormReply = validate.object({ ok: validate.boolean });
 
-/** A reply to a request of this kind, or nothing if it has another shape. */
+/** Decodes the reply to a request of this kind; returns undefined if it is malformed. */
 export const decodeReply = <S>(kind: RequestKind, body: unknown, codec: StateCodec<S>): ReplyMessage<S> | undefined => {
   if (kind === 'append' || kind === 'heartbeat') {
     if (!isAppendReply(body)) return undefined;
--- a/packages/consensus/test/configuration.test.ts
+++ b/packages/consensus/test/configuration.test.ts
@@ -1,5 +1,5 @@
-// The configuration as a register with compare-and-set (§7.2): at most one push for each base, and each recognised when
-// it is sent again, in bounded space.
+// The configuration as a register with compare-and-set (§7.2): at most one push is accepted for each base, and each
+// push is recognised when it is sent again, in bounded space.
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import {
@@ -12,113 +12,123 @@
 } from '@thornsail/consensus';
 
 const body = { classes: { a: { kind: 'model', weight: 1 } } };
-const numbered = (base: number, revision: number, by = ''): Push => ({
-  id: `${base} to ${revision} ${by}`,
+/** A push with the operator's own revision numbers. */
+const pushByRevision = (base: number, revision: number, author = ''): Push => ({
+  id: `${base} to ${revision} ${author}`,
   base,
   how: 'whole',
   body,
   revision,
-  source: { Revision: revision, By: by },
+  source: { Revision: revision, By: author },
 });
-const marked = (base: number, by = ''): Push => ({ id: `mark ${base} ${by}`, base, how: 'whole', body });
-/** Says the result of each push in turn: its mark, or why it isn't taken. */
-const pushAll = (from: AgreedState, pushes: Push[]): { state: AgreedState; said: (string | number)[] } => {
-  let state = from;
-  const said = pushes.map((push) => {
+/** A push without revision numbers: the base is a configuration version. */
+const pushByVersion = (base: number, author = ''): Push => ({ id: `mark ${base} ${author}`, base, how: 'whole', body });
+/** Applies pushes in turn. Each result is the new version, or the reason why the push was not accepted. */
+const pushAll = (initial: AgreedState, pushes: Push[]): { state: AgreedState; results: (string | number)[] } => {
+  let state = initial;
+  const results = pushes.map((push) => {
     const { state: next, result } = configuration.push(state, push, 1);
     state = next;
     return result.ok ? result.mark : result.why;
   });
-  return { state, said };
+  return { state, results };
 };
 const chain = (count: number): Push[] =>
-  Array.from({ length: count }, (_, i) => numbered(i === 0 ? 0 : 3 * i + 1, 3 * i + 4));
-const isEncoded = (state: AgreedState): boolean => stateCodec.isValid(stateCodec.encode(state));
-const after = (count: number): AgreedState => pushAll(agreedState.initial(), chain(count)).state;
-const why = (result: PushResult | null): string | null => (result === null ? null : result.ok ? 'taken' : result.why);
+  Array.from({ length: count }, (_, i) => pushByRevision(i === 0 ? 0 : 3 * i + 1, 3 * i + 4));
+const hasValidEncoding = (state: AgreedState): boolean => stateCodec.isValid(stateCodec.encode(state));
+const stateAfter = (count: number): AgreedState => pushAll(agreedState.initial(), chain(count)).state;
+const outcomeOf = (result: PushResult | null): string | null =>
+  result === null ? null : result.ok ? 'accepted' : result.why;
 
-test('one push for each base; the same again is the same, whatever else is in force by then', () => {
-  const { said, state } = pushAll(agreedState.initial(), [
-    numbered(0, 4),
-    numbered(0, 4),
-    numbered(0, 4, 'other'),
-    numbered(4, 4),
-    numbered(4, 9),
-    numbered(0, 4),
-    numbered(4, 9, 'other'),
-    numbered(4, 9),
+test('at most one push is accepted for each base; a repeated push has the same result, also after later pushes', () => {
+  const { results, state } = pushAll(agreedState.initial(), [
+    pushByRevision(0, 4),
+    pushByRevision(0, 4),
+    pushByRevision(0, 4, 'other'),
+    pushByRevision(4, 4),
+    pushByRevision(4, 9),
+    pushByRevision(0, 4),
+    pushByRevision(4, 9, 'other'),
+    pushByRevision(4, 9),
   ]);
-  assert.equal(said, [1, 1, 'collision', 'invalid', 2, 1, 'collision', 2]);
+  assert.equal(results, [1, 1, 'collision', 'invalid', 2, 1, 'collision', 2]);
   assert.is(state.config.revision, 9);
 });
-test('after thousands of pushes none that was taken is refused, and the state is as small as after hundreds', () => {
+test('after thousands of pushes no accepted one is refused, and the state is as small as after hundreds', () => {
   const pushes = chain(3000);
-  const { state, said } = pushAll(agreedState.initial(), pushes);
+  const { state, results } = pushAll(agreedState.initial(), pushes);
   assert.equal(
-    said,
+    results,
     pushes.map((_, i) => i + 1),
   );
-  const again = pushes.map((push) => why(configuration.known(state, push)));
+  const again = pushes.map((push) => outcomeOf(configuration.known(state, push)));
   assert.equal([...new Set(again.slice(0, -512))], ['forgotten']);
-  assert.equal([...new Set(again.slice(-512))], ['taken']);
-  // Others on the bases that are remembered are refused.
-  for (const push of pushes.slice(-512)) assert.is(why(configuration.known(state, { ...push, id: 'x' })), 'collision');
-  const size = (s: AgreedState): number => JSON.stringify(s).length;
-  assert.ok(size(state) < size(after(600)) * 1.1);
+  assert.equal([...new Set(again.slice(-512))], ['accepted']);
+  // Other pushes on the bases with receipts are refused.
+  for (const push of pushes.slice(-512))
+    assert.is(outcomeOf(configuration.known(state, { ...push, id: 'x' })), 'collision');
+  const sizeOf = (measured: AgreedState): number => JSON.stringify(measured).length;
+  assert.ok(sizeOf(state) < sizeOf(stateAfter(600)) * 1.1);
 });
-test('the same by our own marks', () => {
-  const pushes = Array.from({ length: 700 }, (_, i) => marked(i));
+test('the same with configuration versions as bases', () => {
+  const pushes = Array.from({ length: 700 }, (_, i) => pushByVersion(i));
   const { state } = pushAll(agreedState.initial(), pushes);
-  const again = pushes.map((push) => why(configuration.known(state, push)));
+  const again = pushes.map((push) => outcomeOf(configuration.known(state, push)));
   assert.equal([...new Set(again.slice(0, 188))], ['forgotten']);
-  assert.equal([...new Set(again.slice(188))], ['taken']);
-  assert.is(why(configuration.known(state, marked(400, 'other'))), 'collision');
-  assert.is(why(configuration.known(state, marked(700, 'next'))), null);
+  assert.equal([...new Set(again.slice(188))], ['accepted']);
+  assert.is(outcomeOf(configuration.known(state, pushByVersion(400, 'other'))), 'collision');
+  assert.is(outcomeOf(configuration.known(state, pushByVersion(700, 'next'))), null);
 });
-test('what was refused is refused for good, also when its base comes into force', () => {
-  const early = numbered(4, 9);
-  const { said } = pushAll(agreedState.initial(), [early, numbered(0, 4), early, numbered(4, 9, 'other'), early]);
-  assert.equal(said, ['collision', 1, 'collision', 2, 'collision']);
+test('a refused push stays refused, also when its base comes into force', () => {
+  const early = pushByRevision(4, 9);
+  const { results } = pushAll(agreedState.initial(), [
+    early,
+    pushByRevision(0, 4),
+    early,
+    pushByRevision(4, 9, 'other'),
+    early,
+  ]);
+  assert.equal(results, ['collision', 1, 'collision', 2, 'collision']);
 });
-test('state of the release before: its ids are recognised, and what it forgot is not refused', () => {
+test('state of the previous release: its push ids are recognised, and pushes that it forgot are not refused', () => {
   const pushes = chain(20);
-  const { receipts: _, ...before } = after(20);
+  const { receipts: _, ...previousState } = stateAfter(20);
   assert.equal(
-    pushes.map((push) => why(configuration.known(before, push))),
-    pushes.map(() => 'taken'),
+    pushes.map((push) => outcomeOf(configuration.known(previousState, push))),
+    pushes.map(() => 'accepted'),
   );
-  // That release has dropped an id; any base below the newest may be its.
-  const dropped: AgreedState = { ...before, pushes: before.pushes.slice(1) };
-  assert.is(why(configuration.known(dropped, pushes[0]!)), 'forgotten');
-  const { state, said } = pushAll(dropped, [
-    numbered(61, 70),
+  // The previous release has dropped an id; its push may have had any base below the newest.
+  const withoutOldestId: AgreedState = { ...previousState, pushes: previousState.pushes.slice(1) };
+  assert.is(outcomeOf(configuration.known(withoutOldestId, pushes[0]!)), 'forgotten');
+  const { state, results } = pushAll(withoutOldestId, [
+    pushByRevision(61, 70),
     pushes[0]!,
     pushes[1]!,
-    numbered(61, 71),
-    numbered(70, 75),
+    pushByRevision(61, 71),
+    pushByRevision(70, 75),
   ]);
-  assert.equal(said, [21, 'forgotten', 2, 'collision', 22]);
-  assert.is(why(configuration.known(state, numbered(61, 71))), 'collision');
+  assert.equal(results, [21, 'forgotten', 2, 'collision', 22]);
+  assert.is(outcomeOf(configuration.known(state, pushByRevision(61, 71))), 'collision');
 });
-test('a leader of the release before in between: what it took without a receipt is recognised or not refused', () => {
+test('pushes that a leader of the previous release accepted without receipts are recognised or not refused', () => {
   const [first, ...rest] = chain(3);
-  const one = pushAll(agreedState.initial(), [first!]).state;
-  // It keeps the receipts as they are, and adds to the ids alone.
-  const { receipts } = one;
-  const { state: taken } = pushAll(one, rest);
-  const between: AgreedState = { ...taken, receipts: receipts! };
-  const { state } = pushAll(between, [numbered(10, 20)]);
-  for (const push of [first!, ...rest]) assert.is(why(configuration.known(state, push)), 'taken');
-  assert.is(why(configuration.known({ ...state, pushes: [] }, rest[0]!)), 'forgotten');
+  const firstState = pushAll(agreedState.initial(), [first!]).state;
+  // That leader leaves the receipts as they are and adds only to the ids.
+  const { receipts } = firstState;
+  const { state: acceptedState } = pushAll(firstState, rest);
+  const previousState: AgreedState = { ...acceptedState, receipts: receipts! };
+  const { state } = pushAll(previousState, [pushByRevision(10, 20)]);
+  for (const push of [first!, ...rest]) assert.is(outcomeOf(configuration.known(state, push)), 'accepted');
+  assert.is(outcomeOf(configuration.known({ ...state, pushes: [] }, rest[0]!)), 'forgotten');
 });
-test('what is kept is read by the release before: the newest ids, and the fields that it asks for', () => {
-  const state = after(100);
+test('the previous release can read the state: it has the newest push ids and the fields that it requires', () => {
+  const state = stateAfter(100);
   assert.is(state.pushes.length, 64);
   assert.equal(state.pushes.at(-1), { id: chain(100).at(-1)!.id, mark: 100 });
-  const news = configuration.forNodes(state);
-  assert.ok(isEncoded(state) && isEncoded(news));
-  assert.equal([news.config.value, news.config.mark], [state.config.value, 100]);
-  assert.is(news.receipts, undefined);
-  assert.ok(JSON.stringify(news).length < JSON.stringify(state).length / 4);
+  const disseminated = configuration.forDissemination(state);
+  assert.ok(hasValidEncoding(state) && hasValidEncoding(disseminated));
+  assert.equal([disseminated.config.value, disseminated.config.mark], [state.config.value, 100]);
+  assert.is(disseminated.receipts, undefined);
+  assert.ok(JSON.stringify(disseminated).length < JSON.stringify(state).length / 4);
 });
 test.run();
--- a/packages/consensus/test/model.test.ts
+++ b/packages/consensus/test/model.test.ts
@@ -1,26 +1,27 @@
-// The consensus state machine in very many orders of events (§3.3): random walks with every trouble, and every order of
-// small cases to a depth.
+// The consensus state machine in many random orders of events (§3.3): random walks with every kind of failure, and
+// constructed cases. `orders.test.ts` explores every order of small cases.
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { invariant } from '@thornsail/runtime';
-import { checkRecovers, create, drain, leaderOf, nodeActions, packetActions, perform } from './model.js';
-import { run, separate, settle } from './model.js';
+import { checkRecovers, createModel, runUntilIdle, leaderOf, nodeActions, packetActions, perform } from './model.js';
+import { runTicks, setLinksBetween, healAndRun } from './model.js';
 import { replica } from '../src/replica.js';
 import type { Action, Model, Values } from './model.js';
 
-/** How many times the usual number of seeds is walked (`npm run verify:control`). */
+/** A multiple of the usual number of seeds (`npm run verify:control`). */
 const effort = Math.max(1, Number(process.env['MODEL_EFFORT'] ?? 1));
-const chance = (seed: number): ((limit: number) => number) => {
-  let a = seed * 2654435761;
+/** A seeded random source (mulberry32); returns integers from 0 (inclusive) to `limit` (exclusive). */
+const randomFrom = (seed: number): ((limit: number) => number) => {
+  let state = seed * 2654435761;
   return (limit) => {
-    a = (a + 0x6d2b79f5) | 0;
-    let t = Math.imul(a ^ (a >>> 15), 1 | a);
-    t = (t + Math.imul(t ^ (t >>> 7), 61 | t)) ^ t;
-    return ((t ^ (t >>> 14)) >>> 0) % limit;
+    state = (state + 0x6d2b79f5) | 0;
+    let mixed = Math.imul(state ^ (state >>> 15), 1 | state);
+    mixed = (mixed + Math.imul(mixed ^ (mixed >>> 7), 61 | mixed)) ^ mixed;
+    return ((mixed ^ (mixed >>> 14)) >>> 0) % limit;
   };
 };
 
-/** How often each kind of step is taken, when it can be. */
+/** The relative frequency of each kind of action among the possible ones. */
 const weights: Record<Action['kind'], number> = {
   deliver: 30,
   expire: 1,
@@ -49,37 +50,37 @@
   model.nodes.flatMap((a) => model.nodes.filter((b) => b !== a).map((b) => `${a.at}>${b.at}`));
 
 /**
- * A new state of the network and the clocks: all is well, one node is cut off (both ways, or one way only), or the
- * nodes fall into two parts. What was on its way across a cut arrives when it heals. The clocks of all but the leader
- * may jump, so that the others elect while it still takes itself for the leader.
+ * Chooses a new state of the network and the clocks: no partition, one node isolated (in both directions or one), or
+ * the nodes split into two parts. Packets on a cut link are delivered when it heals. The clocks of all nodes but the
+ * leader may jump, so that the others hold an election while the leader still considers itself the leader.
  */
-const changeRegime = (model: Model, pick: (limit: number) => number): void => {
-  model.cut.clear();
+const changeNetwork = (model: Model, pick: (limit: number) => number): void => {
+  model.cutLinks.clear();
   const leader = leaderOf(model)?.at;
-  const lone = pick(2) && leader ? leader : model.nodes[pick(model.nodes.length)]!.at;
+  const isolated = pick(2) && leader ? leader : model.nodes[pick(model.nodes.length)]!.at;
   const side = new Set(model.nodes.filter(() => pick(2)).map((node) => node.at));
   const kind = pick(6);
   for (const link of links(model)) {
     const [from, to] = link.split('>') as [string, string];
-    const out = from === lone && (kind === 1 || kind === 2);
-    const into = to === lone && (kind === 1 || kind === 3);
-    if (out || into || (kind === 4 && side.has(from) !== side.has(to))) model.cut.add(link);
+    const isOutgoing = from === isolated && (kind === 1 || kind === 2);
+    const isIncoming = to === isolated && (kind === 1 || kind === 3);
+    if (isOutgoing || isIncoming || (kind === 4 && side.has(from) !== side.has(to))) model.cutLinks.add(link);
   }
   if (pick(3) === 0) return;
   for (const node of model.nodes) if (node.at !== leader) node.clock += 700_000;
 };
 
-/** One step of a kind that is chosen by weight. */
+/** Performs one random action, with its kind chosen by weight. */
 const walkStep = (model: Model, pick: (limit: number) => number): void => {
-  if (pick(40) === 0) changeRegime(model, pick);
+  if (pick(40) === 0) changeNetwork(model, pick);
   const byKind = new Map<Action['kind'], Action[]>();
   for (const action of [...packetActions(model), ...model.nodes.flatMap((node) => nodeActions(model, node))])
     byKind.set(action.kind, [...(byKind.get(action.kind) ?? []), action]);
   const kinds = [...byKind.keys()];
-  let left = pick(kinds.reduce((sum, kind) => sum + weights[kind], 0));
+  let remaining = pick(kinds.reduce((sum, kind) => sum + weights[kind], 0));
   for (const kind of kinds) {
-    left -= weights[kind];
-    if (left >= 0) continue;
+    remaining -= weights[kind];
+    if (remaining >= 0) continue;
     const actions = byKind.get(kind)!;
     return perform(model, actions[pick(actions.length)]!);
   }
@@ -88,162 +89,167 @@
 const total = { commits: 0, reads: 0, memberChanges: 0, elections: 0, steps: 0 };
 const walk = (members: number, spares: number, seed: number, steps: number): void => {
   invariant.clear();
-  const pick = chance(seed);
-  const model = create(members, spares);
-  settle(model, 60);
+  const pick = randomFrom(seed);
+  const model = createModel(members, spares);
+  healAndRun(model, 60);
   assert.ok(leaderOf(model), 'no leader at the start');
-  for (let i = 0; i < steps && model.problems.length === 0; i++) walkStep(model, pick);
-  if (model.problems.length === 0) checkRecovers(model);
-  assert.equal(model.problems, [], `${members} members, seed ${seed}`);
+  for (let i = 0; i < steps && model.violations.length === 0; i++) walkStep(model, pick);
+  if (model.violations.length === 0) checkRecovers(model);
+  assert.equal(model.violations, [], `${members} members, seed ${seed}`);
   total.steps += steps;
   for (const name of ['commits', 'reads', 'memberChanges', 'elections'] as const) total[name] += model.counts[name];
 };
 
 const packetOf = (model: Model, kind: string, from: string, to: string): number =>
   [...model.packets].find(
-    ([, one]) => one.message.kind === kind && one.from === from && one.to === to && !one.expired,
+    ([, packet]) => packet.message.kind === kind && packet.from === from && packet.to === to && !packet.expired,
   )?.[0] ?? -1;
-/** A group with a leader, and the addresses: the leader's first. */
-const formed = (members: number, spares: number): { model: Model; at: string[] } => {
+/** A group with a leader, and the addresses of its members, the leader's first. */
+const formedGroup = (members: number, spares: number): { model: Model; addresses: string[] } => {
   invariant.clear();
-  const model = create(members, spares);
-  settle(model, 60);
+  const model = createModel(members, spares);
+  healAndRun(model, 60);
   const leader = leaderOf(model)!.at;
-  const others = model.nodes.slice(0, members).map((node) => node.at);
-  return { model, at: [leader, ...others.filter((at) => at !== leader)] };
+  const memberAddresses = model.nodes.slice(0, members).map((node) => node.at);
+  return { model, addresses: [leader, ...memberAddresses.filter((address) => address !== leader)] };
 };
 
-/** Two members that both miss the leader stand as candidates of one term, and the third has both requests. */
-const twoCandidates = (): { model: Model; at: string[] } => {
-  const { model, at } = formed(3, 0);
-  const [leader, one, two] = at as [string, string, string];
-  separate(model, [leader], [one, two]);
-  for (const candidate of [one, two]) perform(model, { kind: 'time-out', at: candidate });
+/**
+ * Two members without contact with the leader are candidates in the same term; their vote requests to the former leader
+ * are under way.
+ */
+const twoCandidates = (): { model: Model; addresses: string[] } => {
+  const { model, addresses } = formedGroup(3, 0);
+  const [leader, first, second] = addresses as [string, string, string];
+  setLinksBetween(model, [leader], [first, second]);
+  for (const candidate of [first, second]) perform(model, { kind: 'time-out', at: candidate });
   for (const [from, to] of [
-    [one, two],
-    [two, one],
+    [first, second],
+    [second, first],
   ] as const) {
     perform(model, { kind: 'deliver', packet: packetOf(model, 'pre-vote', from, to) });
     perform(model, { kind: 'deliver', packet: packetOf(model, 'pre-vote', from, to) });
   }
-  for (const candidate of [one, two]) perform(model, { kind: 'sync', at: candidate });
+  for (const candidate of [first, second]) perform(model, { kind: 'sync', at: candidate });
   for (const node of model.nodes.filter((node) => node.at !== leader)) assert.is(node.state?.role, 'candidate');
-  model.cut.clear();
-  return { model, at };
+  model.cutLinks.clear();
+  return { model, addresses };
 };
-/** Then each candidate that won takes a change of its own. */
-const letBothLead = (model: Model, at: string[]): void => {
-  for (const candidate of at.slice(1)) {
+/** Lets each candidate that won propose a change, and checks the invariants. */
+const letWinnersPropose = (model: Model, addresses: string[]): void => {
+  for (const candidate of addresses.slice(1)) {
     perform(model, { kind: 'sync', at: candidate });
     perform(model, { kind: 'propose', at: candidate });
   }
-  drain(model);
+  runUntilIdle(model);
   checkRecovers(model);
-  assert.equal(model.problems, []);
+  assert.equal(model.violations, []);
 };
-test('a voter gives one vote in a term', () => {
-  const { model, at } = twoCandidates();
-  const [voter, one, two] = at as [string, string, string];
-  for (const candidate of [one, two]) {
+test('a voter grants one vote in a term', () => {
+  const { model, addresses } = twoCandidates();
+  const [voter, first, second] = addresses as [string, string, string];
+  for (const candidate of [first, second]) {
     const packet = packetOf(model, 'vote', candidate, voter);
     perform(model, { kind: 'deliver', packet });
     perform(model, { kind: 'sync', at: voter });
     perform(model, { kind: 'deliver', packet });
   }
-  assert.is(model.nodes.filter((node) => node.state?.writing?.continuation.kind === 'take-over').length, 1);
-  letBothLead(model, at);
+  assert.is(model.nodes.filter((node) => node.state?.pendingWrite?.continuation.kind === 'take-over').length, 1);
+  letWinnersPropose(model, addresses);
 });
-test('a voter that loses its power before its vote is synced has not voted', () => {
-  const { model, at } = twoCandidates();
-  const [voter, one, two] = at as [string, string, string];
-  const first = packetOf(model, 'vote', one, voter);
-  perform(model, { kind: 'deliver', packet: first });
-  if (model.packets.get(first)?.phase === 'answered') perform(model, { kind: 'deliver', packet: first });
+test('a voter that crashes before its vote is synced has not voted', () => {
+  const { model, addresses } = twoCandidates();
+  const [voter, first, second] = addresses as [string, string, string];
+  const firstPacket = packetOf(model, 'vote', first, voter);
+  perform(model, { kind: 'deliver', packet: firstPacket });
+  if (model.packets.get(firstPacket)?.phase === 'replied') perform(model, { kind: 'deliver', packet: firstPacket });
   perform(model, { kind: 'crash', at: voter });
   perform(model, { kind: 'restart', at: voter });
-  const second = packetOf(model, 'vote', two, voter);
-  perform(model, { kind: 'deliver', packet: second });
+  const secondPacket = packetOf(model, 'vote', second, voter);
+  perform(model, { kind: 'deliver', packet: secondPacket });
   perform(model, { kind: 'sync', at: voter });
-  perform(model, { kind: 'deliver', packet: second });
-  assert.is(model.nodes.filter((node) => node.state?.writing?.continuation.kind === 'take-over').length, 1);
-  letBothLead(model, at);
+  perform(model, { kind: 'deliver', packet: secondPacket });
+  assert.is(model.nodes.filter((node) => node.state?.pendingWrite?.continuation.kind === 'take-over').length, 1);
+  letWinnersPropose(model, addresses);
 });
-test('a member whose list is two changes old does not lead without a quorum of the newest list', () => {
-  const { model, at } = formed(3, 1);
-  const [leader, old, middle] = at as [string, string, string];
+test('a member whose member list is two changes old does not lead without a quorum of the newest list', () => {
+  const { model, addresses } = formedGroup(3, 1);
+  const [leader, outdated, middle] = addresses as [string, string, string];
   const spare = model.nodes[3]!;
-  const newcomer = { id: spare.id, at: spare.at };
-  separate(model, [old], [leader, middle, spare.at]);
-  perform(model, { kind: 'add', at: leader, member: newcomer });
-  run(model, 4);
-  separate(model, [middle], [leader, spare.at]);
-  const removed = model.nodes.find((node) => node.at === old)!;
-  perform(model, { kind: 'remove', at: leader, member: { id: removed.id, at: old } });
-  run(model, 4);
+  const newMember = { id: spare.id, at: spare.at };
+  setLinksBetween(model, [outdated], [leader, middle, spare.at]);
+  perform(model, { kind: 'add', at: leader, member: newMember });
+  runTicks(model, 4);
+  setLinksBetween(model, [middle], [leader, spare.at]);
+  const removed = model.nodes.find((node) => node.at === outdated)!;
+  perform(model, { kind: 'remove', at: leader, member: { id: removed.id, at: outdated } });
+  runTicks(model, 4);
   perform(model, { kind: 'propose', at: leader });
-  run(model, 4);
-  const value = model.next - 1;
-  assert.ok(model.confirmed.includes(value));
-  // The two that miss what came last meet; then the leader is gone and the newcomer is back.
-  separate(model, [old], [middle], 'heal');
-  const second = model.nodes.find((node) => node.at === middle)!;
-  second.clock += 700_000;
-  perform(model, { kind: 'time-out', at: old });
-  drain(model);
+  runTicks(model, 4);
+  const value = model.nextNumber - 1;
+  assert.ok(model.confirmedValues.includes(value));
+  // The two members with outdated lists are connected again; then the leader is frozen and the new member reconnected.
+  setLinksBetween(model, [outdated], [middle], 'heal');
+  const middleNode = model.nodes.find((node) => node.at === middle)!;
+  middleNode.clock += 700_000;
+  perform(model, { kind: 'time-out', at: outdated });
+  runUntilIdle(model);
   perform(model, { kind: 'freeze', at: leader });
-  separate(model, [old, middle], [spare.at], 'heal');
-  run(model, 8);
+  setLinksBetween(model, [outdated, middle], [spare.at], 'heal');
+  runTicks(model, 8);
   checkRecovers(model);
-  assert.ok(model.chosen.at(-1)!.state.includes(value));
-  assert.equal(model.problems, []);
+  assert.ok(model.chosenVersions.at(-1)!.state.includes(value));
+  assert.equal(model.violations, []);
 });
-test('a candidate that learns of a member from its voters asks that member too', () => {
-  const { model, at } = formed(3, 1);
-  const [leader, old, middle] = at as [string, string, string];
+test('a candidate that learns of a member from its voters requests the vote of that member too', () => {
+  const { model, addresses } = formedGroup(3, 1);
+  const [leader, outdated, middle] = addresses as [string, string, string];
   const spare = model.nodes[3]!;
-  separate(model, [old], [leader, middle, spare.at]);
+  setLinksBetween(model, [outdated], [leader, middle, spare.at]);
   perform(model, { kind: 'add', at: leader, member: { id: spare.id, at: spare.at } });
-  run(model, 4);
+  runTicks(model, 4);
   perform(model, { kind: 'crash', at: leader });
-  separate(model, [old], [middle, spare.at], 'heal');
+  setLinksBetween(model, [outdated], [middle, spare.at], 'heal');
   for (const node of model.nodes) node.clock += 700_000;
-  perform(model, { kind: 'time-out', at: old });
-  drain(model);
-  assert.is(leaderOf(model)?.at, old);
+  perform(model, { kind: 'time-out', at: outdated });
+  runUntilIdle(model);
+  assert.is(leaderOf(model)?.at, outdated);
   assert.is(leaderOf(model)?.state?.committed?.members.length, 4);
-  assert.equal(model.problems, []);
+  assert.equal(model.violations, []);
 });
-test('after a close everyone that asks is answered', () => {
-  const { model, at } = formed(3, 0);
-  const { state, clock } = model.nodes.find((node) => node.at === at[0])!;
-  const feed = (event: Parameters<typeof replica.step<Values>>[1]): string[] =>
+test('after a close every pending and new call gets an outcome', () => {
+  const { model, addresses } = formedGroup(3, 0);
+  const { state, clock } = model.nodes.find((node) => node.at === addresses[0])!;
+  const effectTypesOf = (event: Parameters<typeof replica.step<Values>>[1]): string[] =>
     replica.step(state!, event, clock, () => 0).map((effect) => effect.type);
-  feed({ type: 'propose', proposal: 1, change: (values) => ({ state: values, result: 0 }) });
-  feed({ type: 'request', call: 1, from: at[1]!, message: { kind: 'vote', to: state!.id, term: 9 } });
+  effectTypesOf({ type: 'propose', proposal: 1, change: (values) => ({ state: values, result: 0 }) });
+  effectTypesOf({ type: 'request', call: 1, from: addresses[1]!, message: { kind: 'vote', to: state!.id, term: 9 } });
   assert.equal(
-    feed({ type: 'close' }).filter((type) => type !== 'log'),
+    effectTypesOf({ type: 'close' }).filter((type) => type !== 'log'),
     ['proposal-outcome', 'refuse'],
   );
-  assert.equal(feed({ type: 'propose', proposal: 2, change: (values) => ({ state: values, result: 0 }) }), [
+  assert.equal(effectTypesOf({ type: 'propose', proposal: 2, change: (values) => ({ state: values, result: 0 }) }), [
     'proposal-outcome',
   ]);
-  assert.equal(feed({ type: 'read', read: 1 }), ['read-outcome']);
-  assert.equal(feed({ type: 'request', call: 2, from: at[1]!, message: { kind: 'discover' } }), ['refuse']);
+  assert.equal(effectTypesOf({ type: 'read', read: 1 }), ['read-outcome']);
+  assert.equal(effectTypesOf({ type: 'request', call: 2, from: addresses[1]!, message: { kind: 'discover' } }), [
+    'refuse',
+  ]);
 });
-test('founders that start in any order, one of them killed or emptied meanwhile, form one group', () => {
+test('founders that start in any order, one of them crashed or wiped meanwhile, form one group', () => {
   let leaders = 0;
   for (let seed = 1; seed <= 600 * effort; seed++) {
     invariant.clear();
-    const pick = chance(seed);
+    const pick = randomFrom(seed);
     const size = seed % 4 === 0 ? 5 : 3;
-    const model = create(size, 0);
-    const unlucky = model.nodes[pick(size)]!;
+    const model = createModel(size, 0);
+    const failing = model.nodes[pick(size)]!;
     for (const node of model.nodes) if (pick(2)) perform(model, { kind: 'crash', at: node.at });
-    const troubleAt = pick(60);
-    for (let i = 0; i < 120 && model.problems.length === 0; i++) {
-      if (i === troubleAt) perform(model, { kind: pick(2) ? 'wipe' : 'crash', at: unlucky.at });
+    const failureStep = pick(60);
+    for (let i = 0; i < 120 && model.violations.length === 0; i++) {
+      if (i === failureStep) perform(model, { kind: pick(2) ? 'wipe' : 'crash', at: failing.at });
       const { at } = model.nodes[pick(size)]!;
-      const node = model.nodes.find((one) => one.at === at)!;
+      const node = model.nodes.find((candidate) => candidate.at === at)!;
       if (!node.up) perform(model, { kind: 'restart', at });
       else if (node.write && pick(3)) perform(model, { kind: 'sync', at });
       else if (pick(4) === 0) perform(model, { kind: 'time-out', at });
@@ -251,7 +257,7 @@
       if (packets.length) perform(model, packets[pick(packets.length)]!);
     }
     checkRecovers(model);
-    assert.equal(model.problems, [], `seed ${seed}`);
+    assert.equal(model.violations, [], `seed ${seed}`);
     leaders += Number(leaderOf(model) !== undefined);
   }
   assert.is(leaders, 600 * effort);
@@ -262,7 +268,7 @@
 test('five members and two spares in random orders', () => {
   for (let seed = 1; seed <= 120 * effort; seed++) walk(5, 2, seed, 300);
 });
-test('the walks meet commits, reads, elections and changes of members', () => {
+test('the random walks cover commits, reads, elections and changes of members', () => {
   process.stdout.write(`${JSON.stringify(total)}\n`);
   assert.ok(total.commits > 5000 && total.reads > 500 && total.elections > 1000 && total.memberChanges > 100);
 });
--- a/packages/consensus/test/model.ts
+++ b/packages/consensus/test/model.ts
@@ -1,16 +1,19 @@
-// A model of a group of replicas (§3.3): drives the state machine itself through orders of events that an adversary
-// chooses, and holds what it does against what must always be true. Clocks run apart: safety may not rest on time.
+// A model of a group of replicas (§3.3). It runs the state machine itself through sequences of events chosen by an
+// adversary, and checks invariants after each event. The clocks of the nodes diverge, because safety must not depend on
+// time.
 import { replica, defaultTiming } from '../src/replica.js';
 import { hasQuorum, isNewer, membersChanged } from '../src/quorum.js';
 import type { Effect, Event, Member, ReplicaState, ReplyMessage, RequestMessage } from '../src/types.js';
 import type { Snapshot, WriteEffect } from '../src/types.js';
 
+/** The replicated state of the model: the values of all changes that were applied. */
 export type Values = number[];
 type Version = Snapshot<Values>;
+/** A node with its disk; `write` is the write that is not synced yet, `calls` maps a pending call to its packet. */
 type Node = {
   id: string;
   at: string;
-  lives: number;
+  incarnation: number;
   up: boolean;
   clock: number;
   disk: { term: number; accepted?: Version };
@@ -21,40 +24,44 @@
   nextCall: number;
   founders: string[];
 };
+/** A request and its reply, on their way between two nodes. */
 type Packet = {
   from: string;
-  life: number;
+  senderIncarnation: number;
   request: number;
   to: string;
   message: RequestMessage<Values>;
-  phase: 'asked' | 'served' | 'answered';
+  phase: 'sent' | 'delivered' | 'replied';
   reply?: ReplyMessage<Values>;
-  /** The sender waits no longer; the packet may still arrive. */
+  /** The request has timed out at its sender; the packet may still arrive. */
   expired: boolean;
+  /** The number of duplicates still to be delivered. */
   copies: number;
 };
+/** The nodes, the network and the history that the invariants are checked against. */
 export type Model = {
   nodes: Node[];
   packets: Map<number, Packet>;
   nextPacket: number;
-  /** Directed links that carry nothing, as "from>to". */
-  cut: Set<string>;
-  frozen: Set<string>;
-  lost: Set<string>;
-  next: number;
+  /** Directed links that deliver nothing, as "from>to". */
+  cutLinks: Set<string>;
+  frozenNodes: Set<string>;
+  wipedIds: Set<string>;
+  nextNumber: number;
   proposals: Map<number, { value: number; changesMembers: boolean }>;
   reads: Map<number, { confirmed: Values }>;
-  confirmed: Values;
-  refused: Values;
-  /** Who has ever held which version on its disk, by term and index. */
-  holders: Map<string, { version: Version; ids: string[] }>;
-  /** What a quorum has ever held, by order. */
-  chosen: Version[];
+  confirmedValues: Values;
+  refusedValues: Values;
+  /** The identities that have ever had a version on their disks, by term and index. */
+  acceptedBy: Map<string, { version: Version; ids: string[] }>;
+  /** The versions that a quorum has ever accepted, in order. */
+  chosenVersions: Version[];
   leaders: Map<number, string>;
-  problems: string[];
+  violations: string[];
   counts: { commits: number; reads: number; memberChanges: number; elections: number };
 };
 
+/** A step of the adversary or of the environment. `at` is the address of the node that it happens at. */
 export type Action =
   | { kind: 'deliver' | 'expire' | 'lose' | 'duplicate'; packet: number }
   | { kind: 'sync' | 'crash' | 'crash-after-sync' | 'restart' | 'wipe'; at: string }
@@ -63,7 +70,7 @@
   | { kind: 'cut' | 'heal'; link: string }
   | { kind: 'add' | 'remove' | 'swap'; at: string; member: Member; other?: Member };
 
-/** Different at each node and each time, and the same in each run. */
+/** A deterministic random source that differs by node and by time. */
 const randomOf =
   (node: Node) =>
   (limit: number): number => {
@@ -75,60 +82,61 @@
 const addressOf = (index: number): string => `127.0.0.${index + 1}:1`;
 
 const nodeAt = (model: Model, at: string): Node => model.nodes.find((node) => node.at === at)!;
-const problem = (model: Model, text: string): void => void model.problems.push(text);
+const addViolation = (model: Model, text: string): void => void model.violations.push(text);
 
-// --- what must hold
+// --- invariants
 
-const extend = (longer: Values, shorter: Values): boolean => shorter.every((value, i) => longer[i] === value);
+const hasPrefix = (values: Values, prefix: Values): boolean => prefix.every((value, i) => values[i] === value);
 
 const checkChosen = (model: Model, version: Version): void => {
-  const { chosen } = model;
-  if (chosen.some((one) => keyOf(one) === keyOf(version))) return;
-  const at = chosen.findIndex((one) => isNewer(one, version));
-  const place = at < 0 ? chosen.length : at;
-  const [before, after] = [chosen[place - 1], chosen[place]];
+  const { chosenVersions } = model;
+  if (chosenVersions.some((chosen) => keyOf(chosen) === keyOf(version))) return;
+  const newerPosition = chosenVersions.findIndex((chosen) => isNewer(chosen, version));
+  const position = newerPosition < 0 ? chosenVersions.length : newerPosition;
+  const [before, after] = [chosenVersions[position - 1], chosenVersions[position]];
   for (const [older, newer] of [
     [before, version],
     [version, after],
   ]) {
     if (!older || !newer) continue;
-    if (newer.index <= older.index || !extend(newer.state, older.state))
-      problem(model, `commits diverge: ${JSON.stringify(older)} and ${JSON.stringify(newer)}`);
+    if (newer.index <= older.index || !hasPrefix(newer.state, older.state))
+      addViolation(model, `commits diverge: ${JSON.stringify(older)} and ${JSON.stringify(newer)}`);
   }
-  chosen.splice(place, 0, version);
-  for (const value of model.refused)
-    if (version.state.includes(value)) problem(model, `value ${value} was refused and is there`);
+  chosenVersions.splice(position, 0, version);
+  for (const value of model.refusedValues)
+    if (version.state.includes(value)) addViolation(model, `value ${value} was refused but is in a chosen version`);
 };
 
-const noteHeld = (model: Model, id: string, version: Version): void => {
+const recordAccepted = (model: Model, id: string, version: Version): void => {
   const key = keyOf(version);
-  const held = model.holders.get(key) ?? { version, ids: [] };
-  if (JSON.stringify(held.version) !== JSON.stringify(version)) problem(model, `two versions ${key}`);
-  if (!held.ids.includes(id)) held.ids.push(id);
-  model.holders.set(key, held);
-  if (hasQuorum(version.members, held.ids)) checkChosen(model, version);
+  const accepted = model.acceptedBy.get(key) ?? { version, ids: [] };
+  if (JSON.stringify(accepted.version) !== JSON.stringify(version))
+    addViolation(model, `two different versions ${key}`);
+  if (!accepted.ids.includes(id)) accepted.ids.push(id);
+  model.acceptedBy.set(key, accepted);
+  if (hasQuorum(version.members, accepted.ids)) checkChosen(model, version);
 };
 
-/** A change of members goes out only from a version that a quorum holds, so that any two quorums meet. */
+/** A change of members may start only from a version that a quorum has accepted, so that any two quorums overlap. */
 const checkProposed = (model: Model, node: Node, version: Version): void => {
   const base = node.state?.accepted;
   if (node.state?.role !== 'leader' || !base) return;
   const changed = membersChanged(base.members, version.members);
-  if (changed > 1) problem(model, `${changed} members change at once: quorums may be disjoint`);
+  if (changed > 1) addViolation(model, `${changed} members change at once: quorums may be disjoint`);
   if (changed > 0) {
     model.counts.memberChanges += 1;
-    if (!model.chosen.some((one) => keyOf(one) === keyOf(base)) || base.term !== version.term)
-      problem(model, `members change in term ${version.term} before that term has a commit`);
+    if (!model.chosenVersions.some((chosen) => keyOf(chosen) === keyOf(base)) || base.term !== version.term)
+      addViolation(model, `members change in term ${version.term} before that term has a commit`);
   }
 };
 
 const onCommit = (model: Model, node: Node, version: Version): void => {
   model.counts.commits += 1;
-  if (!model.chosen.some((one) => keyOf(one) === keyOf(version)))
-    problem(model, `${node.id} takes ${keyOf(version)} as committed, which no quorum holds`);
+  if (!model.chosenVersions.some((chosen) => keyOf(chosen) === keyOf(version)))
+    addViolation(model, `${node.id} reports ${keyOf(version)} as committed, but no quorum has accepted it`);
   if (node.state?.role !== 'leader') return;
   const leader = model.leaders.get(version.term) ?? node.id;
-  if (leader !== node.id) problem(model, `${leader} and ${node.id} lead in term ${version.term}`);
+  if (leader !== node.id) addViolation(model, `${leader} and ${node.id} are both leaders in term ${version.term}`);
   model.leaders.set(version.term, leader);
 };
 
@@ -138,13 +146,13 @@
   model.proposals.delete(effect.proposal);
   if (proposal.changesMembers) return;
   if (effect.outcome.ok) {
-    model.confirmed.push(proposal.value);
-    if (!model.chosen.at(-1)?.state.includes(proposal.value))
-      problem(model, `value ${proposal.value} was confirmed and is not in the newest commit`);
+    model.confirmedValues.push(proposal.value);
+    if (!model.chosenVersions.at(-1)?.state.includes(proposal.value))
+      addViolation(model, `value ${proposal.value} was confirmed but is not in the newest commit`);
   } else if (effect.outcome.code === 'not-leader') {
-    model.refused.push(proposal.value);
-    if (model.chosen.some((one) => one.state.includes(proposal.value)))
-      problem(model, `value ${proposal.value} is there and was refused`);
+    model.refusedValues.push(proposal.value);
+    if (model.chosenVersions.some((chosen) => chosen.state.includes(proposal.value)))
+      addViolation(model, `value ${proposal.value} is in a chosen version but was refused`);
   }
 };
 
@@ -155,26 +163,26 @@
   model.counts.reads += 1;
   const { state } = effect.outcome.snapshot;
   const missing = read.confirmed.filter((value) => !state.includes(value));
-  if (missing.length) problem(model, `a read lacks ${missing.join()}, confirmed before its question`);
+  if (missing.length) addViolation(model, `a read lacks ${missing.join()}, confirmed before the read started`);
 };
 
-// --- carrying out effects
+// --- execution of effects
 
 const enqueue = (model: Model, node: Node, effect: Effect<Values> & { type: 'send' }): void => {
   if (effect.message.kind === 'vote') model.counts.elections += 1;
   model.packets.set(model.nextPacket++, {
     from: node.at,
-    life: node.lives,
+    senderIncarnation: node.incarnation,
     request: effect.request,
     to: effect.at,
     message: effect.message,
-    phase: 'asked',
+    phase: 'sent',
     expired: false,
     copies: 0,
   });
 };
 
-const carryOut = (model: Model, node: Node, effect: Effect<Values>): void => {
+const executeEffect = (model: Model, node: Node, effect: Effect<Values>): void => {
   switch (effect.type) {
     case 'send':
       return enqueue(model, node, effect);
@@ -184,7 +192,7 @@
       return;
     case 'reply': {
       const packet = model.packets.get(node.calls.get(effect.call) ?? -1);
-      if (packet) Object.assign(packet, { phase: 'answered', reply: effect.reply });
+      if (packet) Object.assign(packet, { phase: 'replied', reply: effect.reply });
       return;
     }
     case 'commit':
@@ -200,13 +208,13 @@
   }
 };
 
-const feed = (model: Model, node: Node, event: Event<Values>): void => {
+const handleEvent = (model: Model, node: Node, event: Event<Values>): void => {
   if (!node.up || !node.state) return;
   try {
     const effects = replica.step(node.state, event, node.clock, randomOf(node));
-    for (const effect of effects) carryOut(model, node, effect);
+    for (const effect of effects) executeEffect(model, node, effect);
   } catch (error) {
-    problem(model, `${node.id}: ${(error as Error).message}`);
+    addViolation(model, `${node.id}: ${(error as Error).message}`);
   }
 };
 
@@ -217,11 +225,11 @@
   if (write.document === 'term') node.disk.term = write.term;
   else {
     node.disk.accepted = write.snapshot;
-    noteHeld(model, node.id, write.snapshot);
+    recordAccepted(model, node.id, write.snapshot);
   }
 };
 
-const boot = (node: Node): void => {
+const startNode = (node: Node): void => {
   node.up = true;
   node.state = replica.create<Values>({
     id: node.id,
@@ -236,25 +244,25 @@
   });
 };
 
-const stop = (node: Node): void => {
+const stopNode = (node: Node): void => {
   node.up = false;
   node.state = undefined;
   node.write = undefined;
   node.timers = [];
   node.calls = new Map();
-  node.lives += 1;
+  node.incarnation += 1;
 };
 
 // --- actions
 
 const respond = (model: Model, packet: Packet, reply?: ReplyMessage<Values>): void => {
   const node = nodeAt(model, packet.from);
-  if (node.lives === packet.life && !packet.expired)
-    feed(model, node, { type: 'response', request: packet.request, reply });
+  if (node.incarnation === packet.senderIncarnation && !packet.expired)
+    handleEvent(model, node, { type: 'response', request: packet.request, reply });
 };
 
 const deliver = (model: Model, number: number, packet: Packet): void => {
-  if (packet.phase === 'answered') {
+  if (packet.phase === 'replied') {
     if (packet.copies > 0) packet.copies -= 1;
     else model.packets.delete(number);
     respond(model, packet, packet.reply);
@@ -263,17 +271,17 @@
   }
   const node = nodeAt(model, packet.to);
   if (packet.copies > 0) packet.copies -= 1;
-  else packet.phase = 'served';
+  else packet.phase = 'delivered';
   const call = node.nextCall++;
   node.calls.set(call, number);
-  feed(model, node, { type: 'request', call, from: packet.from, message: packet.message });
+  handleEvent(model, node, { type: 'request', call, from: packet.from, message: packet.message });
 };
 
 const propose = (model: Model, at: string, members?: (members: Member[]) => Member[]): void => {
-  const proposal = model.next++;
+  const proposal = model.nextNumber++;
   const value = proposal;
   model.proposals.set(proposal, { value, changesMembers: members !== undefined });
-  feed(model, nodeAt(model, at), {
+  handleEvent(model, nodeAt(model, at), {
     type: 'propose',
     proposal,
     change: (state, current) =>
@@ -294,12 +302,12 @@
 };
 
 const wipe = (model: Model, node: Node): void => {
-  model.lost.add(node.id);
-  stop(node);
+  model.wipedIds.add(node.id);
+  stopNode(node);
   node.id = `${node.id}'`;
   node.disk = { term: 0 };
-  // A machine is told of the founders at its first start only, unless the group is still to be formed.
-  if (model.chosen.length > 0) node.founders = [];
+  // A machine is configured with the founders only at its first start, or while the group is not formed yet.
+  if (model.chosenVersions.length > 0) node.founders = [];
 };
 
 const performNode = (model: Model, action: Action & { at: string }): void => {
@@ -307,99 +315,107 @@
   switch (action.kind) {
     case 'sync':
       writeToDisk(model, node);
-      return feed(model, node, { type: 'written' });
+      return handleEvent(model, node, { type: 'written' });
     case 'crash':
-      return stop(node);
+      return stopNode(node);
     case 'crash-after-sync':
       writeToDisk(model, node);
-      return stop(node);
+      return stopNode(node);
     case 'restart':
-      return boot(node);
+      return startNode(node);
     case 'wipe':
       return wipe(model, node);
     case 'disk-full':
       node.write = undefined;
-      return feed(model, node, { type: 'write-failed', unchanged: true });
+      return handleEvent(model, node, { type: 'write-failed', unchanged: true });
     case 'time-out':
       node.clock += 2 * defaultTiming.electionTimeout;
-      return feed(model, node, { type: 'tick' });
+      return handleEvent(model, node, { type: 'tick' });
     case 'heartbeat':
       node.clock += 1;
-      return feed(model, node, { type: 'heartbeat-due' });
+      return handleEvent(model, node, { type: 'heartbeat-due' });
     case 'timer': {
       const event = node.timers.shift();
-      return event && feed(model, node, event);
+      return event && handleEvent(model, node, event);
     }
     case 'propose':
       return propose(model, action.at);
     case 'read': {
-      const read = model.next++;
-      model.reads.set(read, { confirmed: [...model.confirmed] });
-      return feed(model, node, { type: 'read', read });
+      const read = model.nextNumber++;
+      model.reads.set(read, { confirmed: [...model.confirmedValues] });
+      return handleEvent(model, node, { type: 'read', read });
     }
     case 'freeze':
-      return void model.frozen.add(action.at);
+      return void model.frozenNodes.add(action.at);
     case 'thaw':
-      return void model.frozen.delete(action.at);
+      return void model.frozenNodes.delete(action.at);
     case 'add':
       return propose(model, action.at, (members) => [...members, action.member]);
     case 'remove':
-      return propose(model, action.at, (members) => members.filter((one) => one.id !== action.member.id));
+      return propose(model, action.at, (members) => members.filter((member) => member.id !== action.member.id));
     case 'swap':
       return propose(model, action.at, (members) => [
-        ...members.filter((one) => one.id !== action.other?.id),
+        ...members.filter((member) => member.id !== action.other?.id),
         action.member,
       ]);
     default:
   }
 };
 
+/** Performs one action on the model and checks the invariants. */
 export const perform = (model: Model, action: Action): void => {
   if ('packet' in action) performPacket(model, action);
   else if ('link' in action) {
-    if (action.kind === 'cut') model.cut.add(action.link);
-    else model.cut.delete(action.link);
+    if (action.kind === 'cut') model.cutLinks.add(action.link);
+    else model.cutLinks.delete(action.link);
   } else performNode(model, action);
 };
 
-// --- what the adversary may do
+// --- possible actions
 
-/** The members of every version that may still be committed. */
-const openConfigurations = (model: Model): Member[][] => {
-  const newest = model.chosen.at(-1);
+/** The member lists of the newest chosen version and of every version that may still be committed. */
+const possibleConfigurations = (model: Model): Member[][] => {
+  const newest = model.chosenVersions.at(-1);
   const versions = model.nodes.flatMap((node) => [
     node.disk.accepted,
     node.write?.document === 'snapshot' ? node.write.snapshot : undefined,
   ]);
   for (const packet of model.packets.values())
     if (packet.message.kind === 'append') versions.push(packet.message.snapshot);
-  const open = versions.filter((version) => version && (!newest || !isNewer(newest, version)));
-  return [...(newest ? [newest.members] : []), ...open.map((version) => version!.members)];
+  const possible = versions.filter((version) => version && (!newest || !isNewer(newest, version)));
+  return [...(newest ? [newest.members] : []), ...possible.map((version) => version!.members)];
 };
-const changeIsOpen = (model: Model): boolean => [...model.proposals.values()].some((one) => one.changesMembers);
+const isMemberChangePending = (model: Model): boolean =>
+  [...model.proposals.values()].some((proposal) => proposal.changesMembers);
 
-const survives = (model: Model, members: Member[], without?: string): boolean => {
-  const intact = members.filter((member) => !model.lost.has(member.id) && member.id !== without);
+const keepsQuorum = (model: Model, members: Member[], without?: string): boolean => {
+  const intact = members.filter((member) => !model.wipedIds.has(member.id) && member.id !== without);
   return hasQuorum(
     members,
     intact.map((member) => member.id),
   );
 };
-/** A loss is within what the group tolerates when every configuration that may count keeps a quorum. */
-export const mayLose = (model: Model, id: string): boolean =>
-  !changeIsOpen(model) && openConfigurations(model).every((members) => survives(model, members, id));
-
-const reachable = (model: Model, packet: Packet): boolean => {
-  const [from, to] = packet.phase === 'answered' ? [packet.to, packet.from] : [packet.from, packet.to];
-  return packet.phase !== 'served' && nodeAt(model, to).up && !model.frozen.has(to) && !model.cut.has(`${from}>${to}`);
+/** Whether the group tolerates the loss of a node's disk: every configuration that may be in force keeps a quorum. */
+export const isTolerableLoss = (model: Model, id: string): boolean =>
+  !isMemberChangePending(model) && possibleConfigurations(model).every((members) => keepsQuorum(model, members, id));
+
+const isDeliverable = (model: Model, packet: Packet): boolean => {
+  const [from, to] = packet.phase === 'replied' ? [packet.to, packet.from] : [packet.from, packet.to];
+  return (
+    packet.phase !== 'delivered' &&
+    nodeAt(model, to).up &&
+    !model.frozenNodes.has(to) &&
+    !model.cutLinks.has(`${from}>${to}`)
+  );
 };
 
+/** The possible actions on the packets under way. */
 export const packetActions = (model: Model): Action[] => {
   const actions: Action[] = [];
   for (const [number, packet] of model.packets) {
-    if (reachable(model, packet)) actions.push({ kind: 'deliver', packet: number });
-    if (reachable(model, packet) && packet.copies === 0) actions.push({ kind: 'duplicate', packet: number });
-    if (!packet.expired && !model.frozen.has(packet.from)) actions.push({ kind: 'expire', packet: number });
+    if (isDeliverable(model, packet)) actions.push({ kind: 'deliver', packet: number });
+    if (isDeliverable(model, packet) && packet.copies === 0) actions.push({ kind: 'duplicate', packet: number });
+    if (!packet.expired && !model.frozenNodes.has(packet.from)) actions.push({ kind: 'expire', packet: number });
     actions.push({ kind: 'lose', packet: number });
   }
   return actions;
@@ -408,31 +424,32 @@
 const memberActions = (model: Model, node: Node): Action[] => {
   const { state } = node;
   const members = state?.accepted?.members;
-  if (state?.role !== 'leader' || !members || changeIsOpen(model)) return [];
+  if (state?.role !== 'leader' || !members || isMemberChangePending(model)) return [];
   const actions: Action[] = [];
   for (const spare of model.nodes) {
     if (members.some((member) => member.id === spare.id) || spare.disk.accepted) continue;
     const member = { id: spare.id, at: spare.at };
-    if (survives(model, [...members, member])) actions.push({ kind: 'add', at: node.at, member });
-    const other = members.find((one) => one.id !== node.id);
+    if (keepsQuorum(model, [...members, member])) actions.push({ kind: 'add', at: node.at, member });
+    const other = members.find((member) => member.id !== node.id);
     if (other) actions.push({ kind: 'swap', at: node.at, member, other });
   }
   for (const member of members)
     if (
       members.length > 2 &&
-      survives(
+      keepsQuorum(
         model,
-        members.filter((one) => one !== member),
+        members.filter((remaining) => remaining !== member),
       )
     )
       actions.push({ kind: 'remove', at: node.at, member });
   return actions;
 };
 
+/** The possible actions at a node. */
 export const nodeActions = (model: Model, node: Node): Action[] => {
   const { at } = node;
   if (!node.up) return [{ kind: 'restart', at }];
-  if (model.frozen.has(at)) return [{ kind: 'thaw', at }];
+  if (model.frozenNodes.has(at)) return [{ kind: 'thaw', at }];
   const actions: Action[] = [
     { kind: 'time-out', at },
     { kind: 'crash', at },
@@ -442,16 +459,16 @@
   if (node.timers.length) actions.push({ kind: 'timer', at });
   if (node.state?.role === 'leader')
     actions.push({ kind: 'propose', at }, { kind: 'read', at }, { kind: 'heartbeat', at });
-  if (mayLose(model, node.id)) actions.push({ kind: 'wipe', at });
+  if (isTolerableLoss(model, node.id)) actions.push({ kind: 'wipe', at });
   return [...actions, ...memberActions(model, node)];
 };
 
 // --- runs
 
-const blank = (at: string, id: string, founders: string[]): Node => ({
+const newNode = (at: string, id: string, founders: string[]): Node => ({
   id,
   at,
-  lives: 1,
+  incarnation: 1,
   up: false,
   clock: 0,
   disk: { term: 0 },
@@ -461,105 +478,111 @@
   founders,
 });
 
-export const create = (members: number, spares: number): Model => {
+/** Starts a group of founders and some spare nodes that belong to no group. */
+export const createModel = (members: number, spares: number): Model => {
   const founders = Array.from({ length: members }, (_, i) => addressOf(i));
   const nodes = Array.from({ length: members + spares }, (_, i) =>
-    blank(addressOf(i), `n${i + 1}`, i < members ? founders : []),
+    newNode(addressOf(i), `n${i + 1}`, i < members ? founders : []),
   );
-  for (const node of nodes) boot(node);
+  for (const node of nodes) startNode(node);
   return {
     nodes,
     packets: new Map(),
     nextPacket: 1,
-    cut: new Set(),
-    frozen: new Set(),
-    lost: new Set(),
-    next: 1,
+    cutLinks: new Set(),
+    frozenNodes: new Set(),
+    wipedIds: new Set(),
+    nextNumber: 1,
     proposals: new Map(),
     reads: new Map(),
-    confirmed: [],
-    refused: [],
-    holders: new Map(),
-    chosen: [],
+    confirmedValues: [],
+    refusedValues: [],
+    acceptedBy: new Map(),
+    chosenVersions: [],
     leaders: new Map(),
-    problems: [],
+    violations: [],
     counts: { commits: 0, reads: 0, memberChanges: 0, elections: 0 },
   };
 };
 
-/** All troubles end; then everything works for so many ticks. */
-export const settle = (model: Model, ticks: number): void => {
-  model.cut.clear();
-  model.frozen.clear();
+/** Ends all failures, synchronizes the clocks and restarts stopped nodes; then runs a number of ticks. */
+export const healAndRun = (model: Model, ticks: number): void => {
+  model.cutLinks.clear();
+  model.frozenNodes.clear();
   const now = Math.max(...model.nodes.map((node) => node.clock));
   for (const node of model.nodes) {
     node.clock = now;
-    if (!node.up) boot(node);
+    if (!node.up) startNode(node);
   }
-  run(model, ticks);
+  runTicks(model, ticks);
 };
 
-/** So many ticks of 50 ms: packets arrive or, across a cut, are lost; writes are synced. */
-export const run = (model: Model, ticks: number): void => {
+/** Runs a number of ticks of 50 ms: packets are delivered or, across a cut link, lost; writes are synced. */
+export const runTicks = (model: Model, ticks: number): void => {
   for (let tick = 0; tick < ticks; tick++) {
     for (const node of model.nodes) {
       node.clock += 50_000;
-      feed(model, node, { type: 'tick' });
-      if (tick % 2) feed(model, node, { type: 'heartbeat-due' });
+      handleEvent(model, node, { type: 'tick' });
+      if (tick % 2) handleEvent(model, node, { type: 'heartbeat-due' });
     }
-    drain(model);
+    runUntilIdle(model);
   }
 };
 
 const roundsUntilLost = 5;
-/** Until nothing is under way. */
-export const drain = (model: Model): void => {
+/** Delivers packets, syncs writes and fires timers until none is pending, for 60 rounds at most. */
+export const runUntilIdle = (model: Model): void => {
   for (let rounds = 0; rounds < 60; rounds++) {
     for (const node of model.nodes) {
       if (node.write) perform(model, { kind: 'sync', at: node.at });
       if (node.timers.length && rounds < 20) perform(model, { kind: 'timer', at: node.at });
     }
-    for (const [packet, one] of [...model.packets]) {
-      if (reachable(model, one)) perform(model, { kind: 'deliver', packet });
-      else if (rounds > roundsUntilLost) perform(model, { kind: 'lose', packet });
+    for (const [number, packet] of [...model.packets]) {
+      if (isDeliverable(model, packet)) perform(model, { kind: 'deliver', packet: number });
+      else if (rounds > roundsUntilLost) perform(model, { kind: 'lose', packet: number });
     }
     if (model.packets.size === 0 && model.nodes.every((node) => !node.write)) return;
   }
 };
 
-/** Cuts or heals all links between two sets of nodes. */
-export const separate = (model: Model, some: string[], others: string[], kind: 'cut' | 'heal' = 'cut'): void => {
-  for (const a of some)
-    for (const b of others) for (const link of [`${a}>${b}`, `${b}>${a}`]) perform(model, { kind, link });
+/** Cuts or heals all links between two sets of nodes, in both directions. */
+export const setLinksBetween = (model: Model, left: string[], right: string[], kind: 'cut' | 'heal' = 'cut'): void => {
+  for (const a of left)
+    for (const b of right) for (const link of [`${a}>${b}`, `${b}>${a}`]) perform(model, { kind, link });
 };
 
+/** The running leader of the highest term, if any. */
 export const leaderOf = (model: Model): Node | undefined =>
   model.nodes
-    .filter((node) => node.up && node.state?.role === 'leader' && !model.frozen.has(node.at))
+    .filter((node) => node.up && node.state?.role === 'leader' && !model.frozenNodes.has(node.at))
     .sort((a, b) => b.state!.term - a.state!.term)[0];
 
-/** After the troubles the group must take a change and read it back: no tolerated step leaves it without a quorum. */
+/**
+ * Checks that the group commits a change and reads it back after all failures have ended: no sequence of tolerated
+ * actions may leave it without a quorum.
+ */
 export const checkRecovers = (model: Model): void => {
-  settle(model, 120);
+  healAndRun(model, 120);
   const leader = leaderOf(model);
-  if (!leader) return problem(model, 'no leader six seconds after the last trouble');
+  if (!leader) return addViolation(model, 'no leader six seconds after the last failure');
   perform(model, { kind: 'propose', at: leader.at });
-  drain(model);
-  const value = model.next - 1;
-  if (!model.confirmed.includes(value)) problem(model, 'nothing is confirmed after the last trouble');
+  runUntilIdle(model);
+  const value = model.nextNumber - 1;
+  if (!model.confirmedValues.includes(value))
+    addViolation(model, 'a proposal after the last failure was not confirmed');
   const { reads } = model.counts;
   perform(model, { kind: 'read', at: leader.at });
-  drain(model);
-  if (model.counts.reads === reads) problem(model, 'nothing is read after the last trouble');
+  runUntilIdle(model);
+  if (model.counts.reads === reads) addViolation(model, 'a read after the last failure did not succeed');
 };
 
-/** A copy that shares nothing that changes; versions and functions are shared. */
-export const clone = (model: Model): Model => copy(model) as Model;
+/** A deep copy. Versions and functions are shared, since they are immutable. */
+export const cloneModel = (model: Model): Model => copyValue(model) as Model;
 const isVersion = (value: object): boolean => 'term' in value && 'index' in value && 'members' in value;
-const copy = (value: unknown): unknown => {
+const copyValue = (value: unknown): unknown => {
   if (typeof value !== 'object' || value === null || isVersion(value)) return value;
-  if (Array.isArray(value)) return value.map(copy);
-  if (value instanceof Map) return new Map([...value].map(([key, one]) => [key, copy(one)]));
+  if (Array.isArray(value)) return value.map(copyValue);
+  if (value instanceof Map) return new Map([...value].map(([key, entry]) => [key, copyValue(entry)]));
   if (value instanceof Set) return new Set(value);
-  return Object.fromEntries(Object.entries(value).map(([key, one]) => [key, copy(one)]));
+  return Object.fromEntries(Object.entries(value).map(([key, entry]) => [key, copyValue(entry)]));
 };
