--- a/packages/consensus/test/repair-model.test.ts
+++ b/packages/consensus/test/repair-model.test.ts
@@ -1,206 +1,254 @@
-// Every order of events in small groups (§3.3, §6.5): members lost with and without their disks, returns, replacements
-// at another address, one that is retired, spares, leaders lost; against the decisions of repair. In each state that is
-// reached there is a quorum, and an acknowledged record is met by every majority that can answer.
+// Explores every order of events in small groups against the repair decision (§3.3, §6.5): members lost with and
+// without their disks, returns, replacements at another address, a retirement, spares, and leader changes. In each
+// reachable state there must be a quorum, and every majority of members that are up must include the acknowledged
+// record.
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { repair, type Condition, type ReplicaGroup, type RepairStep } from '@thornsail/consensus';
 
 /**
- * `void`: down, and its disk is lost; `dead`: replaced at another address; `gone`: another identity is at its address.
- * `off` and `void` become overdue (`late`) with time, and a new leader counts anew.
+ * `down`: down with its disk intact; `wiped`: down, and its disk is lost; `moved`: its machine runs a new identity at
+ * another address; `replaced`: another identity has its address. `down` and `wiped` become `overdue` with time; each
+ * new leader counts from the beginning.
  */
-type State = 'up' | 'off' | 'void' | 'dead' | 'gone';
+type State = 'up' | 'down' | 'wiped' | 'moved' | 'replaced';
 type Identity = {
   state: State;
-  late: boolean;
-  holds: boolean;
+  overdue: boolean;
+  hasRecord: boolean;
   member: boolean;
   draining: boolean;
-  /** Whether its machine counts as lost: while it is down, and from its return until repair has nothing to do. */
+  /** Whether its machine counts as lost: while it is down, and from its return until no repair is due. */
   lost: 'no' | 'down' | 'back';
 };
-type World = { all: Identity[]; settled: boolean; written: boolean; losses: number; retired: boolean };
+type Model = { identities: Identity[]; settled: boolean; written: boolean; losses: number; retired: boolean };
 type Kind = 'stores' | 'coordinators';
-type Case = { kind: Kind; size: number; tolerates: number; spares: number; losses: number };
+type Setup = { kind: Kind; size: number; tolerates: number; spares: number; losses: number };
 
 const majority = (n: number): number => Math.floor(n / 2) + 1;
-const fresh = (over: Partial<Identity> = {}): Identity => ({
+const newIdentity = (overrides: Partial<Identity> = {}): Identity => ({
   state: 'up',
-  late: false,
-  holds: false,
+  overdue: false,
+  hasRecord: false,
   member: false,
   draining: false,
   lost: 'no',
-  ...over,
+  ...overrides,
 });
-const members = (w: World): Identity[] => w.all.filter((x) => x.member);
-const upMembers = (w: World): Identity[] => members(w).filter((x) => x.state === 'up');
-const conditionOf = (x: Identity): Condition => {
-  if (x.state === 'up') return x.draining ? 'leaving' : 'serving';
-  if (x.state === 'gone') return 'gone';
-  return x.state === 'dead' || x.late ? 'overdue' : 'silent';
+const members = (model: Model): Identity[] => model.identities.filter((identity) => identity.member);
+const upMembers = (model: Model): Identity[] => members(model).filter((identity) => identity.state === 'up');
+const conditionOf = (identity: Identity): Condition => {
+  if (identity.state === 'up') return identity.draining ? 'leaving' : 'serving';
+  if (identity.state === 'replaced') return 'replaced';
+  return identity.state === 'moved' || identity.overdue ? 'overdue' : 'silent';
 };
-const changed = (w: World, at: number, over: Partial<Identity>): World => ({
-  ...w,
-  all: w.all.map((x, i) => (i === at ? { ...x, ...over } : x)),
+/** The model with a change of the identity at an index. */
+const withChange = (model: Model, index: number, change: Partial<Identity>): Model => ({
+  ...model,
+  identities: model.identities.map((identity, i) => (i === index ? { ...identity, ...change } : identity)),
 });
-/** All ways to choose so many of a list. */
-const choose = <T>(list: T[], count: number): T[][] => {
+/** All combinations of `count` elements of a list. */
+const combinations = <T>(list: T[], count: number): T[][] => {
   if (count <= 0) return [[]];
-  return list.flatMap((x, i) => choose(list.slice(i + 1), count - 1).map((rest) => [x, ...rest]));
+  return list.flatMap((first, i) => combinations(list.slice(i + 1), count - 1).map((rest) => [first, ...rest]));
 };
 
-/** The steps that repair may take, whichever of several equal members or spares it finds first. */
-const stepsOf = (c: Case, w: World): RepairStep[] => {
-  const indexes = w.all.map((_, i) => i);
-  const inGroup = indexes.filter((i) => w.all[i]!.member);
-  const spares = indexes.filter((i) => !w.all[i]!.member && w.all[i]!.state === 'up' && !w.all[i]!.draining);
-  const out = new Map<string, RepairStep>();
+/** The possible repair steps, with the members and spares in each order, so that any of several equal ones is first. */
+const stepsOf = (setup: Setup, model: Model): RepairStep[] => {
+  const indexes = model.identities.map((_, i) => i);
+  const inGroup = indexes.filter((i) => model.identities[i]!.member);
+  const spares = indexes.filter(
+    (i) => !model.identities[i]!.member && model.identities[i]!.state === 'up' && !model.identities[i]!.draining,
+  );
+  const steps = new Map<string, RepairStep>();
   for (const first of [...inGroup, -1])
     for (const spare of spares.length ? spares : [-1]) {
       const order = [first, ...inGroup.filter((i) => i !== first)].filter((i) => i >= 0);
       const group: ReplicaGroup = {
-        members: order.map((i) => ({ id: String(i), condition: conditionOf(w.all[i]!) })),
+        members: order.map((i) => ({ id: String(i), condition: conditionOf(model.identities[i]!) })),
         spares: [spare, ...spares.filter((i) => i !== spare)].filter((i) => i >= 0).map(String),
-        size: c.size,
-        settled: w.settled,
+        size: setup.size,
+        settled: model.settled,
       };
       const step = repair.next(group);
-      if (step) out.set(`${step.change} ${step.id}`, step);
+      if (step) steps.set(`${step.change} ${step.id}`, step);
     }
-  return [...out.values()];
+  return [...steps.values()];
 };
-/** Everything decided is brought onto a majority of the members that answer: every smallest way to do so. */
-const sweeps = (w: World): World[] => {
-  const need = majority(members(w).length);
-  const up = w.all.map((x, i) => ({ x, i })).filter(({ x }) => x.member && x.state === 'up');
-  if (up.length < need) return [];
-  if (!w.written) return [{ ...w, settled: true }];
-  const holding = up.filter(({ x }) => x.holds).length;
-  const lacking = up.filter(({ x }) => !x.holds);
-  return choose(lacking, need - holding).map((chosen) => ({
-    ...w,
+/** Copies everything decided to a majority of the members that are up, in each way that needs the fewest copies. */
+const sweeps = (model: Model): Model[] => {
+  const quorum = majority(members(model).length);
+  const up = model.identities
+    .map((identity, i) => ({ identity, i }))
+    .filter(({ identity }) => identity.member && identity.state === 'up');
+  if (up.length < quorum) return [];
+  if (!model.written) return [{ ...model, settled: true }];
+  const holding = up.filter(({ identity }) => identity.hasRecord).length;
+  const lacking = up.filter(({ identity }) => !identity.hasRecord);
+  return combinations(lacking, quorum - holding).map((chosen) => ({
+    ...model,
     settled: true,
-    all: w.all.map((x, i) => (chosen.some((y) => y.i === i) ? { ...x, holds: true } : x)),
+    identities: model.identities.map((identity, i) =>
+      chosen.some((copy) => copy.i === i) ? { ...identity, hasRecord: true } : identity,
+    ),
   }));
 };
-const applied = (c: Case, w: World, step: RepairStep): World[] => {
-  const at = Number(step.id);
-  const over = { member: step.change === 'add', holds: step.change === 'add' ? false : w.all[at]!.holds };
-  const next = { ...changed(w, at, over), settled: false };
-  // A version of the coordinators' state holds all before it, and is done once a majority of the new members has it.
-  return c.kind === 'coordinators' ? sweeps(next) : [next];
+const applied = (setup: Setup, model: Model, step: RepairStep): Model[] => {
+  const index = Number(step.id);
+  const change = {
+    member: step.change === 'add',
+    hasRecord: step.change === 'add' ? false : model.identities[index]!.hasRecord,
+  };
+  const next = { ...withChange(model, index, change), settled: false };
+  // A version of the coordinators' state contains all earlier ones, so a change is complete as soon as a majority of
+  // the new members has its version.
+  return setup.kind === 'coordinators' ? sweeps(next) : [next];
 };
-const writes = (w: World): World[] => {
-  if (w.written) return [];
-  const up = w.all.map((x, i) => ({ x, i })).filter(({ x }) => x.member && x.state === 'up');
-  return choose(up, majority(members(w).length))
+/** The acknowledged record is written once, to any majority of members that are up. */
+const writes = (model: Model): Model[] => {
+  if (model.written) return [];
+  const up = model.identities
+    .map((identity, i) => ({ identity, i }))
+    .filter(({ identity }) => identity.member && identity.state === 'up');
+  return combinations(up, majority(members(model).length))
     .filter((chosen) => chosen.length > 0)
     .map((chosen) => ({
-      ...w,
+      ...model,
       written: true,
-      all: w.all.map((x, i) => (chosen.some((y) => y.i === i) ? { ...x, holds: true } : x)),
+      identities: model.identities.map((identity, i) =>
+        chosen.some((copy) => copy.i === i) ? { ...identity, hasRecord: true } : identity,
+      ),
     }));
 };
-const losses = (c: Case, w: World): World[] => {
-  const lost = w.all.filter((x) => x.lost !== 'no').length;
-  if (lost >= c.tolerates || w.losses >= c.losses) return [];
-  return w.all.flatMap((x, i) =>
-    x.state !== 'up'
+const losses = (setup: Setup, model: Model): Model[] => {
+  const lost = model.identities.filter((identity) => identity.lost !== 'no').length;
+  if (lost >= setup.tolerates || model.losses >= setup.losses) return [];
+  return model.identities.flatMap((identity, i) =>
+    identity.state !== 'up'
       ? []
-      : (['off', 'void'] as const).map((state) => ({
-          ...changed(w, i, { state, lost: 'down', holds: state === 'off' && x.holds }),
-          losses: w.losses + 1,
+      : (['down', 'wiped'] as const).map((state) => ({
+          ...withChange(model, i, { state, lost: 'down', hasRecord: state === 'down' && identity.hasRecord }),
+          losses: model.losses + 1,
         })),
   );
 };
-const returns = (w: World): World[] =>
-  w.all.flatMap((x, i): World[] => {
-    if (x.state !== 'off' && x.state !== 'void') return [];
-    const newcomer = fresh({ lost: 'back' });
-    const without = (state: State): World => {
-      const next = changed(w, i, { state, late: false, lost: 'no', holds: false });
-      return { ...next, all: [...next.all, newcomer] };
+const returns = (model: Model): Model[] =>
+  model.identities.flatMap((identity, i): Model[] => {
+    if (identity.state !== 'down' && identity.state !== 'wiped') return [];
+    const successor = newIdentity({ lost: 'back' });
+    const withSuccessor = (state: State): Model => {
+      const next = withChange(model, i, { state, overdue: false, lost: 'no', hasRecord: false });
+      return { ...next, identities: [...next.identities, successor] };
     };
-    const elsewhere = without('dead');
-    if (x.state === 'void') return [without('gone'), elsewhere];
-    // One that was taken out meanwhile begins empty.
-    return [changed(w, i, { state: 'up', late: false, lost: 'back', holds: x.holds && x.member }), elsewhere];
+    const moved = withSuccessor('moved');
+    if (identity.state === 'wiped') return [withSuccessor('replaced'), moved];
+    // A member that was removed meanwhile returns without the record.
+    return [
+      withChange(model, i, {
+        state: 'up',
+        overdue: false,
+        lost: 'back',
+        hasRecord: identity.hasRecord && identity.member,
+      }),
+      moved,
+    ];
   });
-const times = (w: World): World[] => [
-  ...w.all.flatMap((x, i) =>
-    (x.state === 'off' || x.state === 'void') && !x.late ? [changed(w, i, { late: true })] : [],
+const delays = (model: Model): Model[] => [
+  ...model.identities.flatMap((identity, i) =>
+    (identity.state === 'down' || identity.state === 'wiped') && !identity.overdue
+      ? [withChange(model, i, { overdue: true })]
+      : [],
   ),
-  // A new leader counts anew.
-  ...(w.all.some((x) => x.late) ? [{ ...w, all: w.all.map((x) => ({ ...x, late: false })) }] : []),
+  // A new leader counts from the beginning.
+  ...(model.identities.some((identity) => identity.overdue)
+    ? [{ ...model, identities: model.identities.map((identity) => ({ ...identity, overdue: false })) }]
+    : []),
 ];
-const retirements = (c: Case, w: World): World[] => {
-  const asked = w.all.flatMap((x, i) => {
-    const staying = w.all.filter((y) => y !== x && y.state === 'up' && !y.draining).length;
-    const may = !w.retired && x.state === 'up' && x.member && staying >= 2 * c.tolerates + 1;
-    return may && c.kind === 'stores' ? [{ ...changed(w, i, { draining: true }), retired: true }] : [];
+const retirements = (setup: Setup, model: Model): Model[] => {
+  const started = model.identities.flatMap((identity, i) => {
+    const remaining = model.identities.filter(
+      (other) => other !== identity && other.state === 'up' && !other.draining,
+    ).length;
+    const isAllowed =
+      !model.retired && identity.state === 'up' && identity.member && remaining >= 2 * setup.tolerates + 1;
+    return isAllowed && setup.kind === 'stores' ? [{ ...withChange(model, i, { draining: true }), retired: true }] : [];
   });
-  // Told to be complete: its disk may go, and nobody counts that as a loss.
-  const whole = w.settled && stepsOf(c, w).length === 0;
-  const done = w.all.flatMap((x, i) =>
-    x.draining && !x.member && whole && x.state === 'up' ? [{ ...w, all: w.all.filter((_, j) => j !== i) }] : [],
+  // Once a drain is reported as complete, the machine's disk may be removed, which does not count as a loss.
+  const isRepaired = model.settled && stepsOf(setup, model).length === 0;
+  const completed = model.identities.flatMap((identity, i) =>
+    identity.draining && !identity.member && isRepaired && identity.state === 'up'
+      ? [{ ...model, identities: model.identities.filter((_, j) => j !== i) }]
+      : [],
   );
-  return [...asked, ...done];
+  return [...started, ...completed];
 };
-const events = (c: Case, w: World): World[] => {
-  const steps = stepsOf(c, w);
-  const quiet = w.settled && steps.length === 0;
-  const back = w.all.some((x) => x.lost === 'back');
+const successors = (setup: Setup, model: Model): Model[] => {
+  const steps = stepsOf(setup, model);
+  const isRepaired = model.settled && steps.length === 0;
+  const hasReturned = model.identities.some((identity) => identity.lost === 'back');
   return [
-    ...steps.flatMap((s) => applied(c, w, s)),
-    ...(w.settled ? [] : sweeps(w)),
-    ...writes(w),
-    ...losses(c, w),
-    ...returns(w),
-    ...times(w),
-    ...retirements(c, w),
-    ...(quiet && back
-      ? [{ ...w, all: w.all.map((x) => (x.lost === 'back' ? { ...x, lost: 'no' as const } : x)) }]
+    ...steps.flatMap((step) => applied(setup, model, step)),
+    ...(model.settled ? [] : sweeps(model)),
+    ...writes(model),
+    ...losses(setup, model),
+    ...returns(model),
+    ...delays(model),
+    ...retirements(setup, model),
+    ...(isRepaired && hasReturned
+      ? [
+          {
+            ...model,
+            identities: model.identities.map((identity) =>
+              identity.lost === 'back' ? { ...identity, lost: 'no' as const } : identity,
+            ),
+          },
+        ]
       : []),
   ];
 };
-/** What is wrong with a state, if anything. */
-const fault = (c: Case, w: World): string | undefined => {
-  const need = majority(members(w).length);
-  const up = upMembers(w);
-  if (up.length < need) return 'no quorum';
-  if (w.written && up.filter((x) => !x.holds).length >= need) return 'a majority without the acknowledged record';
-  const allBack = w.all.every((x) => x.state === 'up' || x.state === 'gone' || x.state === 'dead');
-  if (!allBack || !w.settled || stepsOf(c, w).length > 0) return undefined;
-  const able = w.all.filter((x) => x.state === 'up' && !x.draining).length;
-  const serving = up.filter((x) => !x.draining).length;
-  if (serving < Math.min(c.size, able)) return 'repair ended with a group that is not full';
-  return up.length < members(w).length ? 'repair ended with a lost member in the group' : undefined;
+/** The invariant that a state violates, if any. */
+const violationOf = (setup: Setup, model: Model): string | undefined => {
+  const quorum = majority(members(model).length);
+  const up = upMembers(model);
+  if (up.length < quorum) return 'no quorum';
+  if (model.written && up.filter((identity) => !identity.hasRecord).length >= quorum)
+    return 'a majority without the acknowledged record';
+  const allBack = model.identities.every(
+    (identity) => identity.state === 'up' || identity.state === 'replaced' || identity.state === 'moved',
+  );
+  if (!allBack || !model.settled || stepsOf(setup, model).length > 0) return undefined;
+  const available = model.identities.filter((identity) => identity.state === 'up' && !identity.draining).length;
+  const serving = up.filter((identity) => !identity.draining).length;
+  if (serving < Math.min(setup.size, available)) return 'repair ended with a group below its intended size';
+  return up.length < members(model).length ? 'repair ended with a lost member in the group' : undefined;
 };
-/** Majorities of a group and of the next one have a member in common, whichever they are. */
+/** Whether each majority of one group has a member in common with each majority of the other. */
 const overlaps = (a: Set<number>, b: Set<number>): boolean =>
   majority(a.size) + majority(b.size) > new Set([...a, ...b]).size;
-const keyOf = (w: World): string => {
-  const one = (x: Identity): string =>
-    `${x.state}${Number(x.late)}${Number(x.holds)}${Number(x.member)}${Number(x.draining)}${x.lost}`;
-  // What is neither up nor a member has no part in anything any more.
-  const all = w.all.filter((x) => x.member || (x.state !== 'gone' && x.state !== 'dead'));
-  return `${all.map(one).sort().join()}|${w.settled}${w.written}${w.losses}${w.retired}`;
+const keyOf = (model: Model): string => {
+  const identityKey = ({ state, overdue, hasRecord, member, draining, lost }: Identity): string =>
+    `${state}${Number(overdue)}${Number(hasRecord)}${Number(member)}${Number(draining)}${lost}`;
+  // A replaced or moved identity that is no member has no effect any more.
+  const relevant = model.identities.filter(
+    (identity) => identity.member || (identity.state !== 'replaced' && identity.state !== 'moved'),
+  );
+  return `${relevant.map(identityKey).sort().join()}|${model.settled}${model.written}${model.losses}${model.retired}`;
 };
-const textOf = (w: World): string => {
-  const one = (x: Identity): string =>
+const textOf = (model: Model): string => {
+  const identityText = (identity: Identity): string =>
     [
-      x.state,
-      ...(['late', 'holds', 'member', 'draining'] as const).filter((name) => x[name]),
-      ...(x.lost === 'no' ? [] : [x.lost]),
+      identity.state,
+      ...(['overdue', 'hasRecord', 'member', 'draining'] as const).filter((name) => identity[name]),
+      ...(identity.lost === 'no' ? [] : [identity.lost]),
     ].join(' ');
-  return `[${w.all.map(one).join(', ')}]${w.settled ? '' : ' unsettled'}`;
+  return `[${model.identities.map(identityText).join(', ')}]${model.settled ? '' : ' unsettled'}`;
 };
-const walk = (c: Case): { states: number; faults: string[] } => {
-  const first: World = {
-    all: [
-      ...Array.from({ length: c.size }, () => fresh({ member: true })),
-      ...Array.from({ length: c.spares }, () => fresh()),
+/** Explores all reachable states; returns their number and one path to each kind of violation. */
+const explore = (setup: Setup): { states: number; violations: string[] } => {
+  const first: Model = {
+    identities: [
+      ...Array.from({ length: setup.size }, () => newIdentity({ member: true })),
+      ...Array.from({ length: setup.spares }, () => newIdentity()),
     ],
     settled: true,
     written: false,
@@ -208,33 +256,33 @@
     retired: false,
   };
   const seen = new Set([keyOf(first)]);
-  const open = [first];
-  const faults = new Map<string, string>();
-  const before = new Map<World, World>();
-  const path = (w: World): string => {
-    const all: string[] = [];
-    for (let x: World | undefined = w; x; x = before.get(x)) all.unshift(textOf(x));
-    return all.join('\n  ');
+  const pending = [first];
+  const violations = new Map<string, string>();
+  const predecessors = new Map<Model, Model>();
+  const path = (last: Model): string => {
+    const steps: string[] = [];
+    for (let model: Model | undefined = last; model; model = predecessors.get(model)) steps.unshift(textOf(model));
+    return steps.join('\n  ');
   };
-  for (let w = open.pop(); w; w = open.pop()) {
-    const wrong = fault(c, w);
-    if (wrong) {
-      if (!faults.has(wrong)) faults.set(wrong, `${wrong}:\n  ${path(w)}`);
-      // What follows from a broken state tells nothing more.
+  for (let model = pending.pop(); model; model = pending.pop()) {
+    const violation = violationOf(setup, model);
+    if (violation) {
+      if (!violations.has(violation)) violations.set(violation, `${violation}:\n  ${path(model)}`);
+      // The successors of an invalid state are not explored.
       continue;
     }
-    for (const next of events(c, w)) {
+    for (const next of successors(setup, model)) {
       const key = keyOf(next);
       if (seen.has(key)) continue;
       seen.add(key);
-      before.set(next, w);
-      open.push(next);
+      predecessors.set(next, model);
+      pending.push(next);
     }
   }
-  return { states: seen.size, faults: [...faults.values()] };
+  return { states: seen.size, violations: [...violations.values()] };
 };
 
-const cases: Case[] = [
+const setups: Setup[] = [
   { kind: 'stores', size: 3, tolerates: 1, spares: 0, losses: 4 },
   { kind: 'stores', size: 3, tolerates: 1, spares: 1, losses: 4 },
   { kind: 'stores', size: 5, tolerates: 2, spares: 1, losses: 3 },
@@ -242,56 +290,56 @@
   { kind: 'coordinators', size: 5, tolerates: 1, spares: 0, losses: 4 },
   { kind: 'coordinators', size: 5, tolerates: 2, spares: 1, losses: 4 },
 ];
-for (const c of cases)
-  test(`${c.kind}: ${c.size} members, ${c.tolerates} lost at once, ${c.spares} spares: every order of events`, () => {
-    const { states, faults } = walk(c);
-    assert.equal(faults, []);
+for (const setup of setups)
+  test(`${setup.kind}: ${setup.size} members, ${setup.tolerates} lost at once, ${setup.spares} spares`, () => {
+    const { states, violations } = explore(setup);
+    assert.equal(violations, []);
     assert.ok(states > 100, `only ${states} states were reached`);
   });
 
-const group = (conditions: Condition[], over: Partial<ReplicaGroup> = {}): ReplicaGroup => ({
+const groupOf = (conditions: Condition[], overrides: Partial<ReplicaGroup> = {}): ReplicaGroup => ({
   members: conditions.map((condition, i) => ({ id: `m${i}`, condition })),
   spares: ['new'],
   size: conditions.length,
   settled: true,
-  ...over,
+  ...overrides,
 });
-const nextOf = (g: ReplicaGroup): string => {
-  const step = repair.next(g);
+const nextOf = (group: ReplicaGroup): string => {
+  const step = repair.next(group);
   return step ? `${step.change} ${step.id}` : 'nothing';
 };
-test('one that is gone is removed before anyone joins, and whoever else is silent', () => {
-  assert.is(nextOf(group(['serving', 'gone', 'serving'])), 'remove m1');
-  assert.is(nextOf(group(['serving', 'gone', 'serving'], { spares: [] })), 'remove m1');
-  assert.is(nextOf(group(['silent', 'gone', 'serving', 'gone', 'serving'])), 'remove m1');
-  assert.is(nextOf(group(['silent', 'serving', 'gone', 'serving'], { size: 5 })), 'remove m2');
+test('a replaced member is removed before a spare joins, whichever other members are silent', () => {
+  assert.is(nextOf(groupOf(['serving', 'replaced', 'serving'])), 'remove m1');
+  assert.is(nextOf(groupOf(['serving', 'replaced', 'serving'], { spares: [] })), 'remove m1');
+  assert.is(nextOf(groupOf(['silent', 'replaced', 'serving', 'replaced', 'serving'])), 'remove m1');
+  assert.is(nextOf(groupOf(['silent', 'serving', 'replaced', 'serving'], { size: 5 })), 'remove m2');
 });
-test('two lost together are both replaced, one after the other', () => {
-  assert.is(nextOf(group(['overdue', 'overdue', 'serving', 'serving', 'serving'])), 'remove m0');
-  assert.is(nextOf(group(['overdue', 'serving', 'serving', 'serving'], { size: 5 })), 'remove m0');
-  assert.is(nextOf(group(['serving', 'serving', 'serving'], { size: 5 })), 'add new');
+test('two members lost at the same time are replaced one after the other', () => {
+  assert.is(nextOf(groupOf(['overdue', 'overdue', 'serving', 'serving', 'serving'])), 'remove m0');
+  assert.is(nextOf(groupOf(['overdue', 'serving', 'serving', 'serving'], { size: 5 })), 'remove m0');
+  assert.is(nextOf(groupOf(['serving', 'serving', 'serving'], { size: 5 })), 'add new');
 });
-test('one that may come back stays while there is no spare, and while its removal could not be completed', () => {
-  assert.is(nextOf(group(['silent', 'serving', 'serving'])), 'nothing');
-  assert.is(nextOf(group(['overdue', 'serving', 'serving'], { spares: [] })), 'nothing');
-  assert.is(nextOf(group(['overdue', 'silent', 'serving'])), 'nothing');
+test('a member that may come back stays if there is no spare or its removal could not be completed', () => {
+  assert.is(nextOf(groupOf(['silent', 'serving', 'serving'])), 'nothing');
+  assert.is(nextOf(groupOf(['overdue', 'serving', 'serving'], { spares: [] })), 'nothing');
+  assert.is(nextOf(groupOf(['overdue', 'silent', 'serving'])), 'nothing');
 });
-test('one that leaves stays until another one is there', () => {
-  assert.is(nextOf(group(['leaving', 'serving', 'serving'])), 'add new');
-  assert.is(nextOf(group(['leaving', 'serving', 'serving', 'serving'], { size: 3 })), 'remove m0');
-  assert.is(nextOf(group(['leaving', 'silent', 'serving'])), 'nothing');
-  assert.is(nextOf(group(['leaving', 'serving', 'serving'], { size: 5, spares: [] })), 'nothing');
+test('a leaving member stays until a spare has joined', () => {
+  assert.is(nextOf(groupOf(['leaving', 'serving', 'serving'])), 'add new');
+  assert.is(nextOf(groupOf(['leaving', 'serving', 'serving', 'serving'], { size: 3 })), 'remove m0');
+  assert.is(nextOf(groupOf(['leaving', 'silent', 'serving'])), 'nothing');
+  assert.is(nextOf(groupOf(['leaving', 'serving', 'serving'], { size: 5, spares: [] })), 'nothing');
 });
-test('nothing is changed before the last change is complete, and no majority is changed by two', () => {
-  assert.is(nextOf(group(['serving', 'gone', 'serving'], { settled: false })), 'nothing');
+test('no step before the last change is complete; majorities of groups two members apart may not overlap', () => {
+  assert.is(nextOf(groupOf(['serving', 'replaced', 'serving'], { settled: false })), 'nothing');
   for (const size of [2, 3, 4, 5, 6, 7]) {
     const before = new Set(Array.from({ length: size }, (_, i) => i));
     assert.ok(overlaps(before, new Set([...before, size])));
     assert.not.ok(size % 2 === 0 && overlaps(before, new Set([...before, size, size + 1, size + 2])));
   }
 });
-test('a group of two, one of them gone, is filled first', () => {
-  assert.is(nextOf(group(['gone', 'serving'], { size: 3 })), 'add new');
-  assert.is(nextOf(group(['gone', 'serving'], { size: 3, spares: [] })), 'nothing');
+test('a group of two with a replaced member adds a spare first', () => {
+  assert.is(nextOf(groupOf(['replaced', 'serving'], { size: 3 })), 'add new');
+  assert.is(nextOf(groupOf(['replaced', 'serving'], { size: 3, spares: [] })), 'nothing');
 });
 test.run();
--- a/packages/consensus/test/state-codec.test.ts
+++ b/packages/consensus/test/state-codec.test.ts
@@ -1,4 +1,5 @@
-// The agreed state and the core's messages keep the form of the release before: texts here were written by it (§3.3).
+// The agreed state and the messages of the coordinators keep the wire format of the previous release, which wrote the
+// texts here (§3.3).
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { coreCodec, nodeCodec, agreedState, roleCodec, snapshotCodec, stateCodec } from '@thornsail/consensus';
@@ -7,7 +8,7 @@
 const initial =
   '{"config":{"mark":0,"raw":null,"value":null,"history":[]},"pushes":[],"roster":{},' +
   '"keepers":{"mark":0,"members":[],"swept":0,"draining":[]},"towers":[]}';
-const roster =
+const nodes =
   '{"tower-1":{"id":"tower-1","name":"tower1","role":"tower","place":"10.0.1.1:7101","http":"10.0.1.1:7201",' +
   '"zone":"z1","inc":1,"standing":"live","since":1790000000000000},' +
   '"keeper-2":{"id":"keeper-2","name":"keeper2","role":"keeper","place":"10.0.2.1:7101","http":"10.0.2.1:7201",' +
@@ -18,31 +19,31 @@
   '"zone":"z4","inc":1,"standing":"dead","since":1790000000000010},' +
   '"keeper-5":{"id":"keeper-5","name":"keeper5","role":"keeper","place":"10.0.5.1:7101","http":"10.0.5.1:7201",' +
   '"zone":"z5","inc":2,"standing":"leaving","since":1790000000000009}}';
-const group =
+const encodedGroup =
   '{"mark":1,"members":[{"id":"keeper-2","at":"10.0.2.1:7101"},{"id":"keeper-5","at":"10.0.5.1:7101"}],' +
   '"swept":1,"draining":["keeper-5"]}';
 const formed =
   '{"config":{"mark":0,"raw":null,"value":null,"history":[]},"pushes":[],' +
-  `"roster":${roster},"keepers":${group},"towers":[]}`;
-/** As it is spread to all nodes, and with a field of a release after this one. */
-const news =
+  `"roster":${nodes},"keepers":${encodedGroup},"towers":[]}`;
+/** As disseminated to all nodes, with a field of a later release. */
+const disseminated =
   '{"config":{"mark":0,"raw":null,"value":null,"history":[],"source":null},"pushes":[],' +
-  `"roster":${roster},"keepers":${group},"towers":[],"later":{"role":"tower","keepers":[]}}`;
+  `"roster":${nodes},"keepers":${encodedGroup},"towers":[],"later":{"role":"tower","keepers":[]}}`;
 
-for (const [what, text] of Object.entries({ initial, formed, news }))
-  test(`the state of the release before (${what}): is valid, and has the same bytes once decoded and encoded`, () => {
+for (const [title, text] of Object.entries({ initial, formed, disseminated }))
+  test(`a state of the previous release (${title}) is valid, decodes, and encodes to the same bytes`, () => {
     const encoded: unknown = JSON.parse(text);
     assert.ok(stateCodec.isValid(encoded));
     assert.is(JSON.stringify(stateCodec.encode(stateCodec.decode(encoded))), text);
   });
-test('an initial state encodes to the bytes of the release before', () => {
+test('an initial state encodes to the bytes of the previous release', () => {
   assert.is(JSON.stringify(stateCodec.encode(agreedState.initial())), initial);
 });
 test('a decoded state has the names of this release', () => {
   const state = stateCodec.decode(JSON.parse(formed));
   const roles = Object.values(state.nodes).map((node) => node.role);
   assert.equal(roles, ['coordinator', 'store', 'agent', 'gateway', 'store']);
-  assert.equal(state.storeGroup, JSON.parse(group));
+  assert.equal(state.storeGroup, JSON.parse(encodedGroup));
   assert.not.ok('keepers' in state);
 });
 test('a state with names of this release, or without its store group, is not valid', () => {
@@ -51,12 +52,12 @@
   assert.not.ok(stateCodec.isValid({ ...JSON.parse(formed), keepers: undefined }));
   assert.not.ok(stateCodec.isValid(JSON.parse(formed.replace('"role":"front"', '"role":"gateway"'))));
 });
-test('roles have the names of the release before, in its order', () => {
+test('encoded roles have the names of the previous release, in its order', () => {
   assert.equal(roleCodec.roles.map(roleCodec.encode), ['tower', 'keeper', 'pilot', 'front']);
   assert.equal(['tower', 'keeper', 'pilot', 'front'].map(roleCodec.decode), roleCodec.roles);
   assert.is(roleCodec.decode('gateway'), undefined);
 });
-test('a version of the release before: decoded once, and the same bytes once encoded', () => {
+test('a version of the previous release is decoded once, and has the same bytes after encoding', () => {
   const text = `{"view":3,"seq":47,"members":[{"id":"tower-1","at":"10.0.1.1:7101"}],"state":${formed}}`;
   const encoded = JSON.parse(text) as EncodedSnapshot;
   assert.ok(snapshotCodec.isValid(encoded));
@@ -83,13 +84,13 @@
   [{ type: 'drain', id: 'keeper-5', on: true }, '{"op":"drain","id":"keeper-5","on":true}'],
 ];
 for (const [request, text] of requests)
-  test(`a request of the release before (${request.type}): is valid, decodes, and encodes to the same bytes`, () => {
+  test(`a request of the previous release (${request.type}) is valid, decodes, and encodes to the same bytes`, () => {
     const encoded = JSON.parse(text) as ReturnType<typeof coreCodec.encodeRequest>;
     assert.ok(coreCodec.isEncodedRequest(encoded));
     assert.equal(coreCodec.decodeRequest(encoded), request);
     assert.is(JSON.stringify(coreCodec.encodeRequest(request)), text);
   });
-test('a join with a role by its name in this release is not valid', () => {
+test('a join request with the name that a role has in this release is not valid', () => {
   assert.not.ok(coreCodec.isEncodedRequest({ op: 'join', node }));
 });
 
@@ -129,7 +130,7 @@
   ],
 ];
 for (const [request, result, text] of results)
-  test(`a result of the release before (${request.type}, ${text.slice(0, 30)}): the same bytes`, () => {
+  test(`a result of the previous release (${request.type}, ${text.slice(0, 30)}) encodes to the same bytes`, () => {
     const encoded = JSON.parse(text) as ReturnType<typeof coreCodec.encodeResult>;
     assert.equal(coreCodec.decodeResult(request, encoded), result);
     assert.is(JSON.stringify(coreCodec.encodeResult(request.type, result)), text);
--- a/programs/thornsail/src/roles.ts
+++ b/programs/thornsail/src/roles.ts
@@ -164,7 +164,7 @@
     const voter = leaseVoter.open({ runtime, rpc: p });
     const here: { membership?: Membership } = {};
     const give = (version: Snapshot<AgreedState>): void => {
-      const spread = { ...version, state: configuration.forNodes(version.state) };
+      const spread = { ...version, state: configuration.forDissemination(version.state) };
       here.membership?.dissemination.put('order', version.index, snapshotCodec.encode(spread));
     };
     let last: Snapshot<AgreedState> | undefined;
@@ -184,7 +184,7 @@
         // A front of the release before does not say; it is taken at its word that news reaches it.
         return l === undefined ? -1 : (l.uses ?? Infinity);
       },
-      onLead: (mark) => here.membership?.dissemination.put('core', mark, {}),
+      onLeadershipConfirmed: (mark) => here.membership?.dissemination.put('core', mark, {}),
       settings: {
         stores: 2 * o.tolerates + 1,
         coordinators: Math.max(usualCoordinators, 2 * o.tolerates + 1),
--- a/tools/simulation/src/guards/consensus.ts
+++ b/tools/simulation/src/guards/consensus.ts
@@ -1,18 +1,18 @@
-// Guards of the lines of `consensus` that keep a rule.
+/** Guards of the lines of the package `consensus` on which a rule depends. */
 import { guard, type Guard } from './guard.js';
 
 /** Guards of `consensus`. */
 export const consensusGuards: readonly Guard[] = [
   guard({
-    name: 'one that is gone is removed first',
+    name: 'a replaced member is removed first',
     rule: '12 recovery',
     file: 'consensus/src/repair.js',
-    find: 'removeGone(group) ?? removeOverdue(group)',
+    find: 'removeReplaced(group) ?? removeOverdue(group)',
     replacement: 'removeOverdue(group)',
     noticedBy: { test: 'consensus/test/repair-model.test.js' },
   }),
   guard({
-    name: 'no change of a group before the last one is complete',
+    name: 'a group is not changed before its last change is complete',
     rule: '12 recovery',
     file: 'consensus/src/repair.js',
     find: 'group.settled ? (',
@@ -20,23 +20,23 @@
     noticedBy: { test: 'consensus/test/repair-model.test.js' },
   }),
   guard({
-    name: 'a silent member is removed only where the others can complete it',
+    name: 'an overdue member is removed only if the others can complete the change',
     rule: '12 recovery',
     file: 'consensus/src/repair.js',
-    find: 'if (group.members.filter(answers).length < majorityOf(left)) return undefined;',
+    find: 'if (group.members.filter(isResponsive).length < majorityOf(remaining)) return undefined;',
     replacement: '',
     noticedBy: { test: 'consensus/test/repair-model.test.js' },
   }),
   guard({
-    name: 'an empty newcomer never decides alone',
+    name: 'an empty new member never completes a majority alone',
     rule: '12 recovery',
     file: 'consensus/src/repair.js',
-    find: 'if (present < majorityOf(group.members.length + 1)) return undefined;',
+    find: 'if (responsive < majorityOf(group.members.length + 1)) return undefined;',
     replacement: '',
     noticedBy: { test: 'consensus/test/repair-model.test.js' },
   }),
   guard({
-    name: 'one that leaves stays until a spare is there',
+    name: 'a leaving member stays until a spare has joined',
     rule: '12 recovery',
     file: 'consensus/src/repair.js',
     find: 'if (group.members.length < group.size && !isEven(group)) return undefined;',
@@ -44,15 +44,15 @@
     noticedBy: { test: 'consensus/test/repair-model.test.js' },
   }),
   guard({
-    name: 'a new identity at an address shows that the former is gone',
+    name: 'a new identity at an address shows that the former member was replaced',
     rule: '12 recovery',
-    file: 'consensus/src/presence.js',
-    find: "if (isGone(state, member)) return 'gone';",
+    file: 'consensus/src/member-conditions.js',
+    find: "if (isReplaced(state, member)) return 'replaced';",
     replacement: '',
-    noticedBy: { test: 'consensus/test/presence.test.js' },
+    noticedBy: { test: 'consensus/test/member-conditions.test.js' },
   }),
   guard({
-    name: 'acknowledged means the gateways use it',
+    name: 'a push is acknowledged once the gateways use it',
     rule: '8 configuration',
     file: 'consensus/src/operations.js',
     find: 'if (!result.ok || !usedVersion || ',
@@ -60,25 +60,25 @@
     noticedBy: { test: 'simulation/test/config.test.js' },
   }),
   guard({
-    name: 'a cut-off core acknowledges nothing',
+    name: 'coordinators that are cut off from most gateways acknowledge no push',
     rule: '8 configuration',
     file: 'consensus/src/confirmation.js',
-    find: 'lately.length === 0 || (lately.length - slow.length) * 2 > lately.length',
+    find: 'counted.length === 0 || (counted.length - outdated.length) * 2 > counted.length',
     replacement: 'true',
     noticedBy: { test: 'simulation/test/config.test.js' },
   }),
   guard({
-    name: 'a collision is refused',
+    name: 'a push on an outdated base is refused',
     rule: '8 configuration',
     file: 'consensus/src/configuration.js',
-    find: 'if (push.base === present)',
+    find: 'if (push.base === currentBase)',
     replacement: 'if (true)',
     noticedBy: {
       test: 'simulation/test/api.test.js',
     },
   }),
   guard({
-    name: 'a stale view is refused',
+    name: 'an append of an older term is refused',
     rule: '8 configuration',
     file: 'consensus/src/follower.js',
     find: 'message.to !== state.id || snapshot.term < state.term',
@@ -86,7 +86,7 @@
     noticedBy: { test: 'consensus/test/model.test.js' },
   }),
   guard({
-    name: 'acknowledged means a majority has it',
+    name: 'a commit needs a majority',
     rule: '9 durable',
     file: 'consensus/src/quorum.js',
     find: 'const majority = (size) => Math.floor(size / 2) + 1',
@@ -94,15 +94,15 @@
     noticedBy: { test: 'simulation/test/views.test.js' },
   }),
   guard({
-    name: 'a leader whose disk hangs hands over',
+    name: 'a leader whose disk stalls resigns',
     rule: '9 durable',
     file: 'consensus/src/leader.js',
-    find: "resign(step, 'its disk does not answer');",
+    find: "resign(step, 'its disk is not responding');",
     replacement: '',
     noticedBy: { test: 'simulation/test/disk-trouble.test.js' },
   }),
   guard({
-    name: 'a newcomer whose head was lost is brought up',
+    name: 'a new member whose leader was lost gets its version from another member',
     rule: '12 recovery',
     file: 'consensus/src/election.js',
     find: 'if (reply?.unformed)',
@@ -110,7 +110,7 @@
     noticedBy: { test: 'simulation/test/views.test.js' },
   }),
   guard({
-    name: 'a silent head is replaced',
+    name: 'a silent leader is replaced',
     rule: '12 recovery',
     file: 'consensus/src/replica.js',
     find: 'electionTimeout: duration.ms(600)',
@@ -120,7 +120,7 @@
     },
   }),
   guard({
-    name: 'a term is promised once',
+    name: 'a vote is granted once in a term',
     rule: 'consensus',
     file: 'consensus/src/follower.js',
     find: 'message.to !== state.id || message.term <= state.term || !state.accepted',
@@ -138,7 +138,7 @@
     noticedBy: { test: 'consensus/test/model.test.js' },
   }),
   guard({
-    name: 'a vote is synced before it is given',
+    name: 'a vote is synced before it is granted',
     rule: 'consensus',
     file: 'consensus/src/follower.js',
     find: "writeTerm(step, message.term, { kind: 'grant-vote', call, term: message.term });",
@@ -156,14 +156,14 @@
     noticedBy: { test: 'consensus/test/model.test.js' },
     also: [
       {
-        file: 'consensus/src/actions.js',
+        file: 'consensus/src/effects.js',
         find: 'invariant.hold(snapshot.term >= term',
         replacement: 'invariant.hold(true',
       },
     ],
   }),
   guard({
-    name: 'an election needs the quorum of the newest members too',
+    name: 'an election also needs a quorum of the newest members',
     rule: 'consensus',
     file: 'consensus/src/election.js',
     find: ' && hasQuorum(election.newest.members, election.granted)',
@@ -171,7 +171,7 @@
     noticedBy: { test: 'consensus/test/model.test.js' },
   }),
   guard({
-    name: 'a version changes one member at most',
+    name: 'a version adds or removes at most one member',
     rule: 'consensus',
     file: 'consensus/src/leader.js',
     find: 'membersChanged(base.members, changed.members) <= 1',
@@ -179,11 +179,11 @@
     noticedBy: { test: 'consensus/test/model.test.js' },
   }),
   guard({
-    name: 'a term has a commit before its first change',
+    name: 'a term has a commit before its first proposal',
     rule: 'consensus',
     file: 'consensus/src/leader.js',
-    find: 'state.writing || state.replication || state.queue.length === 0',
-    replacement: 'state.writing || state.queue.length === 0',
+    find: 'state.pendingWrite || state.replication || state.queue.length === 0',
+    replacement: 'state.pendingWrite || state.queue.length === 0',
     noticedBy: { test: 'consensus/test/model.test.js' },
     also: [
       {
@@ -194,7 +194,7 @@
     ],
   }),
   guard({
-    name: 'a read is confirmed by a round that begins after its question',
+    name: 'a read is confirmed by a round that starts after the request',
     rule: 'consensus',
     file: 'consensus/src/leader.js',
     find: 'sendHeartbeats(step, [{ read, snapshot: committed }]);',
@@ -202,7 +202,7 @@
     noticedBy: { test: 'consensus/test/model.test.js' },
   }),
   guard({
-    name: 'a lost disk is another member',
+    name: 'a member with another identity does not accept a request',
     rule: 'consensus',
     file: 'consensus/src/follower.js',
     find: 'message.to !== state.id || snapshot.term',
@@ -217,7 +217,7 @@
     ],
   }),
   guard({
-    name: 'a member that was removed stands aside',
+    name: 'a removed member starts no elections',
     rule: 'consensus',
     file: 'consensus/src/election.js',
     find: 'state.removed = !isMember;',
@@ -225,7 +225,7 @@
     noticedBy: { test: 'consensus/test/model.test.js' },
   }),
   guard({
-    name: 'a leader takes the newest version of its voters',
+    name: 'a new leader takes over the newest version of its voters',
     rule: 'consensus',
     file: 'consensus/src/election.js',
     find: 'if (isNewer(reply.accepted, election.newest))',
@@ -233,23 +233,23 @@
     noticedBy: { test: 'consensus/test/model.test.js' },
   }),
   guard({
-    name: 'a group is founded by all founders together',
+    name: 'a group is formed only when all founders answer',
     rule: 'consensus',
-    file: 'consensus/src/founding.js',
+    file: 'consensus/src/group-formation.js',
     find: 'discovery.found.length === founders.length',
     replacement: 'discovery.found.length * 2 > founders.length',
     noticedBy: { test: 'consensus/test/model.test.js' },
   }),
   guard({
-    name: 'a founder that is a member already founds nothing',
+    name: 'no group is formed if a founder is a member already',
     rule: 'consensus',
-    file: 'consensus/src/founding.js',
+    file: 'consensus/src/group-formation.js',
     find: '!discovery.found.some((member) => member.formed)',
     replacement: 'true',
     noticedBy: { test: 'consensus/test/model.test.js' },
   }),
   guard({
-    name: 'members that a candidate did not know are asked too',
+    name: 'a candidate also requests the votes of members that it did not know',
     rule: 'consensus',
     file: 'consensus/src/election.js',
     find: 'if (!known.has(member.id))',
--- a/tools/simulation/test/views.test.ts
+++ b/tools/simulation/test/views.test.ts
@@ -189,7 +189,7 @@
 /** What the leader reads, confirmed by a majority. */
 const agreedOf = async (x: Trio): Promise<Snapshot<List>> => {
   let read: Snapshot<List> | undefined;
-  void x.all[x.head()]!.readAgreed().then((version) => (read = version));
+  void x.all[x.head()]!.readLinearizable().then((version) => (read = version));
   await x.w.run(x.w.now() + duration.ms(400));
   assert.ok(read, 'no agreed state');
   return read;
