--- a/packages/admin-api/src/control.ts
+++ b/packages/admin-api/src/control.ts
@@ -1,4 +1,7 @@
-// What an operator may ask, without the words of any interface (§7.3): our own HTTP and others' are put on top of it.
+/**
+ * Operator actions independent of any interface (§7.3). The HTTP admin API and the interfaces of platforms are adapters
+ * on top of this module.
+ */
 import { fault, duration, type Runtime, type Microseconds } from '@thornsail/runtime';
 import type { Membership } from '@thornsail/membership';
 import {
@@ -10,77 +13,92 @@
   type ReadResult,
 } from '@thornsail/consensus';
 
+/** Progress of draining a store: `too-few` means that the drain was refused, `safe` that the store may be removed. */
 export type DrainState = 'unknown' | 'too-few' | 'not draining' | 'waiting' | 'copying' | 'safe';
-/** Each call gives up after `within`, and throws then; the callers of some interfaces wait for a shorter time. */
+/**
+ * Operator actions on the cluster. Each call times out after `within` (microseconds) and then rejects; interfaces whose
+ * callers wait for less time pass a shorter timeout.
+ */
 export type Control = {
-  /** The agreed state, confirmed by a majority; throws if there is none to be had. */
+  /** Reads the agreed state, confirmed by a majority of the coordinators; rejects if no majority answers. */
   read: (within?: Microseconds) => Promise<{ index: number; value: ReadResult }>;
-  /** Judged by the coordinators; the same push again has one effect, so it is repeated until its outcome is known. */
-  push: (p: Push, within?: Microseconds) => Promise<PushResult>;
-  /** What is known of a push without judging it, null if it may be accepted; and the source it would be applied to. */
-  lookUp: (p: Push, within?: Microseconds) => Promise<{ known: PushResult | null; source: unknown }>;
-  /** Has a store leave its group; repeated, it says how far that is. */
+  /**
+   * Submits a configuration change to the coordinators. Pushes are idempotent by id, so an unconfirmed push is repeated
+   * until its outcome is known or the time is over.
+   */
+  push: (change: Push, within?: Microseconds) => Promise<PushResult>;
+  /**
+   * Looks up the recorded result of a push without submitting it: `known` is null if the push may still be accepted.
+   * `source` is the source of the configuration that the push would apply to.
+   */
+  lookUp: (change: Push, within?: Microseconds) => Promise<{ known: PushResult | null; source: unknown }>;
+  /** Starts the removal of a store from its group; repeated calls report the progress. */
   drain: (name: string, within?: Microseconds) => Promise<DrainState>;
+  /** Reports the progress of a drain without starting one. */
   drained: (name: string, within?: Microseconds) => Promise<DrainState>;
 };
-const pushLimit = duration.s(5);
-const callLimit = duration.s(3);
-/** The least that is left for a question to the core. */
-const leastLimit = duration.ms(50);
+const pushTimeout = duration.s(5);
+const requestTimeout = duration.s(3);
+/** Lower bound of the timeout of a request to the coordinators, also when the caller's time is over. */
+const minimumRequestTimeout = duration.ms(50);
 
-/** How far a store's drain is (§6.5): safe only once the group without it is full, and bears the next loss. */
-export const drainState = (s: AgreedState, node: NodeEntry, repaired = true): DrainState => {
-  const k = s.storeGroup;
-  if (!k.draining.includes(node.id)) return 'not draining';
-  if (k.members.some((m) => m.id === node.id)) return k.swept === k.mark ? 'waiting' : 'copying';
-  return k.swept === k.mark && repaired ? 'safe' : 'copying';
+/**
+ * Progress of a store's drain (§6.5). A store is safe to remove only once the group without it holds every record and
+ * is repaired, so that it tolerates the next loss.
+ */
+export const drainState = (state: AgreedState, node: NodeEntry, repaired = true): DrainState => {
+  const group = state.storeGroup;
+  if (!group.draining.includes(node.id)) return 'not draining';
+  if (group.members.some((member) => member.id === node.id)) return group.swept === group.mark ? 'waiting' : 'copying';
+  return group.swept === group.mark && repaired ? 'safe' : 'copying';
 };
-/** A node by its name: the one that lives, else the one that was lost last. */
-const named = (s: AgreedState, name: string): NodeEntry | undefined =>
-  Object.values(s.nodes)
-    .filter((n) => n.name === name && n.role === 'store')
+/** The store of this name: the live one if there is one, else the one that was lost last. */
+const findStore = (state: AgreedState, name: string): NodeEntry | undefined =>
+  Object.values(state.nodes)
+    .filter((node) => node.name === name && node.role === 'store')
     .sort((a, b) => Number(a.status === 'dead') - Number(b.status === 'dead') || b.since - a.since)[0];
 
+/** Opens the operator actions of a node. */
 export const control = {
-  open: (o: { runtime: Runtime; membership: Membership }): Control => {
-    const { clock } = o.runtime;
-    const { core } = o.membership;
-    const leftUntil = (end: Microseconds): Microseconds => Math.max(leastLimit, end - clock.now());
-    const read: Control['read'] = (within = callLimit) => core.request({ type: 'read' }, within);
+  open: (options: { runtime: Runtime; membership: Membership }): Control => {
+    const { clock } = options.runtime;
+    const { core } = options.membership;
+    const timeLeft = (deadline: Microseconds): Microseconds => Math.max(minimumRequestTimeout, deadline - clock.now());
+    const read: Control['read'] = (within = requestTimeout) => core.request({ type: 'read' }, within);
     const drained: Control['drained'] = async (name, within) => {
       const { state, repaired } = (await read(within)).value;
-      const n = named(state, name);
-      return n ? drainState(state, n, repaired) : 'unknown';
+      const node = findStore(state, name);
+      return node ? drainState(state, node, repaired) : 'unknown';
     };
     return {
       read,
       drained,
-      push: async (p, within = pushLimit) => {
-        const end = clock.now() + within;
-        /** What the core said last: a last question that its time was too short for does not take it back. */
+      push: async (change, within = pushTimeout) => {
+        const deadline = clock.now() + within;
+        /** The latest answer of the core, returned if a later repetition fails because its time was too short. */
         let unconfirmed: PushResult | undefined;
         for (;;) {
-          const asked = core.request({ type: 'push', push: p }, leftUntil(end));
-          const { value } = await asked.catch((error: unknown) => {
-            if (unconfirmed === undefined || clock.now() < end) throw error;
+          const response = core.request({ type: 'push', push: change }, timeLeft(deadline));
+          const { value } = await response.catch((error: unknown) => {
+            if (unconfirmed === undefined || clock.now() < deadline) throw error;
             return { value: unconfirmed };
           });
-          if (value.ok || value.why !== 'unconfirmed' || clock.now() >= end) return value;
+          if (value.ok || value.why !== 'unconfirmed' || clock.now() >= deadline) return value;
           unconfirmed = value;
         }
       },
-      lookUp: async (p, within) => {
+      lookUp: async (change, within) => {
         const { state } = (await read(within)).value;
-        return { known: configuration.known(state, p), source: state.config.source ?? null };
+        return { known: configuration.known(state, change), source: state.config.source ?? null };
       },
-      drain: async (name, within = 3 * callLimit) => {
-        const end = clock.now() + within;
-        const n = named((await read(leftUntil(end))).value.state, name);
-        if (!n || n.status === 'dead') return 'unknown';
-        const { value } = await core.request({ type: 'drain', id: n.id, on: true }, leftUntil(end));
+      drain: async (name, within = 3 * requestTimeout) => {
+        const deadline = clock.now() + within;
+        const node = findStore((await read(timeLeft(deadline))).value.state, name);
+        if (!node || node.status === 'dead') return 'unknown';
+        const { value } = await core.request({ type: 'drain', id: node.id, on: true }, timeLeft(deadline));
         if (!value) return 'too-few';
-        return drained(name, leftUntil(end)).catch((e: unknown) => {
-          throw fault.make({ step: 'drain', peer: name, code: 'unknown' }, fault.text(e), e);
+        return drained(name, timeLeft(deadline)).catch((error: unknown) => {
+          throw fault.make({ step: 'drain', peer: name, code: 'unknown' }, fault.text(error), error);
         });
       },
     };
--- a/packages/admin-api/src/field-names-codec.ts
+++ b/packages/admin-api/src/field-names-codec.ts
@@ -1,2 +1,2 @@
-/** Fields and paths of the operators' interface that keep the names of its first release. */
+/** Fields and paths of the admin API that keep the names of the first release, for compatibility. */
 export const fieldNames = { stores: 'keepers', coordinators: 'towers' } as const;
--- a/packages/admin-api/src/index.ts
+++ b/packages/admin-api/src/index.ts
@@ -1,5 +1,7 @@
-// signal: what operators ask of any node over HTTP (§7.3). Agreed results carry the mark they were read at;
-// a node that cannot give the agreed result says so.
+/**
+ * The HTTP admin API, the same on every node (§7.3). Results from the agreed state carry the version (`mark`) that they
+ * were read at; a node that can't reach a majority of the coordinators answers 503 `not_agreed`.
+ */
 import { configSchema } from '@thornsail/config-schema';
 import { tokenBudget, type BudgetRecord } from '@thornsail/token-budget';
 import {
@@ -26,12 +28,14 @@
 import { fieldNames } from './field-names-codec.js';
 import { control, drainState } from './control.js';
 
-export type NewsResult = {
+/** State that the leading coordinator adds from dissemination and leases; loads by gateway, duties by name. */
+export type DisseminatedState = {
   workers: { id: string; at: Address; kind: string; leaving: boolean }[];
   loads: Record<string, unknown>;
   duties: Record<string, { by: string; mark: number }>;
 };
-export type SignalNode = {
+/** What the admin API needs of the node that serves it. */
+export type AdminApiNode = {
   runtime: Runtime;
   rpc: Rpc;
   membership: Membership;
@@ -40,347 +44,395 @@
   name: string;
   ready: () => { ok: boolean; why: string[] };
   counts: () => Record<string, number>;
-  /** More metrics in the Prometheus text format, besides the counts. */
+  /** Further metrics in the Prometheus text format, appended to the counts. */
   metrics?: () => Promise<string>;
   drain: () => Promise<void>;
 };
 export { control, type Control, type DrainState } from './control.js';
-export const root = '/thornsail/v1';
+/** Prefix of all paths of the admin API. */
+export const apiRoot = '/thornsail/v1';
 
-const json = (say: HttpResponseWriter, status: number, body: unknown, headers: Record<string, string> = {}): void => {
-  say.writeHead(status, { 'content-type': 'application/json', ...headers });
-  say.end(JSON.stringify(body));
+const sendJson = (
+  response: HttpResponseWriter,
+  status: number,
+  body: unknown,
+  headers: Record<string, string> = {},
+): void => {
+  response.writeHead(status, { 'content-type': 'application/json', ...headers });
+  response.end(JSON.stringify(body));
 };
-const decoded = (path: string): string[] | undefined => {
+const decodePath = (path: string): string[] | undefined => {
   try {
     return path.split('/').map(decodeURIComponent);
   } catch {
     return undefined;
   }
 };
-const drainWords = {
+/** Texts of the drain states in the API. */
+const drainTexts = {
   safe: 'safe to remove',
   waiting: 'waiting for its turn',
   copying: 'copying to the new group',
 };
-const metrics = (n: SignalNode): string => {
+/** The counts of the node as Prometheus gauges. */
+const countMetrics = (self: AdminApiNode): string => {
   const lines: string[] = [];
-  const label = `{role="${n.role}",name="${n.name}"}`;
-  for (const [k, v] of Object.entries({
-    ...n.counts(),
-    order_mark: n.membership.index(),
-    ready: n.ready().ok ? 1 : 0,
+  const label = `{role="${self.role}",name="${self.name}"}`;
+  for (const [name, value] of Object.entries({
+    ...self.counts(),
+    order_mark: self.membership.index(),
+    ready: self.ready().ok ? 1 : 0,
   }).sort()) {
-    const m = `thornsail_${k.replace(/[^a-zA-Z0-9]/g, '_')}`;
-    lines.push(`# TYPE ${m} gauge`, `${m}${label} ${v}`);
+    const metric = `thornsail_${name.replace(/[^a-zA-Z0-9]/g, '_')}`;
+    lines.push(`# TYPE ${metric} gauge`, `${metric}${label} ${value}`);
   }
   return `${lines.join('\n')}\n`;
 };
 
-export const signal = {
-  handler: (n: SignalNode): HttpHandler => {
-    const ctl = control.open({ runtime: n.runtime, membership: n.membership });
-    const read = (): Promise<{ index: number; value: ReadResult<NewsResult> }> =>
-      ctl.read() as Promise<{ index: number; value: ReadResult<NewsResult> }>;
-    /** What a change would do, without doing it (§7.2). */
-    const plan = async (say: HttpResponseWriter, how: Push['how'], base: number, body: unknown): Promise<void> => {
+/** Creates the HTTP handler of the admin API. */
+export const adminApi = {
+  handler: (self: AdminApiNode): HttpHandler => {
+    const actions = control.open({ runtime: self.runtime, membership: self.membership });
+    const read = (): Promise<{ index: number; value: ReadResult<DisseminatedState> }> =>
+      actions.read() as Promise<{ index: number; value: ReadResult<DisseminatedState> }>;
+    /** Answers with the steps of a configuration change without applying it (§7.2). */
+    const plan = async (
+      response: HttpResponseWriter,
+      method: Push['how'],
+      base: number,
+      body: unknown,
+    ): Promise<void> => {
       const {
-        value: { state: s },
+        value: { state: current },
       } = await read();
-      if (base !== s.config.mark)
-        return json(say, 409, {
+      if (base !== current.config.mark)
+        return sendJson(response, 409, {
           error: 'collision',
-          mark: s.config.mark,
-          message: `the configuration is at mark ${s.config.mark}`,
+          mark: current.config.mark,
+          message: `the configuration is at mark ${current.config.mark}`,
         });
-      const p = configSchema.plan(s.config.raw ?? {}, how, body);
-      if (!p.ok) return json(say, 422, { error: 'invalid', mark: s.config.mark, problems: p.problems });
-      return json(say, 200, { mark: s.config.mark, plan: p.steps });
+      const planned = configSchema.plan(current.config.raw ?? {}, method, body);
+      if (!planned.ok)
+        return sendJson(response, 422, { error: 'invalid', mark: current.config.mark, problems: planned.problems });
+      return sendJson(response, 200, { mark: current.config.mark, plan: planned.steps });
     };
-    const push = async (ask: HttpRequest, say: HttpResponseWriter): Promise<void> => {
-      if (ask.bodyTooLarge) return json(say, 413, { error: 'too_large', field: 'body' });
+    const push = async (request: HttpRequest, response: HttpResponseWriter): Promise<void> => {
+      if (request.bodyTooLarge) return sendJson(response, 413, { error: 'too_large', field: 'body' });
       let body: unknown;
       try {
-        body = JSON.parse(ask.body);
+        body = JSON.parse(request.body);
       } catch {
-        return json(say, 400, { error: 'bad_json', field: 'body' });
+        return sendJson(response, 400, { error: 'bad_json', field: 'body' });
       }
-      const base = ask.headers['if-match']?.replace(/"/g, '');
+      const base = request.headers['if-match']?.replace(/"/g, '');
       if (base === undefined || !/^\d{1,12}$/.test(base))
-        return json(say, 428, {
+        return sendJson(response, 428, {
           error: 'missing_field',
           field: 'if-match',
           message: 'the mark that the change is based on',
         });
-      const id = ask.headers['push-id'] ?? n.runtime.rand.id();
-      if (!/^[\x21-\x7e]{1,100}$/.test(id)) return json(say, 400, { error: 'bad_field', field: 'push-id' });
-      const how: Push['how'] =
-        ask.method === 'PUT'
+      const id = request.headers['push-id'] ?? self.runtime.rand.id();
+      if (!/^[\x21-\x7e]{1,100}$/.test(id)) return sendJson(response, 400, { error: 'bad_field', field: 'push-id' });
+      const method: Push['how'] =
+        request.method === 'PUT'
           ? 'whole'
-          : /^application\/json-patch\+json/.test(ask.headers['content-type'] ?? '')
+          : /^application\/json-patch\+json/.test(request.headers['content-type'] ?? '')
             ? 'patch'
             : 'merge';
-      if (ask.query['plan'] === 'true') return await plan(say, how, Number(base), body);
-      if (how === 'whole') {
-        // Said early where it can be; the coordinators judge all the same.
-        const c = configSchema.check(body);
-        if (!c.ok) return json(say, 422, { error: 'invalid', problems: c.problems });
+      if (request.query['plan'] === 'true') return await plan(response, method, Number(base), body);
+      if (method === 'whole') {
+        // Rejects an invalid configuration early; the coordinators check it as well.
+        const checked = configSchema.check(body);
+        if (!checked.ok) return sendJson(response, 422, { error: 'invalid', problems: checked.problems });
       }
-      const v = await ctl.push({ id, base: Number(base), how, body });
-      if (v.ok)
-        return json(say, 200, { mark: v.mark, push: id, repeated: v.repeated === true }, { etag: `"${v.mark}"` });
-      if (v.why === 'unconfirmed') {
-        const message = `taken as ${v.mark}, but not known to be in use at ${v.gateways.join(', ')}`;
-        const body = { error: 'unconfirmed', mark: v.mark, push: id, fronts: v.gateways, message };
-        return json(say, 503, body, { 'retry-after': '1' });
+      const result = await actions.push({ id, base: Number(base), how: method, body });
+      if (result.ok)
+        return sendJson(
+          response,
+          200,
+          { mark: result.mark, push: id, repeated: result.repeated === true },
+          { etag: `"${result.mark}"` },
+        );
+      if (result.why === 'unconfirmed') {
+        const message = `taken as ${result.mark}, but not known to be in use at ${result.gateways.join(', ')}`;
+        const body = { error: 'unconfirmed', mark: result.mark, push: id, fronts: result.gateways, message };
+        return sendJson(response, 503, body, { 'retry-after': '1' });
       }
-      if (v.why === 'forgotten') {
-        const message = `the base was replaced too long ago to say whether by this push; the mark is ${v.mark}`;
-        return json(say, 503, { error: 'forgotten', mark: v.mark, push: id, message }, { 'retry-after': '1' });
+      if (result.why === 'forgotten') {
+        const message = `the base was replaced too long ago to say whether by this push; the mark is ${result.mark}`;
+        return sendJson(
+          response,
+          503,
+          { error: 'forgotten', mark: result.mark, push: id, message },
+          { 'retry-after': '1' },
+        );
       }
-      if (v.why === 'collision')
-        return json(say, 409, { error: 'collision', mark: v.mark, message: `the configuration is at mark ${v.mark}` });
-      return json(say, 422, { error: 'invalid', mark: v.mark, problems: v.problems });
+      if (result.why === 'collision')
+        return sendJson(response, 409, {
+          error: 'collision',
+          mark: result.mark,
+          message: `the configuration is at mark ${result.mark}`,
+        });
+      return sendJson(response, 422, { error: 'invalid', mark: result.mark, problems: result.problems });
     };
-    /** A page of keys as the stores list them, with how many hold the newest copy. */
+    /**
+     * Reads a page of register keys from the stores, each with its newest ballot and the number of stores that hold
+     * that version. Throws a fault with code `no-majority` unless a majority of the group answers.
+     */
     const keysAfter = async (
-      s: AgreedState,
+      state: AgreedState,
       after: string,
       limit: number,
     ): Promise<{ key: string; accepted: [number, string]; until: number; copies: number }[]> => {
-      const group = { mark: s.storeGroup.mark, members: s.storeGroup.members };
+      const group = { mark: state.storeGroup.mark, members: state.storeGroup.members };
       const pages = await Promise.all(
-        group.members.map((k) =>
-          n.rpc
+        group.members.map((member) =>
+          self.rpc
             .request<{ ok: boolean; keys?: { key: string; accepted: [number, string]; until: number }[] }>(
-              k.at,
+              member.at,
               'reg.list',
-              { to: k.id, group, after, limit },
+              { to: member.id, group, after, limit },
               duration.ms(800),
             )
             .catch(() => undefined),
         ),
       );
-      const good = pages.filter((p) => p?.ok);
-      if (good.length <= group.members.length / 2)
+      const answered = pages.filter((page) => page?.ok);
+      if (answered.length <= group.members.length / 2)
         throw fault.make({ step: 'registers', code: 'no-majority' }, 'no majority of stores was reached');
       const byKey = new Map<string, { key: string; accepted: [number, string]; until: number; copies: number }>();
-      for (const p of good)
-        for (const k of p!.keys!) {
-          const was = byKey.get(k.key);
-          const newer = was
-            ? k.accepted[0] - was.accepted[0] ||
-              (k.accepted[1] < was.accepted[1] ? -1 : k.accepted[1] > was.accepted[1] ? 1 : 0)
+      for (const page of answered)
+        for (const listed of page!.keys!) {
+          const known = byKey.get(listed.key);
+          const comparison = known
+            ? listed.accepted[0] - known.accepted[0] ||
+              (listed.accepted[1] < known.accepted[1] ? -1 : listed.accepted[1] > known.accepted[1] ? 1 : 0)
             : 1;
-          if (newer > 0) byKey.set(k.key, { ...k, copies: 1 });
-          else if (newer === 0) was!.copies += 1;
+          if (comparison > 0) byKey.set(listed.key, { ...listed, copies: 1 });
+          else if (comparison === 0) known!.copies += 1;
         }
       return [...byKey.values()].sort((a, b) => (a.key < b.key ? -1 : 1)).slice(0, limit);
     };
-    const programs = async (s: AgreedState, after: string, limit: number): Promise<unknown> => {
-      const keys = (await keysAfter(s, after ? `program/${after}` : 'program/', limit))
-        .map((k) => k.key)
-        .filter((k) => k.startsWith('program/'));
+    /** A page of programs with their token budgets. */
+    const programs = async (state: AgreedState, after: string, limit: number): Promise<unknown> => {
+      const keys = (await keysAfter(state, after ? `program/${after}` : 'program/', limit))
+        .map((listed) => listed.key)
+        .filter((key) => key.startsWith('program/'));
       const rows = await Promise.all(
-        keys.map(async (k) => ({
-          program: k.slice(8),
-          budgetRecord: (await n.registers.read(k, duration.s(1))) as BudgetRecord | undefined,
+        keys.map(async (key) => ({
+          program: key.slice(8),
+          budgetRecord: (await self.registers.read(key, duration.s(1))) as BudgetRecord | undefined,
         })),
       );
       return rows
-        .filter((r) => r.budgetRecord)
-        .map((r) => ({
-          program: r.program,
-          budget: r.budgetRecord!.budget,
-          spent: r.budgetRecord!.spent,
-          left: tokenBudget.remainingTokens(r.budgetRecord!),
-          turns: r.budgetRecord!.turns,
-          lost: r.budgetRecord!.lost,
-          tokens: r.budgetRecord!.tokens,
-          worker: r.budgetRecord!.worker,
-          open: tokenBudget.openTurns(r.budgetRecord!).map((o) => o.by),
+        .filter((row) => row.budgetRecord)
+        .map((row) => ({
+          program: row.program,
+          budget: row.budgetRecord!.budget,
+          spent: row.budgetRecord!.spent,
+          left: tokenBudget.remainingTokens(row.budgetRecord!),
+          turns: row.budgetRecord!.turns,
+          lost: row.budgetRecord!.lost,
+          tokens: row.budgetRecord!.tokens,
+          worker: row.budgetRecord!.worker,
+          open: tokenBudget.openTurns(row.budgetRecord!).map((turn) => turn.by),
         }));
     };
-    const drain = async (ask: HttpRequest, say: HttpResponseWriter, target: string): Promise<void> => {
+    /** Starts, reports (GET) or cancels (DELETE) the drain of a node. */
+    const drain = async (request: HttpRequest, response: HttpResponseWriter, target: string): Promise<void> => {
       const {
-        value: { state: s },
+        value: { state: current },
       } = await read();
-      const found = Object.values(s.nodes).filter(
-        (x) => x.status !== 'dead' && (x.name === target || x.id === target || x.place === target),
+      const found = Object.values(current.nodes).filter(
+        (entry) => entry.status !== 'dead' && (entry.name === target || entry.id === target || entry.place === target),
       );
       if (found.length !== 1)
-        return json(say, found.length ? 409 : 404, {
+        return sendJson(response, found.length ? 409 : 404, {
           error: found.length ? 'ambiguous' : 'no_such_node',
           message: found.length ? `${found.length} nodes go by ${target}` : `there is no node ${target}`,
         });
       const node = found[0]!;
-      const on = ask.method !== 'DELETE';
+      const on = request.method !== 'DELETE';
       if (node.role === 'store') {
-        if (ask.method !== 'GET') {
-          const { value: taken } = await n.membership.core.request({ type: 'drain', id: node.id, on }, duration.s(4));
-          if (!taken) return json(say, 409, { error: 'too_few', message: 'too few stores would be left' });
+        if (request.method !== 'GET') {
+          const { value: accepted } = await self.membership.core.request(
+            { type: 'drain', id: node.id, on },
+            duration.s(4),
+          );
+          if (!accepted) return sendJson(response, 409, { error: 'too_few', message: 'too few stores would be left' });
         }
         const { state: now, repaired } = (await read()).value;
-        const k = now.storeGroup;
-        const how = drainState(now, node, repaired);
-        const safe = how === 'safe';
-        const progress = { ...drainWords, unknown: '', 'too-few': '', 'not draining': 'not draining' }[how];
-        return json(say, 200, {
+        const group = now.storeGroup;
+        const progress = drainState(now, node, repaired);
+        const safe = progress === 'safe';
+        const text = { ...drainTexts, unknown: '', 'too-few': '', 'not draining': 'not draining' }[progress];
+        return sendJson(response, 200, {
           node: node.name,
           id: node.id,
-          state: progress,
+          state: text,
           safe,
-          members: k.members.length,
-          mark: k.mark,
-          swept: k.swept,
+          members: group.members.length,
+          mark: group.mark,
+          swept: group.swept,
         });
       }
-      if (!on) return json(say, 400, { error: 'bad_method', message: "only a store's drain can be taken back" });
+      if (!on)
+        return sendJson(response, 400, { error: 'bad_method', message: "only a store's drain can be taken back" });
       if (node.role === 'coordinator')
-        return json(say, 400, {
+        return sendJson(response, 400, {
           error: 'bad_role',
           message: 'coordinators are replaced, not drained: stop one and start another',
         });
-      if (ask.method !== 'GET') await n.rpc.request(node.place, 'node.drain', { to: node.id }, duration.s(2));
-      return json(say, 200, { node: node.name, id: node.id, state: 'leaving', safe: false });
+      if (request.method !== 'GET') await self.rpc.request(node.place, 'node.drain', { to: node.id }, duration.s(2));
+      return sendJson(response, 200, { node: node.name, id: node.id, state: 'leaving', safe: false });
     };
-    const agreed = async (say: HttpResponseWriter, what: string, ask: HttpRequest): Promise<void> => {
-      const { index: seq, value } = await read();
-      const s = value.state;
-      /** Callers know roles by their encoded names; so does the order of the rows. */
+    /** Answers a GET of the agreed state. */
+    const agreed = async (response: HttpResponseWriter, what: string, request: HttpRequest): Promise<void> => {
+      const { index: version, value } = await read();
+      const state = value.state;
+      /** Rows with the encoded role names, in the order of these names. */
       const nodes = (): unknown =>
-        Object.values(s.nodes)
+        Object.values(state.nodes)
           .map(nodeCodec.encode)
           .sort((a, b) => (a.role + a.name < b.role + b.name ? -1 : 1));
       switch (what) {
         case 'config': {
-          const mark = ask.query['mark'];
+          const mark = request.query['mark'];
           if (mark === undefined)
-            return json(
-              say,
+            return sendJson(
+              response,
               200,
-              { mark: s.config.mark, config: s.config.value, raw: s.config.raw },
-              { etag: `"${s.config.mark}"` },
+              { mark: state.config.mark, config: state.config.value, raw: state.config.raw },
+              { etag: `"${state.config.mark}"` },
             );
-          const past = s.config.history.find((x) => String(x.mark) === mark);
+          const past = state.config.history.find((entry) => String(entry.mark) === mark);
           return past
-            ? json(say, 200, { mark: past.mark, raw: past.raw, now: s.config.mark })
-            : json(say, 404, { error: 'no_such_mark', message: `no configuration with mark ${mark} is kept` });
+            ? sendJson(response, 200, { mark: past.mark, raw: past.raw, now: state.config.mark })
+            : sendJson(response, 404, { error: 'no_such_mark', message: `no configuration with mark ${mark} is kept` });
         }
         case 'history':
-          return json(say, 200, {
-            mark: s.config.mark,
-            history: s.config.history.map((x) => ({
-              mark: x.mark,
-              pushed: new Date(x.at / 1000).toISOString(),
-              push: x.push,
-              bytes: JSON.stringify(x.raw).length,
+          return sendJson(response, 200, {
+            mark: state.config.mark,
+            history: state.config.history.map((past) => ({
+              mark: past.mark,
+              pushed: new Date(past.at / 1000).toISOString(),
+              push: past.push,
+              bytes: JSON.stringify(past.raw).length,
             })),
           });
         case 'classes':
-          return json(say, 200, { mark: s.config.mark, classes: s.config.value?.classes ?? {} });
+          return sendJson(response, 200, { mark: state.config.mark, classes: state.config.value?.classes ?? {} });
         case 'nodes':
-          return json(say, 200, { mark: seq, nodes: nodes() });
+          return sendJson(response, 200, { mark: version, nodes: nodes() });
         case 'workers':
-          return json(say, 200, { mark: seq, workers: value.news?.workers ?? [] });
+          return sendJson(response, 200, { mark: version, workers: value.news?.workers ?? [] });
         case 'duties':
-          return json(say, 200, { mark: seq, duties: value.news?.duties ?? {} });
+          return sendJson(response, 200, { mark: version, duties: value.news?.duties ?? {} });
         case 'loads':
-          return json(say, 200, { mark: seq, loads: value.news?.loads ?? {} });
+          return sendJson(response, 200, { mark: version, loads: value.news?.loads ?? {} });
         case 'marks':
-          return json(say, 200, {
-            mark: seq,
+          return sendJson(response, 200, {
+            mark: version,
             view: value.term,
-            order: seq,
-            config: s.config.mark,
-            [fieldNames.stores]: s.storeGroup.mark,
-            swept: s.storeGroup.swept,
+            order: version,
+            config: state.config.mark,
+            [fieldNames.stores]: state.storeGroup.mark,
+            swept: state.storeGroup.swept,
           });
         case fieldNames.stores:
-          return json(say, 200, { ...s.storeGroup, group: s.storeGroup.mark, mark: seq });
+          return sendJson(response, 200, { ...state.storeGroup, group: state.storeGroup.mark, mark: version });
         case 'programs': {
-          const limit = Math.min(500, Math.max(1, Number(ask.query['limit'] ?? 100) || 100));
-          return json(say, 200, { mark: seq, programs: await programs(s, ask.query['after'] ?? '', limit) });
+          const limit = Math.min(500, Math.max(1, Number(request.query['limit'] ?? 100) || 100));
+          return sendJson(response, 200, {
+            mark: version,
+            programs: await programs(state, request.query['after'] ?? '', limit),
+          });
         }
         case 'registers': {
-          const limit = Math.min(500, Math.max(1, Number(ask.query['limit'] ?? 200) || 200));
-          const rows = await keysAfter(s, ask.query['after'] ?? '', limit);
-          return json(say, 200, {
-            mark: seq,
-            registers: rows.map((r) => ({
-              key: r.key,
-              kind: r.key.split('/')[0],
-              ballot: r.accepted.join('.'),
-              copies: r.copies,
-              members: s.storeGroup.members.length,
-              until: r.until,
+          const limit = Math.min(500, Math.max(1, Number(request.query['limit'] ?? 200) || 200));
+          const rows = await keysAfter(state, request.query['after'] ?? '', limit);
+          return sendJson(response, 200, {
+            mark: version,
+            registers: rows.map((row) => ({
+              key: row.key,
+              kind: row.key.split('/')[0],
+              ballot: row.accepted.join('.'),
+              copies: row.copies,
+              members: state.storeGroup.members.length,
+              until: row.until,
             })),
           });
         }
         case 'status': {
-          const live = agreedState.liveNodes(s);
-          return json(say, 200, {
-            mark: seq,
+          const live = agreedState.liveNodes(state);
+          return sendJson(response, 200, {
+            mark: version,
             view: value.term,
             [fieldNames.coordinators]: value.members.length,
-            config: s.config.mark,
+            config: state.config.mark,
             [fieldNames.stores]: {
-              mark: s.storeGroup.mark,
-              members: s.storeGroup.members.length,
-              swept: s.storeGroup.swept === s.storeGroup.mark,
-              draining: s.storeGroup.draining.length,
+              mark: state.storeGroup.mark,
+              members: state.storeGroup.members.length,
+              swept: state.storeGroup.swept === state.storeGroup.mark,
+              draining: state.storeGroup.draining.length,
             },
             nodes: Object.fromEntries(
-              roleCodec.roles.map((role) => [roleCodec.encode(role), live.filter((x) => x.role === role).length]),
+              roleCodec.roles.map((role) => [roleCodec.encode(role), live.filter((node) => node.role === role).length]),
             ),
-            dead: Object.values(s.nodes).length - live.length,
+            dead: Object.values(state.nodes).length - live.length,
             workers: (value.news?.workers ?? []).length,
-            leaving: (value.news?.workers ?? []).filter((w) => w.leaving).length,
+            leaving: (value.news?.workers ?? []).filter((worker) => worker.leaving).length,
           });
         }
         default:
-          return json(say, 404, { error: 'no_such_path', message: `nothing is served at ${ask.path}` });
+          return sendJson(response, 404, { error: 'no_such_path', message: `nothing is served at ${request.path}` });
       }
     };
-    return async (ask, say) => {
+    return async (request, response) => {
       try {
-        if (ask.path === '/ready' && ask.method === 'GET') {
-          const r = n.ready();
-          return json(say, r.ok ? 200 : 503, { ready: r.ok, why: r.why }, r.ok ? {} : { 'retry-after': '1' });
+        if (request.path === '/ready' && request.method === 'GET') {
+          const readiness = self.ready();
+          return sendJson(
+            response,
+            readiness.ok ? 200 : 503,
+            { ready: readiness.ok, why: readiness.why },
+            readiness.ok ? {} : { 'retry-after': '1' },
+          );
         }
-        if (ask.path === '/metrics' && ask.method === 'GET') {
-          const text = `${metrics(n)}${(await n.metrics?.()) ?? ''}`;
-          say.writeHead(200, { 'content-type': 'text/plain; version=0.0.4' });
-          say.end(text);
+        if (request.path === '/metrics' && request.method === 'GET') {
+          const text = `${countMetrics(self)}${(await self.metrics?.()) ?? ''}`;
+          response.writeHead(200, { 'content-type': 'text/plain; version=0.0.4' });
+          response.end(text);
           return;
         }
-        if (!ask.path.startsWith(`${root}/`))
-          return json(say, 404, { error: 'no_such_path', message: `nothing is served at ${ask.path}` });
-        const words = decoded(ask.path.slice(root.length + 1));
-        if (!words) return json(say, 400, { error: 'bad_field', field: 'path' });
-        const [what = '', target = ''] = words;
-        if (what === 'config' && (ask.method === 'PUT' || ask.method === 'PATCH')) return await push(ask, say);
-        if (what === 'drain' && target && ['POST', 'DELETE', 'GET'].includes(ask.method))
-          return await drain(ask, say, target);
-        if (what === 'node' && ask.method === 'GET')
-          return json(say, 200, {
-            id: n.membership.id,
-            name: n.name,
-            role: roleCodec.encode(n.role),
-            place: n.rpc.address,
-            mark: n.membership.index(),
-            inRoster: n.membership.isMember(),
-            stale: n.membership.stale(),
-            counts: n.counts(),
+        if (!request.path.startsWith(`${apiRoot}/`))
+          return sendJson(response, 404, { error: 'no_such_path', message: `nothing is served at ${request.path}` });
+        const segments = decodePath(request.path.slice(apiRoot.length + 1));
+        if (!segments) return sendJson(response, 400, { error: 'bad_field', field: 'path' });
+        const [what = '', target = ''] = segments;
+        if (what === 'config' && (request.method === 'PUT' || request.method === 'PATCH'))
+          return await push(request, response);
+        if (what === 'drain' && target && ['POST', 'DELETE', 'GET'].includes(request.method))
+          return await drain(request, response, target);
+        if (what === 'node' && request.method === 'GET')
+          return sendJson(response, 200, {
+            id: self.membership.id,
+            name: self.name,
+            role: roleCodec.encode(self.role),
+            place: self.rpc.address,
+            mark: self.membership.index(),
+            inRoster: self.membership.isMember(),
+            stale: self.membership.stale(),
+            counts: self.counts(),
           });
-        if (ask.method !== 'GET') return json(say, 405, { error: 'bad_method' });
-        return await agreed(say, what, ask);
-      } catch (e) {
-        if (say.isClosed()) return;
-        json(
-          say,
+        if (request.method !== 'GET') return sendJson(response, 405, { error: 'bad_method' });
+        return await agreed(response, what, request);
+      } catch (error) {
+        if (response.isClosed()) return;
+        sendJson(
+          response,
           503,
-          { error: 'not_agreed', message: fault.text(e), ran: ask.method === 'GET' ? 'no' : 'unknown' },
+          { error: 'not_agreed', message: fault.text(error), ran: request.method === 'GET' ? 'no' : 'unknown' },
           { 'retry-after': '1' },
         );
       }
--- a/packages/admin-api/test/former-json.test.ts
+++ b/packages/admin-api/test/former-json.test.ts
@@ -1,7 +1,7 @@
-// The operators' HTTP answers in the bytes of the release before (§7.3): the texts here were written by it.
+// The HTTP admin API answers byte for byte as the previous release, which wrote the expected texts here (§7.3).
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { signal, type SignalNode } from '@thornsail/admin-api';
+import { adminApi, type AdminApiNode } from '@thornsail/admin-api';
 import { agreedState } from '@thornsail/consensus';
 import type { AgreedState, CoreRequest, NodeEntry, NodeRole } from '@thornsail/consensus';
 import { duration, type HttpRequest, type HttpResponseWriter } from '@thornsail/runtime';
@@ -42,8 +42,8 @@
   return request.type === 'read' ? { state, term: 3, members, news, repaired: true } : true;
 };
 
-/** A gateway whose coordinators answer at once, and whose time passes with each look at the clock. */
-const gateway = (): SignalNode => {
+/** A gateway whose coordinators answer at once; its clock advances by 3 seconds each time that it is read. */
+const gateway = (): AdminApiNode => {
   let now = 0;
   const clock = { now: () => (now += duration.s(3)), wallTime: () => startedAt, schedule: () => () => undefined };
   const core = { request: (request: CoreRequest) => Promise.resolve({ index: 47, value: valueOf(request) }) };
@@ -58,7 +58,7 @@
     counts: () => ({ a: 1 }),
     drain: () => Promise.resolve(),
   };
-  return node as unknown as SignalNode;
+  return node as unknown as AdminApiNode;
 };
 const call = async (method: string, path: string, headers: Record<string, string> = {}): Promise<string> => {
   let text = '';
@@ -68,7 +68,7 @@
     isClosed: () => false,
   } as unknown as HttpResponseWriter;
   const request = { method, path: `/thornsail/v1/${path}`, query: {}, body: '{}', headers, bodyTooLarge: false };
-  await signal.handler(gateway())(request as unknown as HttpRequest, response);
+  await adminApi.handler(gateway())(request as unknown as HttpRequest, response);
   return text;
 };
 
@@ -100,17 +100,17 @@
   loads: '200 {"mark":47,"loads":{}}',
 };
 for (const [path, answer] of Object.entries(answers))
-  test(`GET ${path} answers in the bytes of the release before`, async () => {
+  test(`GET ${path} answers byte for byte as in the previous release`, async () => {
     assert.is(await call('GET', path), answer);
   });
-test('a push that is not confirmed names the gateways in the field of the release before', async () => {
+test('an unconfirmed push names the gateways in the field of the previous release', async () => {
   assert.is(
     await call('PATCH', 'config', { 'if-match': '0', 'push-id': 'p1' }),
     '503 {"error":"unconfirmed","mark":1,"push":"p1","fronts":["front4"],' +
       '"message":"taken as 1, but not known to be in use at front4"}',
   );
 });
-test('a drain answers in the bytes of the release before, for a store and for a gateway', async () => {
+test('a drain answers byte for byte as in the previous release, for a store and for a gateway', async () => {
   assert.is(
     await call('POST', 'drain/keeper5'),
     '200 {"node":"keeper5","id":"keeper-5","state":"copying to the new group","safe":false,"members":1,"mark":2,' +
--- a/packages/config-schema/src/deprecated-names.ts
+++ b/packages/config-schema/src/deprecated-names.ts
@@ -1,10 +1,10 @@
 /**
- * Names of earlier releases that settings still take: roles, and keys of the options of a role. This is the only place
- * in the packages that knows them; the command line's own are in `programs/thornsail/src/deprecated-names.ts`.
+ * Deprecated names that settings still accept: roles, and option keys of a role. No other module of the packages knows
+ * them; those of the command line alone are in `programs/thornsail/src/deprecated-names.ts`.
  */
 import type { Role } from './index.js';
 
-/** The release that no longer takes these names. */
+/** The release that no longer accepts these names. */
 export const deprecatedNamesRemovedIn = '0.3.0';
 
 const currentRoles: Readonly<Record<string, Role>> = {
@@ -18,29 +18,34 @@
   coordinator: { leastKeepers: 'leastStores' },
 };
 
-/** What a name stands for now, and one line for the operator if it is a deprecated one. */
+/** The current name for a given name, with one warning for the operator if the given name is deprecated. */
 export type CurrentName = { name: string; warnings: string[] };
-/** Settings with the current keys, and one line for the operator for each deprecated one. */
+/** Settings under their current keys, with one warning for the operator for each deprecated key. */
 export type CurrentSettings = { settings: Record<string, unknown>; warnings: string[] };
 
-/** The line that an operator reads when a deprecated name is used. */
+/** The warning for the operator that a deprecated name is used. */
 export const deprecationWarning = (deprecated: string, current: string): string =>
   `${deprecated} is deprecated and goes in ${deprecatedNamesRemovedIn}: use ${current}`;
 
 const currentNameIn = (names: Readonly<Record<string, string>>, name: string): string =>
   Object.hasOwn(names, name) ? names[name]! : name;
 
-/** Translates names of earlier releases into those of this one; every other name is given back unchanged. */
+/** Translates deprecated names into current ones; every other name is returned unchanged. */
 export const deprecatedNames = {
+  /** The current name of a role. */
   role: (name: string): CurrentName => {
     const current = currentNameIn(currentRoles, name);
     return { name: current, warnings: current === name ? [] : [deprecationWarning(name, current)] };
   },
+  /** The current name of an option key of a role. */
   key: (role: Role, key: string): CurrentName => {
     const current = currentNameIn(currentKeys[role] ?? {}, key);
     return { name: current, warnings: current === key ? [] : [deprecationWarning(key, current)] };
   },
-  /** A deprecated key stays as it is, and fails the check as unknown, if its current name is given beside it. */
+  /**
+   * The settings of a role under current keys. If a setting is given under both names, the deprecated key is left as it
+   * is, so that the check rejects it as unknown.
+   */
   settings: (role: Role, given: Readonly<Record<string, unknown>>): CurrentSettings => {
     const settings: Record<string, unknown> = {};
     const warnings: string[] = [];
--- a/packages/config-schema/test/deprecated-names.test.ts
+++ b/packages/config-schema/test/deprecated-names.test.ts
@@ -1,4 +1,4 @@
-// Settings of the release before, as its examples had them, still pass the check; each deprecated name is reported.
+// The example settings of the previous release still pass the check, and each deprecated name in them is reported.
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { configSchema, deprecatedNames, deprecatedNamesRemovedIn, type Role } from '@thornsail/config-schema';
@@ -7,8 +7,8 @@
 const data = '/var/lib/thornsail';
 const founders = ['10.0.3.1:7101', '10.0.3.2:7101', '10.0.3.3:7101'];
 const zone = 'z1';
-/** The settings files of examples/ in release 0.1, by the role's name in it. */
-const filesOfBefore: Record<string, Record<string, unknown>> = {
+/** The settings files in examples/ of release 0.1, by the role names of that release. */
+const previousFiles: Record<string, Record<string, unknown>> = {
   front: { name: 'front1', place: '10.0.1.1:7201', http: '10.0.1.1:7202', zone, seeds, pilot: '10.0.1.1:7101' },
   pilot: { name: 'pilot1', place: '10.0.1.1:7101', http: '10.0.1.1:7102', zone, seeds, platform: '10.0.6.1:7400' },
   keeper: { name: 'keeper1', place: '10.0.2.1:7101', http: '10.0.2.1:7102', zone, seeds, data },
@@ -16,19 +16,19 @@
 };
 const roleNamed = (name: string): Role => {
   const current = deprecatedNames.role(name).name;
-  if (!configSchema.isRole(current)) throw new Error(`${name} is no role`);
+  if (!configSchema.isRole(current)) throw new Error(`${name} is not a role`);
   return current;
 };
 
-test('each settings file of the release before passes the check of its role', () => {
-  for (const [name, file] of Object.entries(filesOfBefore)) {
+test('each settings file of the previous release passes the check of its role', () => {
+  for (const [name, file] of Object.entries(previousFiles)) {
     const role = roleNamed(name);
     const checked = configSchema.options(role, deprecatedNames.settings(role, file).settings);
     assert.equal(checked.ok ? [] : checked.problems, [], name);
   }
 });
-test('each deprecated role and key is given its current name and one warning that names both and the release', () => {
-  const used = [
+test('each deprecated role and key maps to its current name, with one warning that names both and the release', () => {
+  const cases = [
     ['front', 'gateway', deprecatedNames.role('front')],
     ['pilot', 'agent', deprecatedNames.role('pilot')],
     ['tower', 'coordinator', deprecatedNames.role('tower')],
@@ -36,8 +36,8 @@
     ['pilot', 'agent', deprecatedNames.key('gateway', 'pilot')],
     ['leastKeepers', 'leastStores', deprecatedNames.key('coordinator', 'leastKeepers')],
   ] as const;
-  for (const [deprecated, current, got] of used)
-    assert.equal(got, {
+  for (const [deprecated, current, actual] of cases)
+    assert.equal(actual, {
       name: current,
       warnings: [`${deprecated} is deprecated and goes in ${deprecatedNamesRemovedIn}: use ${current}`],
     });
@@ -47,21 +47,21 @@
     const result = configSchema.options(role, deprecatedNames.settings(role, given).settings);
     return result.ok ? result.value : result.problems;
   };
-  const gateway = checked('gateway', filesOfBefore['front']!) as { agent?: string };
+  const gateway = checked('gateway', previousFiles['front']!) as { agent?: string };
   assert.is(gateway.agent, '10.0.1.1:7101');
-  const coordinator = checked('coordinator', { ...filesOfBefore['tower'], leastKeepers: 5 }) as {
+  const coordinator = checked('coordinator', { ...previousFiles['tower'], leastKeepers: 5 }) as {
     leastStores?: number;
   };
   assert.is(coordinator.leastStores, 5);
 });
-test('current names pass unchanged and without a warning, and a key is deprecated only for its own role', () => {
+test('current names are unchanged and give no warning, and a key is deprecated only for its own role', () => {
   for (const role of ['gateway', 'agent', 'coordinator', 'store', 'nosuch', 'constructor'])
     assert.equal(deprecatedNames.role(role), { name: role, warnings: [] });
   assert.equal(deprecatedNames.settings('gateway', { agent: 'x' }), { settings: { agent: 'x' }, warnings: [] });
   assert.equal(deprecatedNames.settings('store', { pilot: 'x' }), { settings: { pilot: 'x' }, warnings: [] });
 });
-test('a key under both names is a problem, whichever comes first', () => {
-  const { pilot, ...rest } = filesOfBefore['front']!;
+test('a key given under both names is rejected, whichever comes first', () => {
+  const { pilot, ...rest } = previousFiles['front']!;
   const agent = '10.0.9.9:7101';
   for (const given of [
     { ...rest, pilot, agent },
--- a/packages/data-plane/src/plan.ts
+++ b/packages/data-plane/src/plan.ts
@@ -2,7 +2,7 @@
  * Parses and validates a request of the product API into a plan, before anything else is done with it (§5.1). Pure
  * functions: no I/O.
  */
-import type { ClassOf, Config } from '@thornsail/config-schema';
+import type { ClassConfig, Config } from '@thornsail/config-schema';
 import { createHash } from 'node:crypto';
 import { duration, type HttpRequest, type Microseconds } from '@thornsail/runtime';
 import { errors, type ErrorCode } from './errors.js';
@@ -12,7 +12,7 @@
   kind: 'chat';
   className: string;
   /** Settings of the class. */
-  classSettings: ClassOf;
+  classSettings: ClassConfig;
   program: string;
   /** The idempotency key. */
   key: string | null;
@@ -33,7 +33,7 @@
 export type JobPlan = {
   kind: 'job';
   className: string;
-  classSettings: ClassOf;
+  classSettings: ClassConfig;
   key: string | null;
   sum: string;
   once: boolean;
--- a/packages/query-shell/src/index.ts
+++ b/packages/query-shell/src/index.ts
@@ -1,22 +1,35 @@
-// query shell: a small query language over the fleet's state (§7.5). A query is planned first, as data, then run on
-// rows.
-//   TABLE [where COND [and COND ...]] [show COL, COL ...] [sort COL [down]] [limit N] | TABLE ... count [by COL]
+/**
+ * A small query language over the state of the cluster (§7.5). `parse` turns a query into a plain object, which `run`
+ * applies to rows.
+ *
+ *   TABLE [where COND [and COND ...]] [show COL, COL ...] [sort COL [down]] [limit N] | TABLE ... count [by COL]
+ */
+
+/** One row of a table, by column. */
 export type Row = Record<string, unknown>;
-export type Cond = { col: string; op: '=' | '!=' | '<' | '<=' | '>' | '>=' | '~'; value: string };
+/** A condition on one column; `~` means that the value contains the text. */
+export type Condition = { column: string; op: '=' | '!=' | '<' | '<=' | '>' | '>=' | '~'; value: string };
+/** A parsed query; a clause that was not given is null or empty. `sort.down` means descending order. */
 export type Query = {
   table: string;
-  where: Cond[];
+  where: Condition[];
   show: string[] | null;
-  sort: { col: string; down: boolean } | null;
+  sort: { column: string; down: boolean } | null;
   limit: number | null;
   count: { by: string | null } | null;
 };
-export type Parsed = { ok: true; query: Query } | { ok: false; text: string };
+/** The query, or an error message for the user. */
+export type ParseResult = { ok: true; query: Query } | { ok: false; text: string };
+/** The columns of each table, with its description in the help. */
 export type Tables = Record<string, { columns: string[]; text: string }>;
 
+/** The tables that can be queried; the names of tables and columns are those of the admin API. */
 export const tables: Tables = {
-  nodes: { columns: ['name', 'role', 'zone', 'standing', 'place', 'http', 'inc', 'id', 'since'], text: 'the roster' },
-  workers: { columns: ['id', 'at', 'kind', 'leaving'], text: 'workers as the platform lists them' },
+  nodes: {
+    columns: ['name', 'role', 'zone', 'standing', 'place', 'http', 'inc', 'id', 'since'],
+    text: 'the members of the cluster',
+  },
+  workers: { columns: ['id', 'at', 'kind', 'leaving'], text: 'workers as listed by the platform' },
   classes: {
     columns: [
       'name',
@@ -41,173 +54,196 @@
     columns: ['gateway', 'worker', 'class', 'running', 'tokens', 'paused'],
     text: 'running turns by gateway, worker and class',
   },
-  marks: { columns: ['name', 'mark'], text: 'marks of the view, the order, the configuration and the store group' },
-  duties: { columns: ['name', 'by', 'mark'], text: 'who holds which duty' },
+  marks: {
+    columns: ['name', 'mark'],
+    text: 'versions of the view, the agreed state, the configuration and the store group',
+  },
+  duties: { columns: ['name', 'by', 'mark'], text: 'holders of the leases' },
   registers: { columns: ['key', 'kind', 'ballot', 'copies', 'members', 'until'], text: 'registers on the stores' },
 };
 
-type Token = { text: string; at: number; quoted: boolean };
-const tokens = (s: string): Token[] | { bad: number } => {
-  const out: Token[] = [];
-  const re = /\s*(?:"([^"]*)"|(!=|<=|>=|[=<>~,])|([^\s=<>~,!"]+))/gy;
-  let at = 0;
-  while (at < s.trimEnd().length) {
-    re.lastIndex = at;
-    const m = re.exec(s);
-    if (!m) return { bad: at };
-    out.push({ text: m[1] ?? m[2] ?? m[3]!, at, quoted: m[1] !== undefined });
-    at = re.lastIndex;
+type Token = { text: string; offset: number; quoted: boolean };
+/** Splits a query into tokens, or returns the offset (`bad`) at which no token could be read. */
+const tokenize = (source: string): Token[] | { bad: number } => {
+  const tokens: Token[] = [];
+  const tokenPattern = /\s*(?:"([^"]*)"|(!=|<=|>=|[=<>~,])|([^\s=<>~,!"]+))/gy;
+  let offset = 0;
+  while (offset < source.trimEnd().length) {
+    tokenPattern.lastIndex = offset;
+    const match = tokenPattern.exec(source);
+    if (!match) return { bad: offset };
+    tokens.push({ text: match[1] ?? match[2] ?? match[3]!, offset, quoted: match[1] !== undefined });
+    offset = tokenPattern.lastIndex;
   }
-  return out;
+  return tokens;
 };
-const ops = ['=', '!=', '<', '<=', '>', '>=', '~'];
+const operators = ['=', '!=', '<', '<=', '>', '>=', '~'];
 
-/** A value as text: objects as JSON, everything else as it prints. */
+/** A value as text: strings as they are, other values as JSON. */
 const textOf = (value: unknown): string => (typeof value === 'string' ? value : (JSON.stringify(value) ?? ''));
 
+/** Parses and runs queries. */
 export const queryShell = {
-  parse: (s: string, known: Tables = tables): Parsed => {
-    const no = (text: string): Parsed => ({ ok: false, text });
-    const all = tokens(s);
-    if (!Array.isArray(all)) return no(`column ${all.bad + 1}: cannot be read`);
-    const [first, ...rest] = all;
-    if (!first) return no('an empty query: name a table');
+  /** Parses a query on the given tables. */
+  parse: (source: string, known: Tables = tables): ParseResult => {
+    const fail = (text: string): ParseResult => ({ ok: false, text });
+    const tokens = tokenize(source);
+    if (!Array.isArray(tokens)) return fail(`column ${tokens.bad + 1}: cannot be read`);
+    const [first, ...rest] = tokens;
+    if (!first) return fail('an empty query: name a table');
     if (!Object.hasOwn(known, first.text))
-      return no(`no table "${first.text}"; there are ${Object.keys(known).join(', ')}`);
-    const cols = known[first.text]!.columns;
-    const q: Query = { table: first.text, where: [], show: null, sort: null, limit: null, count: null };
+      return fail(`no table "${first.text}"; there are ${Object.keys(known).join(', ')}`);
+    const columns = known[first.text]!.columns;
+    const query: Query = { table: first.text, where: [], show: null, sort: null, limit: null, count: null };
     let i = 0;
     const next = (): Token | undefined => rest[i++];
-    const word = (): string | undefined => (rest[i]?.quoted ? undefined : rest[i]?.text);
-    const badCol = (c: string | undefined): string =>
-      `no column "${c ?? ''}" in ${q.table}; there are ${cols.join(', ')}`;
+    const peekWord = (): string | undefined => (rest[i]?.quoted ? undefined : rest[i]?.text);
+    const unknownColumn = (column: string | undefined): string =>
+      `no column "${column ?? ''}" in ${query.table}; there are ${columns.join(', ')}`;
     while (i < rest.length) {
-      const w = next()!;
-      if (w.text === 'where' && q.where.length === 0) {
+      const clause = next()!;
+      if (clause.text === 'where' && query.where.length === 0) {
         for (;;) {
-          const col = next()?.text;
-          if (!col || !cols.includes(col)) return no(badCol(col));
-          const op = next()?.text;
-          if (!op || !ops.includes(op)) return no(`after "${col}" one of ${ops.join(' ')} is needed`);
+          const column = next()?.text;
+          if (!column || !columns.includes(column)) return fail(unknownColumn(column));
+          const operator = next()?.text;
+          if (!operator || !operators.includes(operator))
+            return fail(`after "${column}" one of ${operators.join(' ')} is needed`);
           const value = next();
-          if (!value) return no(`a value is needed after "${col} ${op}"`);
-          q.where.push({ col, op: op as Cond['op'], value: value.text });
-          if (word() !== 'and') break;
+          if (!value) return fail(`a value is needed after "${column} ${operator}"`);
+          query.where.push({ column, op: operator as Condition['op'], value: value.text });
+          if (peekWord() !== 'and') break;
           i += 1;
         }
-      } else if (w.text === 'show' && !q.show) {
-        q.show = [];
+      } else if (clause.text === 'show' && !query.show) {
+        query.show = [];
         for (;;) {
-          const col = next()?.text;
-          if (!col || !cols.includes(col)) return no(badCol(col));
-          q.show.push(col);
-          if (word() !== ',') break;
+          const column = next()?.text;
+          if (!column || !columns.includes(column)) return fail(unknownColumn(column));
+          query.show.push(column);
+          if (peekWord() !== ',') break;
           i += 1;
         }
-      } else if (w.text === 'sort' && !q.sort) {
-        const col = next()?.text;
-        if (!col || !cols.includes(col)) return no(badCol(col));
-        const down = word() === 'down';
-        if (down) i += 1;
-        q.sort = { col, down };
-      } else if (w.text === 'limit' && q.limit === null) {
-        const n = next()?.text ?? '';
-        if (!/^[1-9]\d{0,6}$/.test(n)) return no('limit needs a whole number above 0');
-        q.limit = Number(n);
-      } else if (w.text === 'count' && !q.count) {
-        q.count = { by: null };
-        if (word() === 'by') {
+      } else if (clause.text === 'sort' && !query.sort) {
+        const column = next()?.text;
+        if (!column || !columns.includes(column)) return fail(unknownColumn(column));
+        const descending = peekWord() === 'down';
+        if (descending) i += 1;
+        query.sort = { column, down: descending };
+      } else if (clause.text === 'limit' && query.limit === null) {
+        const limit = next()?.text ?? '';
+        if (!/^[1-9]\d{0,6}$/.test(limit)) return fail('limit needs a whole number above 0');
+        query.limit = Number(limit);
+      } else if (clause.text === 'count' && !query.count) {
+        query.count = { by: null };
+        if (peekWord() === 'by') {
           i += 1;
-          const col = next()?.text;
-          if (!col || !cols.includes(col)) return no(badCol(col));
-          q.count.by = col;
+          const column = next()?.text;
+          if (!column || !columns.includes(column)) return fail(unknownColumn(column));
+          query.count.by = column;
         }
-      } else return no(`"${w.text}" is not understood here; try where, show, sort, limit or count`);
+      } else return fail(`"${clause.text}" is not understood here; try where, show, sort, limit or count`);
     }
-    if (q.count && q.show) return no('count and show do not go together');
-    return { ok: true, query: q };
+    if (query.count && query.show) return fail('count and show do not go together');
+    return { ok: true, query };
   },
 
-  run: (q: Query, rows: Row[]): Row[] => {
-    const text = (v: unknown): string => (v === null || v === undefined ? '' : textOf(v));
-    const cmp = (a: unknown, b: unknown): number => {
-      const [x, y] = [Number(text(a)), Number(text(b))];
-      return text(a) !== '' && text(b) !== '' && !Number.isNaN(x) && !Number.isNaN(y)
-        ? x - y
+  /** Applies a query to the rows of its table: filter, then count or sort, then limit and selection of columns. */
+  run: (query: Query, rows: Row[]): Row[] => {
+    const text = (value: unknown): string => (value === null || value === undefined ? '' : textOf(value));
+    /** Compares as numbers if both values are numeric, else as texts. */
+    const compare = (a: unknown, b: unknown): number => {
+      const [left, right] = [Number(text(a)), Number(text(b))];
+      return text(a) !== '' && text(b) !== '' && !Number.isNaN(left) && !Number.isNaN(right)
+        ? left - right
         : text(a) < text(b)
           ? -1
           : text(a) > text(b)
             ? 1
             : 0;
     };
-    const holds = (r: Row, c: Cond): boolean => {
-      const d = cmp(r[c.col], c.value);
-      switch (c.op) {
+    const matches = (row: Row, condition: Condition): boolean => {
+      const order = compare(row[condition.column], condition.value);
+      switch (condition.op) {
         case '=':
-          return d === 0;
+          return order === 0;
         case '!=':
-          return d !== 0;
+          return order !== 0;
         case '<':
-          return d < 0;
+          return order < 0;
         case '<=':
-          return d <= 0;
+          return order <= 0;
         case '>':
-          return d > 0;
+          return order > 0;
         case '>=':
-          return d >= 0;
+          return order >= 0;
         case '~':
-          return text(r[c.col]).includes(c.value);
+          return text(row[condition.column]).includes(condition.value);
       }
     };
-    let out = rows.filter((r) => q.where.every((c) => holds(r, c)));
-    if (q.count) {
-      const by = q.count.by;
-      if (by === null) return [{ count: out.length }];
-      const n = new Map<string, number>();
-      for (const r of out) n.set(text(r[by]), (n.get(text(r[by])) ?? 0) + 1);
-      out = [...n].sort(([a], [b]) => cmp(a, b)).map(([k, c]) => ({ [by]: k, count: c }));
+    let result = rows.filter((row) => query.where.every((condition) => matches(row, condition)));
+    if (query.count) {
+      const by = query.count.by;
+      if (by === null) return [{ count: result.length }];
+      const counts = new Map<string, number>();
+      for (const row of result) counts.set(text(row[by]), (counts.get(text(row[by])) ?? 0) + 1);
+      result = [...counts].sort(([a], [b]) => compare(a, b)).map(([value, count]) => ({ [by]: value, count }));
     }
-    const sort = q.sort;
-    if (sort && !q.count) out = [...out].sort((a, b) => cmp(a[sort.col], b[sort.col]) * (sort.down ? -1 : 1));
-    if (q.limit !== null) out = out.slice(0, q.limit);
-    const show = q.show;
-    return show ? out.map((r) => Object.fromEntries(show.map((c) => [c, r[c]]))) : out;
+    const sort = query.sort;
+    if (sort && !query.count)
+      result = [...result].sort((a, b) => compare(a[sort.column], b[sort.column]) * (sort.down ? -1 : 1));
+    if (query.limit !== null) result = result.slice(0, query.limit);
+    const show = query.show;
+    return show ? result.map((row) => Object.fromEntries(show.map((column) => [column, row[column]]))) : result;
   },
 
-  /** The rows of a table from what a node's operator HTTP says. */
-  rows: (table: string, b: Record<string, unknown>): Row[] => {
-    const v = b[table];
+  /** The rows of a table from the body of the admin API's reply. */
+  rows: (table: string, body: Record<string, unknown>): Row[] => {
+    const content = body[table];
     if (table === 'marks')
-      return ['view', 'order', 'config', 'keepers', 'swept'].map((name) => ({ name, mark: b[name] }));
+      return ['view', 'order', 'config', 'keepers', 'swept'].map((name) => ({ name, mark: body[name] }));
     if (table === 'loads')
       return Object.entries(
-        v as Record<
+        content as Record<
           string,
           { load: { running: Record<string, Record<string, number>> }; tokens: Record<string, number>; paused: number }
         >,
-      ).flatMap(([gateway, e]): Row[] => {
-        const workers = [...new Set([...Object.keys(e.load.running), ...Object.keys(e.tokens)])].sort();
-        return workers.flatMap((w): Row[] =>
-          e.load.running[w]
-            ? Object.entries(e.load.running[w]).map(([cls, n]) => ({
+      ).flatMap(([gateway, report]): Row[] => {
+        const workers = [...new Set([...Object.keys(report.load.running), ...Object.keys(report.tokens)])].sort();
+        return workers.flatMap((worker): Row[] =>
+          report.load.running[worker]
+            ? Object.entries(report.load.running[worker]).map(([className, running]) => ({
                 gateway,
-                worker: w,
-                class: cls,
-                running: n,
-                tokens: e.tokens[w] ?? 0,
-                paused: e.paused,
+                worker,
+                class: className,
+                running,
+                tokens: report.tokens[worker] ?? 0,
+                paused: report.paused,
               }))
-            : [{ gateway, worker: w, class: null, running: 0, tokens: e.tokens[w] ?? 0, paused: e.paused }],
+            : [
+                {
+                  gateway,
+                  worker,
+                  class: null,
+                  running: 0,
+                  tokens: report.tokens[worker] ?? 0,
+                  paused: report.paused,
+                },
+              ],
         );
       });
-    if (Array.isArray(v)) return v as Row[];
-    if (typeof v === 'object' && v !== null) return Object.entries(v).map(([name, x]) => ({ name, ...(x as object) }));
+    if (Array.isArray(content)) return content as Row[];
+    if (typeof content === 'object' && content !== null)
+      return Object.entries(content).map(([name, fields]) => ({ name, ...(fields as object) }));
     return [];
   },
+  /** The help text: tables, grammar and commands. */
   help: (): string =>
     [
       'tables:',
-      ...Object.entries(tables).map(([k, t]) => `  ${k.padEnd(10)} ${t.text}: ${t.columns.join(', ')}`),
+      ...Object.entries(tables).map(
+        ([name, table]) => `  ${name.padEnd(10)} ${table.text}: ${table.columns.join(', ')}`,
+      ),
       'query:  TABLE [where COL OP VALUE [and ...]] [show COL, COL] [sort COL [down]] [limit N] [count [by COL]]',
       'ops:    = != < <= > >= ~ (contains)',
       'more:   help, quit',
--- a/packages/query-shell/test/query-shell.test.ts
+++ b/packages/query-shell/test/query-shell.test.ts
@@ -2,10 +2,10 @@
 import * as assert from 'uvu/assert';
 import { queryShell } from '@thornsail/query-shell';
 
-const ask = (s: string, rows: Record<string, unknown>[]): unknown => {
-  const p = queryShell.parse(s);
-  if (!p.ok) return p.text;
-  return queryShell.run(p.query, rows);
+const runQuery = (source: string, rows: Record<string, unknown>[]): unknown => {
+  const parsed = queryShell.parse(source);
+  if (!parsed.ok) return parsed.text;
+  return queryShell.run(parsed.query, rows);
 };
 const rows = [
   { name: 'a', role: 'store', zone: 'z1', inc: 2 },
@@ -13,22 +13,22 @@
   { name: 'c', role: 'store', zone: 'z2', inc: 9 },
 ];
 
-test('queries', () => {
-  assert.equal(ask('nodes where role=store and zone != z2 show name', rows), [{ name: 'a' }]);
-  assert.equal(ask('nodes sort inc down limit 2 show name, inc', rows), [
+test('queries filter, sort, limit, select and count rows', () => {
+  assert.equal(runQuery('nodes where role=store and zone != z2 show name', rows), [{ name: 'a' }]);
+  assert.equal(runQuery('nodes sort inc down limit 2 show name, inc', rows), [
     { name: 'b', inc: 10 },
     { name: 'c', inc: 9 },
   ]);
-  assert.equal(ask('nodes where inc >= 9 count', rows), [{ count: 2 }]);
-  assert.equal(ask('nodes count by role', rows), [
+  assert.equal(runQuery('nodes where inc >= 9 count', rows), [{ count: 2 }]);
+  assert.equal(runQuery('nodes count by role', rows), [
     { role: 'coordinator', count: 1 },
     { role: 'store', count: 2 },
   ]);
-  assert.equal(ask('nodes where role ~ tor and name = "c"', rows), [rows[2]]);
-  assert.equal(ask('nodes', rows), rows);
+  assert.equal(runQuery('nodes where role ~ tor and name = "c"', rows), [rows[2]]);
+  assert.equal(runQuery('nodes', rows), rows);
 });
-test('bad queries are told plainly what is wrong', () => {
-  const bad: [string, RegExp][] = [
+test('an invalid query gives an error message that names the mistake', () => {
+  const invalid: [string, RegExp][] = [
     ['', /empty/],
     ['nodez', /no table "nodez"; there are nodes/],
     ['nodes where colour = red', /no column "colour"/],
@@ -39,10 +39,10 @@
     ['nodes show name count', /do not go together/],
     ['nodes where name = "a', /column/],
   ];
-  for (const [s, re] of bad) {
-    const r = ask(s, rows);
-    assert.type(r, 'string');
-    assert.match(r as string, re);
+  for (const [source, message] of invalid) {
+    const result = runQuery(source, rows);
+    assert.type(result, 'string');
+    assert.match(result as string, message);
   }
 });
 test.run();
--- a/programs/thornsail/src/bin.ts
+++ b/programs/thornsail/src/bin.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-// The command line (§7.4). Exit codes: 0 done, 1 failed, 2 wrong use or settings, 3 collision, 4 no agreed result.
+/** The command line (§7.4). Exit codes: 0 done, 1 failed, 2 bad use or settings, 3 collision, 4 no agreed result. */
 import { readFileSync } from 'node:fs';
 import { createInterface } from 'node:readline';
 import { stripVTControlCharacters } from 'node:util';
@@ -20,69 +20,72 @@
     'version'
   ] ?? '0';
 
-const lists = new Set(['seeds', 'founders']);
-const numbers = new Set(['beatMs', 'tolerates', 'leastStores']);
-/** A flag's text as its key wants it; what is no number is left for the check to name. */
-const fromFlag = (key: string, v: unknown): unknown => {
-  if (lists.has(key)) return String(v).split(',').filter(Boolean);
-  return numbers.has(key) && /^\d+$/.test(String(v)) ? Number(v) : v;
+const listKeys = new Set(['seeds', 'founders']);
+const numberKeys = new Set(['beatMs', 'tolerates', 'leastStores']);
+/** Converts the text of a flag to the type of its key; a text that is not a number is left for the check to report. */
+const parseFlag = (key: string, value: unknown): unknown => {
+  if (listKeys.has(key)) return String(value).split(',').filter(Boolean);
+  return numberKeys.has(key) && /^\d+$/.test(String(value)) ? Number(value) : value;
 };
-const wrongUse = (text: string): never => {
+/** Prints a usage error and exits with code 2. */
+const usageError = (text: string): never => {
   err(text);
   process.exit(2);
 };
 
-const flagsOnly = (args: Record<string, unknown>, known: string[]): void => {
-  for (const k of Object.keys(args)) if (k !== '_' && !known.includes(k)) wrongUse(`unknown flag --${k}`);
+const rejectUnknownFlags = (args: Record<string, unknown>, known: string[]): void => {
+  for (const flag of Object.keys(args)) if (flag !== '_' && !known.includes(flag)) usageError(`unknown flag --${flag}`);
 };
 const kebabCase = (key: string): string => key.replace(/[A-Z]/g, (letter) => `-${letter.toLowerCase()}`);
-const describe: Record<string, string> = {
-  place: 'address for siblings, ip:port',
+const descriptions: Record<string, string> = {
+  place: 'address for other nodes, ip:port',
   http: 'address for HTTP, ip:port',
   zone: 'zone of this machine',
-  seeds: 'three addresses of other processes, comma between',
+  seeds: 'addresses of three other processes, separated by commas',
   name: 'name of this node',
   data: 'data folder',
-  founders: 'the three places of the first coordinators (coordinators only)',
+  founders: 'the addresses of the three first coordinators (coordinators only)',
   platform: 'address of the platform',
-  agent: 'place of the agent beside this gateway',
+  agent: 'address of the agent on the same machine',
   beatMs: 'milliseconds between two heartbeats',
-  tolerates: 'machines that may be lost at once (coordinators only)',
-  leastStores: 'stores that a drain leaves at least (coordinators only)',
+  tolerates: 'number of machines that may be lost at once (coordinators only)',
+  leastStores: 'minimum number of stores that a drain leaves (coordinators only)',
 };
 
 const roleCommand = (role: Role, text: string): CommandDef => {
   const keys = configSchema.keys(role);
-  const args: ArgsDef = { 'settings': { type: 'string', description: 'settings file (JSON); flags go first' } };
-  for (const k of keys) args[k] = { type: 'string', description: describe[k] ?? k };
+  const definitions: ArgsDef = {
+    'settings': { type: 'string', description: 'settings file (JSON); flags take precedence' },
+  };
+  for (const key of keys) definitions[key] = { type: 'string', description: descriptions[key] ?? key };
   return defineCommand({
     meta: { name: role, description: text },
-    args,
+    args: definitions,
     run: async ({ args: given }) => {
-      const a = given as Record<string, unknown> & { _: string[] };
-      // citty gives `--beatMs` under `beat-ms` as well.
-      flagsOnly(a, ['settings', ...keys, ...keys.map(kebabCase)]);
-      if (a._.length) wrongUse(`unexpected word ${a._[0]}`);
+      const args = given as Record<string, unknown> & { _: string[] };
+      // citty also provides `--beatMs` as `beat-ms`.
+      rejectUnknownFlags(args, ['settings', ...keys, ...keys.map(kebabCase)]);
+      if (args._.length) usageError(`unexpected word ${args._[0]}`);
       let file: unknown = {};
-      if (typeof a['settings'] === 'string') {
+      if (typeof args['settings'] === 'string') {
         try {
-          file = JSON.parse(readFileSync(a['settings'], 'utf8'));
-        } catch (e) {
-          wrongUse(`settings file ${a['settings']}: ${fault.text(e)}`);
+          file = JSON.parse(readFileSync(args['settings'], 'utf8'));
+        } catch (error) {
+          usageError(`settings file ${args['settings']}: ${fault.text(error)}`);
         }
         if (typeof file !== 'object' || file === null || Array.isArray(file))
-          wrongUse(`settings file ${a['settings']}: an object is needed`);
+          usageError(`settings file ${args['settings']}: an object is needed`);
       }
       const fromFile = deprecatedNames.settings(role, file as Record<string, unknown>);
       for (const warning of fromFile.warnings) err(warning);
       const merged = fromFile.settings;
-      for (const k of keys) if (a[k] !== undefined) merged[k] = fromFlag(k, a[k]);
-      const c = configSchema.options(role, merged);
-      if (!c.ok) {
-        for (const p of c.problems) err(`${p.path}: ${p.text}`);
+      for (const key of keys) if (args[key] !== undefined) merged[key] = parseFlag(key, args[key]);
+      const checked = configSchema.options(role, merged);
+      if (!checked.ok) {
+        for (const problem of checked.problems) err(`${problem.path}: ${problem.text}`);
         process.exit(2);
       }
-      await run(role, c.value as { data?: string });
+      await run(role, checked.value as { data?: string });
     },
   });
 };
@@ -90,20 +93,20 @@
 const run = async (role: Role, options: { data?: string }): Promise<void> => {
   real.enableDefaultLogs();
   const runtime = real.runtime(options.data ?? '/nonexistent');
-  const node = await (roles[role] as (l: Runtime, o: never) => Promise<Node>)(runtime, options as never);
+  const node = await (roles[role] as (runtime: Runtime, options: never) => Promise<Node>)(runtime, options as never);
   out(`${role} listens at http ${node.http}, siblings ${node.place}`);
   if (role === 'gateway') void warmUpGateway(runtime, node);
   node.onFailed((why) => {
     err(why);
     process.exit(1);
   });
-  let asked = 0;
+  let signals = 0;
   const leave = (): void => {
-    asked += 1;
-    if (asked > 1) process.exit(1);
-    // Running turns are finished; nothing is cut off.
-    const work = role === 'gateway' || role === 'agent' ? node.drain() : Promise.resolve();
-    work
+    signals += 1;
+    if (signals > 1) process.exit(1);
+    // A gateway completes its running turns, and an agent is drained as well; a second signal exits at once.
+    const drained = role === 'gateway' || role === 'agent' ? node.drain() : Promise.resolve();
+    drained
       .catch(() => undefined)
       .then(() => node.close())
       .then(
@@ -113,13 +116,13 @@
   };
   process.on('SIGTERM', leave);
   process.on('SIGINT', leave);
-  process.on('unhandledRejection', (e) => {
-    err(`a step failed unhandled: ${fault.text(e)}`);
+  process.on('unhandledRejection', (error) => {
+    err(`unhandled rejection: ${fault.text(error)}`);
     process.exit(1);
   });
 };
 
-const at: ArgsDef = {
+const commonArgs: ArgsDef = {
   at: { type: 'string', description: 'HTTP address of any node, ip:port', default: process.env['THORNSAIL_AT'] ?? '' },
   json: { type: 'boolean', description: 'print JSON' },
 };
@@ -127,174 +130,194 @@
   name: string,
   text: string,
   extra: ArgsDef,
-  fn: (a: Record<string, unknown> & { _: string[] }) => Promise<number>,
+  execute: (args: Record<string, unknown> & { _: string[] }) => Promise<number>,
 ): CommandDef =>
   defineCommand({
     meta: { name, description: text },
-    args: { ...at, ...extra },
+    args: { ...commonArgs, ...extra },
     run: async ({ args: given }) => {
-      const a = given as Record<string, unknown> & { _: string[] };
-      const words = Object.entries(extra).filter(([, d]) => d.type === 'positional').length;
-      flagsOnly(a, [
+      const args = given as Record<string, unknown> & { _: string[] };
+      const positionals = Object.entries(extra).filter(([, definition]) => definition.type === 'positional').length;
+      rejectUnknownFlags(args, [
         'at',
         'json',
         ...Object.keys(extra),
-        ...Object.keys(extra).map((k) => k.replace(/-([a-z])/g, (_m, c: string) => c.toUpperCase())),
+        ...Object.keys(extra).map((key) => key.replace(/-([a-z])/g, (_match, letter: string) => letter.toUpperCase())),
       ]);
-      if (a._.length > words) wrongUse(`unexpected word ${a._[words]}`);
-      if (!a['at']) wrongUse('--at is needed: the HTTP address of any node, ip:port (or THORNSAIL_AT)');
-      if (!/^(\d{1,3}\.){3}\d{1,3}:\d{1,5}$/.test(String(a['at']))) wrongUse('--at: an address "ip:port" is needed');
-      process.exitCode = await fn(a);
+      if (args._.length > positionals) usageError(`unexpected word ${args._[positionals]}`);
+      if (!args['at']) usageError('--at is needed: the HTTP address of any node, ip:port (or THORNSAIL_AT)');
+      if (!/^(\d{1,3}\.){3}\d{1,3}:\d{1,5}$/.test(String(args['at'])))
+        usageError('--at: an address "ip:port" is needed');
+      process.exitCode = await execute(args);
     },
   });
-const op = operator.open({ runtime: real.runtime('/nonexistent'), out, err });
+const commands = operator.open({ runtime: real.runtime('/nonexistent'), out, err });
 const show = (what: string, text: string): CommandDef =>
-  operatorCommand(what, text, {}, (a) => op.show(String(a['at']), what, a['json'] === true));
+  operatorCommand(what, text, {}, (args) => commands.show(String(args['at']), what, args['json'] === true));
 const pushArgs: ArgsDef = {
   file: { type: 'string', description: 'JSON file, or - for standard input', required: true },
-  base: { type: 'string', description: 'the mark that the change is based on (default: the present one)' },
-  'push-id': { type: 'string', description: 'repeating a push with the same id has one effect' },
+  base: { type: 'string', description: 'the mark that the change is based on (default: the current one)' },
+  'push-id': { type: 'string', description: 'id of the push; a push that is repeated with the same id has one effect' },
 };
-const fileText = (a: Record<string, unknown>): string => {
+const fileText = (args: Record<string, unknown>): string => {
   try {
-    const body = readFileSync(a['file'] === '-' ? 0 : String(a['file']), 'utf8');
+    const body = readFileSync(args['file'] === '-' ? 0 : String(args['file']), 'utf8');
     JSON.parse(body);
     return body;
-  } catch (e) {
-    return wrongUse(`--file: ${fault.text(e)}`);
+  } catch (error) {
+    return usageError(`--file: ${fault.text(error)}`);
   }
 };
-const checkBase = (a: Record<string, unknown>): void => {
-  if (a['base'] !== undefined && !/^\d+$/.test(a['base'] as string)) wrongUse('--base: a whole number is needed');
+const checkBase = (args: Record<string, unknown>): void => {
+  if (args['base'] !== undefined && !/^\d+$/.test(args['base'] as string))
+    usageError('--base: a whole number is needed');
 };
-const pushed =
-  (how: 'PUT' | 'PATCH') =>
-  (a: Record<string, unknown>): Promise<number> => {
-    const body = fileText(a);
-    checkBase(a);
-    return op.push(
-      String(a['at']),
-      how,
+const pushCommand =
+  (method: 'PUT' | 'PATCH') =>
+  (args: Record<string, unknown>): Promise<number> => {
+    const body = fileText(args);
+    checkBase(args);
+    return commands.push(
+      String(args['at']),
+      method,
       body,
-      a['base'] as string | undefined,
-      (a['push-id'] ?? a['pushId']) as string | undefined,
-      a['json'] === true,
+      args['base'] as string | undefined,
+      (args['push-id'] ?? args['pushId']) as string | undefined,
+      args['json'] === true,
     );
   };
 
-const shell = async (where: string, query: string | undefined, json: boolean): Promise<number> => {
+const shell = async (at: string, query: string | undefined, json: boolean): Promise<number> => {
   if (query !== undefined) {
     if (query === 'help') {
       out(queryShell.help());
       return 0;
     }
-    return op.query(where, query, json);
+    return commands.query(at, query, json);
   }
-  const rl = createInterface({
+  const terminal = createInterface({
     input: process.stdin,
     ...(process.stdin.isTTY ? { output: process.stdout } : {}),
     prompt: 'thornsail> ',
   });
   let code = 0;
-  rl.prompt();
-  for await (const line of rl) {
+  terminal.prompt();
+  for await (const line of terminal) {
     const text = line.trim();
     if (text === 'quit' || text === 'exit') break;
     if (text === 'help') out(queryShell.help());
-    else if (text !== '') code = (await op.query(where, text, json)) || code;
-    rl.prompt();
+    else if (text !== '') code = (await commands.query(at, text, json)) || code;
+    terminal.prompt();
   }
-  rl.close();
+  terminal.close();
   return code;
 };
 const main = defineCommand({
   meta: { name: 'thornsail', 'version': release, description: 'A serving tier for agent programs.' },
   subCommands: {
-    gateway: roleCommand('gateway', "the reference gateway: takes callers' requests"),
-    agent: roleCommand('agent', 'the daemon beside a gateway'),
+    gateway: roleCommand('gateway', "the reference gateway: serves callers' requests"),
+    agent: roleCommand('agent', 'the daemon on the machine of a gateway'),
     coordinator: roleCommand('coordinator', 'a core node: orders configuration and membership'),
-    store: roleCommand('store', 'a store node: keeps registers'),
+    store: roleCommand('store', 'a store node: stores registers'),
     config: defineCommand({
       meta: { name: 'config', description: 'read and change the configuration' },
       subCommands: {
-        get: operatorCommand('get', 'the agreed configuration', {}, (a) =>
-          op.show(String(a['at']), 'config', a['json'] === true),
+        get: operatorCommand('get', 'the agreed configuration', {}, (args) =>
+          commands.show(String(args['at']), 'config', args['json'] === true),
         ),
-        put: operatorCommand('put', 'replace the whole configuration', pushArgs, pushed('PUT')),
-        history: operatorCommand('history', 'the last few configurations', {}, (a) =>
-          op.show(String(a['at']), 'history', a['json'] === true),
+        put: operatorCommand('put', 'replace the whole configuration', pushArgs, pushCommand('PUT')),
+        history: operatorCommand('history', 'the last few configurations', {}, (args) =>
+          commands.show(String(args['at']), 'history', args['json'] === true),
         ),
         revert: operatorCommand(
           'revert',
           'go back to an earlier configuration, as a new one',
           { to: { type: 'string', description: 'the mark to go back to', required: true } },
-          (a) => {
-            if (!/^\d+$/.test(String(a['to']))) wrongUse('--to: a whole number is needed');
-            return op.revert(String(a['at']), String(a['to']), a['json'] === true);
+          (args) => {
+            if (!/^\d+$/.test(String(args['to']))) usageError('--to: a whole number is needed');
+            return commands.revert(String(args['at']), String(args['to']), args['json'] === true);
           },
         ),
         plan: operatorCommand(
           'plan',
           'show what a JSON Patch would change, without changing it',
           { file: pushArgs['file']! },
-          (a) => op.plan(String(a['at']), fileText(a), a['json'] === true),
+          (args) => commands.plan(String(args['at']), fileText(args), args['json'] === true),
+        ),
+        'json-patch': operatorCommand(
+          'json-patch',
+          'change by JSON Patch; the plan is shown first',
+          pushArgs,
+          (args) => {
+            checkBase(args);
+            return commands.jsonPatch(
+              String(args['at']),
+              fileText(args),
+              args['base'] as string | undefined,
+              (args['push-id'] ?? args['pushId']) as string | undefined,
+              args['json'] === true,
+            );
+          },
+        ),
+        patch: operatorCommand(
+          'patch',
+          'change parts of the configuration (JSON Merge Patch)',
+          pushArgs,
+          pushCommand('PATCH'),
         ),
-        'json-patch': operatorCommand('json-patch', 'change by JSON Patch; the plan is shown first', pushArgs, (a) => {
-          checkBase(a);
-          return op.jsonPatch(
-            String(a['at']),
-            fileText(a),
-            a['base'] as string | undefined,
-            (a['push-id'] ?? a['pushId']) as string | undefined,
-            a['json'] === true,
-          );
-        }),
-        patch: operatorCommand('patch', 'change a part (JSON Merge Patch)', pushArgs, pushed('PATCH')),
       },
     }),
     query: operatorCommand(
       'query',
-      "query the fleet's state: one query, or a shell without one",
+      'query the state of the cluster: a single query, or a shell if none is given',
       { query: { type: 'positional', description: 'a query, quoted', required: false } },
-      (a) => shell(String(a['at']), a['query'] as string | undefined, a['json'] === true),
+      (args) => shell(String(args['at']), args['query'] as string | undefined, args['json'] === true),
     ),
-    check: operatorCommand('check', 'look at every node and say what needs attention', {}, (a) =>
-      op.check(String(a['at']), a['json'] === true),
+    check: operatorCommand('check', 'check every node and report what needs attention', {}, (args) =>
+      commands.check(String(args['at']), args['json'] === true),
     ),
-    status: show('status', 'the fleet in short'),
-    nodes: show('nodes', 'the roster'),
+    status: show('status', 'summary of the cluster'),
+    nodes: show('nodes', 'the members of the cluster'),
     workers: show('workers', 'the workers'),
     classes: show('classes', 'classes of service'),
     programs: show('programs', 'programs and their budgets'),
-    marks: show('marks', 'the marks of views, configuration and groups'),
-    duties: show('duties', 'who holds which duty'),
+    marks: show('marks', 'the versions of views, configuration and groups'),
+    duties: show('duties', 'holders of the leases'),
     drain: operatorCommand(
       'drain',
-      "have a node leave; a store's records are moved first",
+      'remove a node from the cluster; the records of a store are moved first',
       {
-        node: { type: 'positional', description: 'name, id or place of the node', required: true },
-        cancel: { type: 'boolean', description: "take a store's drain back" },
+        node: { type: 'positional', description: 'name, id or address of the node', required: true },
+        cancel: { type: 'boolean', description: 'cancel the drain of a store' },
         wait: { type: 'boolean', description: 'wait until it is safe to remove' },
       },
-      (a) => op.drain(String(a['at']), String(a['node']), a['cancel'] === true, a['wait'] === true, a['json'] === true),
+      (args) =>
+        commands.drain(
+          String(args['at']),
+          String(args['node']),
+          args['cancel'] === true,
+          args['wait'] === true,
+          args['json'] === true,
+        ),
     ),
   },
 });
 
-const resolve = (argv: string[]): CommandDef => {
-  let cmd: CommandDef = main;
-  for (const w of argv) {
-    const subs = cmd.subCommands as Record<string, CommandDef> | undefined;
-    if (!subs || w.startsWith('-') || !Object.hasOwn(subs, w)) break;
-    cmd = subs[w]!;
+/** The command that the arguments name, for its help. */
+const commandOf = (argv: string[]): CommandDef => {
+  let command: CommandDef = main;
+  for (const word of argv) {
+    const subCommands = command.subCommands as Record<string, CommandDef> | undefined;
+    if (!subCommands || word.startsWith('-') || !Object.hasOwn(subCommands, word)) break;
+    command = subCommands[word]!;
   }
-  return cmd;
+  return command;
 };
 const start = async (): Promise<void> => {
   const { args: argv, warnings } = currentCommandLine(process.argv.slice(2));
   for (const warning of warnings) err(warning);
   if (argv.includes('--help') || argv.includes('-h')) {
-    out(await renderUsage(resolve(argv)));
+    out(await renderUsage(commandOf(argv)));
     return;
   }
   if (argv[0] === '--version' || argv[0] === '-v') {
@@ -308,9 +331,9 @@
   }
   try {
     await runCommand(main, { rawArgs: argv });
-  } catch (e) {
-    const code = (e as { code?: string }).code ?? '';
-    err(fault.text(e));
+  } catch (error) {
+    const code = (error as { code?: string }).code ?? '';
+    err(fault.text(error));
     process.exitCode = /^E_|UNKNOWN|MISSING|ARG/i.test(code) && code !== 'EADDRINUSE' ? 2 : 1;
     if (process.exitCode === 1) process.exit(1);
   }
--- a/programs/thornsail/src/deprecated-names.ts
+++ b/programs/thornsail/src/deprecated-names.ts
@@ -1,12 +1,12 @@
 /**
- * Commands and flags of earlier releases that the command line still takes. Roles and settings keys are those of
- * `@thornsail/config-schema`; this module adds the commands that are no role.
+ * Deprecated commands and flags that the command line still accepts. Those of roles and settings keys come from
+ * `@thornsail/config-schema`; this module adds the commands that are not roles.
  */
 import { configSchema, deprecatedNames, deprecationWarning, type Role } from '@thornsail/config-schema';
 
 const currentCommands: Readonly<Record<string, string>> = { glass: 'query' };
 
-/** A command line in the names of this release, and one line for the operator for each deprecated name. */
+/** A command line in current names, with one warning for the operator for each deprecated name. */
 export type CurrentCommandLine = { args: string[]; warnings: string[] };
 
 const currentCommand = (command: string): { name: string; warnings: string[] } => {
@@ -15,7 +15,7 @@
   return { name, warnings: [deprecationWarning(command, name)] };
 };
 
-/** `--key` or `--key=value` with the current key. */
+/** A flag, `--key` or `--key=value`, with the current key. */
 const currentFlag = (role: Role, arg: string): { name: string; warnings: string[] } => {
   const [, key, rest] = /^--([^=]+)(.*)$/s.exec(arg) ?? [];
   if (key === undefined) return { name: arg, warnings: [] };
@@ -24,7 +24,7 @@
   return { name: `--${current.name}${rest}`, warnings: [deprecationWarning(`--${key}`, `--${current.name}`)] };
 };
 
-/** @param args the words after the program's own name */
+/** Translates the arguments after the program name into current names. */
 export const currentCommandLine = ([command, ...flags]: readonly string[]): CurrentCommandLine => {
   if (command === undefined) return { args: [], warnings: [] };
   const current = currentCommand(command);
--- a/programs/thornsail/src/drain.ts
+++ b/programs/thornsail/src/drain.ts
@@ -1,13 +1,14 @@
-/** The order to drain a node, as another node hands it on (§3.1). */
+/** The request to drain a node, as forwarded by another node (§3.1). */
 import { fault } from '@thornsail/runtime';
 import { validate, type Rpc } from '@thornsail/rpc';
 
 /**
- * Takes the order only if it is meant for this process: the address may have been another one's when it was sent.
- * @param id this process's identity; a node of the release before names none, and is obeyed
- * @param drain begins the drain; it is not waited for
+ * Handles drain requests. Throws a fault with code `other` if the request is meant for another process, which may have
+ * had this address when the request was sent.
+ * @param id identity of this process; a request of the previous release names none, and is accepted
+ * @param drain starts the drain; the reply does not wait for its end
  */
-export const obeyDrain = (rpc: Pick<Rpc, 'on'>, id: string, drain: () => Promise<void>): void =>
+export const handleDrainRequests = (rpc: Pick<Rpc, 'on'>, id: string, drain: () => Promise<void>): void =>
   rpc.on<{ to?: string }>('node.drain', validate.object({ to: validate.optional(validate.string) }), ({ to }) => {
     if ((to ?? id) !== id) throw fault.make({ step: 'node.drain', code: 'other' }, `meant for ${to}, this is ${id}`);
     void drain();
--- a/programs/thornsail/src/embed.ts
+++ b/programs/thornsail/src/embed.ts
@@ -1,11 +1,13 @@
-// The data plane in a gateway program of one's own, in one call (§1.1): a gateway of the fleet beside the agent on the
-// same machine, served by whatever HTTP server the program already has.
+/**
+ * The data plane inside another HTTP server, in one call (§1.1): a gateway of the cluster that uses the agent on the
+ * same machine and is served by the HTTP server of the embedding program.
+ */
 import { configSchema, deprecatedNames } from '@thornsail/config-schema';
 import { fault, real, type HttpHandler, type Runtime, type RequestListener } from '@thornsail/runtime';
-import { root } from '@thornsail/admin-api';
+import { apiRoot } from '@thornsail/admin-api';
 import { roles } from './roles.js';
 
-/** As the settings of `thornsail gateway` (docs/CONFIG.md). `http` is where the program's own server is reached. */
+/** As the settings of `thornsail gateway` (docs/CONFIG.md); `http` is the address of the embedding program's server. */
 export type EmbedOptions = {
   name: string;
   place: string;
@@ -14,36 +16,42 @@
   zone?: string;
   seeds?: string[];
 };
-export type Embedded = {
-  /** For `http.createServer`, `polka().use` and their like; mount it before anything that reads bodies. */
+/** A gateway that runs inside another program. */
+export type EmbeddedGateway = {
+  /** For `http.createServer`, `polka().use` and similar; must come before middleware that reads request bodies. */
   handler: RequestListener;
   ready: () => { ok: boolean; why: string[] };
-  /** Takes nothing new, finishes what runs, leaves the roster. */
+  /** Stops accepting requests, completes those that run, and leaves the cluster. */
   drain: () => Promise<void>;
   close: () => Promise<void>;
 };
 
-const largestBody = 8 << 20;
-/** The paths that are thornsail's; a program's own ones are passed on. */
-const ours = (path: string): boolean =>
+const maxBodyBytes = 8 << 20;
+/** Whether the gateway serves a path; other paths are left to the embedding program. */
+const isServedPath = (path: string): boolean =>
   ['/v1/chat/completions', '/v1/jobs', '/ready', '/metrics'].includes(path) ||
   path.startsWith('/v1/conversations/') ||
-  path.startsWith(`${root}/`);
+  path.startsWith(`${apiRoot}/`);
 
+/** Opens embedded gateways. Throws a fault with step `embed` if the options are invalid. */
 export const embed = {
-  open: async (o: EmbedOptions, runtime: Runtime = real.runtime('/nonexistent')): Promise<Embedded> => {
-    const { settings, warnings } = deprecatedNames.settings('gateway', o);
+  open: async (options: EmbedOptions, runtime: Runtime = real.runtime('/nonexistent')): Promise<EmbeddedGateway> => {
+    const { settings, warnings } = deprecatedNames.settings('gateway', options);
     for (const warning of warnings) runtime.log('embed')(warning);
-    const c = configSchema.options('gateway', settings);
-    if (!c.ok) throw fault.make({ step: 'embed' }, c.problems.map((p) => `${p.path}: ${p.text}`).join('; '));
-    const given: { handler?: HttpHandler } = {};
-    const serve: Runtime['net']['serveHttp'] = (at, handler) => {
-      given.handler = handler;
+    const checked = configSchema.options('gateway', settings);
+    if (!checked.ok)
+      throw fault.make(
+        { step: 'embed' },
+        checked.problems.map((problem) => `${problem.path}: ${problem.text}`).join('; '),
+      );
+    const captured: { handler?: HttpHandler } = {};
+    const captureHandler: Runtime['net']['serveHttp'] = (at, handler) => {
+      captured.handler = handler;
       return Promise.resolve({ at, close: () => Promise.resolve() });
     };
-    const node = await roles.gateway({ ...runtime, net: { ...runtime.net, serveHttp: serve } }, c.value);
+    const node = await roles.gateway({ ...runtime, net: { ...runtime.net, serveHttp: captureHandler } }, checked.value);
     return {
-      handler: real.requestListener(given.handler!, largestBody, ours),
+      handler: real.requestListener(captured.handler!, maxBodyBytes, isServedPath),
       ready: node.ready,
       drain: node.drain,
       close: node.close,
--- a/programs/thornsail/src/operator.ts
+++ b/programs/thornsail/src/operator.ts
@@ -1,13 +1,19 @@
-// Operator commands (§7.3): thin callers of any node's HTTP.
+/** The operator commands of the command line (§7.4): clients of the HTTP admin API of any node (§7.3). */
 import { fault, time, duration, readText, type HttpClientRequest, type Runtime } from '@thornsail/runtime';
 import { queryShell } from '@thornsail/query-shell';
-import { root } from '@thornsail/admin-api';
+import { apiRoot } from '@thornsail/admin-api';
 import { decodeReply } from './decode-reply.js';
-import { patience, survey } from './survey.js';
+import { requestTimeout, survey } from './survey.js';
 
 type Reply = { status: number; body: Record<string, unknown> };
+/**
+ * The operator commands. `at` is the HTTP address of any node; with `json` the body of the reply is printed as it is.
+ * Each command resolves to its exit code and never rejects.
+ */
 export type Operator = {
+  /** Prints what the API serves at a path. */
   show: (at: string, what: string, json: boolean) => Promise<number>;
+  /** Changes the configuration; `base` defaults to its current version, and `id` makes repetitions idempotent. */
   push: (
     at: string,
     how: 'PUT' | 'PATCH',
@@ -16,9 +22,13 @@
     id: string | undefined,
     json: boolean,
   ) => Promise<number>;
+  /** Examines the cluster and prints what needs attention. */
   check: (at: string, json: boolean) => Promise<number>;
+  /** Pushes an earlier version of the configuration as a new one. */
   revert: (at: string, to: string, json: boolean) => Promise<number>;
+  /** Prints the steps of a JSON Patch without applying it. */
   plan: (at: string, body: string, json: boolean) => Promise<number>;
+  /** Prints the steps of a JSON Patch, and applies it. */
   jsonPatch: (
     at: string,
     body: string,
@@ -26,25 +36,29 @@
     id: string | undefined,
     json: boolean,
   ) => Promise<number>;
+  /** Runs a query of the query shell. */
   query: (at: string, text: string, json: boolean) => Promise<number>;
+  /** Starts or cancels the drain of a node; `wait` polls until the node is safe to remove. */
   drain: (at: string, node: string, cancel: boolean, wait: boolean, json: boolean) => Promise<number>;
 };
 
-/** A value as text: strings as they are, everything else as JSON. */
+/** A value as text: strings as they are, other values as JSON. */
 const textOf = (value: unknown): string => (typeof value === 'string' ? value : (JSON.stringify(value) ?? ''));
 
+/** Rows as an aligned text table with a header. */
 export const table = (rows: Record<string, unknown>[]): string => {
   if (rows.length === 0) return '(none)';
-  const cols = [...new Set(rows.flatMap((r) => Object.keys(r)))];
-  const cell = (v: unknown): string => (v === null || v === undefined ? '-' : textOf(v));
-  const width = cols.map((c) => Math.max(c.length, ...rows.map((r) => cell(r[c]).length)));
-  const line = (f: (c: string) => string): string =>
-    cols
-      .map((c, i) => f(c).padEnd(width[i]!))
+  const columns = [...new Set(rows.flatMap((row) => Object.keys(row)))];
+  const cell = (value: unknown): string => (value === null || value === undefined ? '-' : textOf(value));
+  const widths = columns.map((column) => Math.max(column.length, ...rows.map((row) => cell(row[column]).length)));
+  const line = (textIn: (column: string) => string): string =>
+    columns
+      .map((column, i) => textIn(column).padEnd(widths[i]!))
       .join('  ')
       .trimEnd();
-  return [line((c) => c), ...rows.map((r) => line((c) => cell(r[c])))].join('\n');
+  return [line((column) => column), ...rows.map((row) => line((column) => cell(row[column])))].join('\n');
 };
+/** The exit code for an HTTP status: 0 done, 1 failed, 2 invalid use, 3 collision, 4 no agreed result. */
 export const codeOf = (status: number): number =>
   status >= 200 && status < 300
     ? 0
@@ -56,63 +70,66 @@
           ? 2
           : 1;
 
+/** Opens the operator commands; `out` and `err` print one line each. */
 export const operator = {
-  open: (o: { runtime: Runtime; out: (t: string) => void; err: (t: string) => void }): Operator => {
-    const { runtime, out, err } = o;
+  open: (options: { runtime: Runtime; out: (text: string) => void; err: (text: string) => void }): Operator => {
+    const { runtime, out, err } = options;
     const call = async (
-      c: Omit<HttpClientRequest, 'headersTimeout'>,
+      request: Omit<HttpClientRequest, 'headersTimeout'>,
       headersTimeout = duration.s(8),
     ): Promise<Reply> => {
-      const r = await runtime.net.request({ ...c, headersTimeout });
-      const text = await readText(r.body);
+      const response = await runtime.net.request({ ...request, headersTimeout });
+      const text = await readText(response.body);
       try {
-        return { status: r.status, body: JSON.parse(text) as Record<string, unknown> };
+        return { status: response.status, body: JSON.parse(text) as Record<string, unknown> };
       } catch {
-        return { status: r.status, body: { error: 'unreadable', message: text.slice(0, 200) } };
+        return { status: response.status, body: { error: 'unreadable', message: text.slice(0, 200) } };
       }
     };
-    const safely = async (fn: () => Promise<number>): Promise<number> => {
+    /** Runs a command; an error is printed and gives exit code 1. */
+    const safely = async (command: () => Promise<number>): Promise<number> => {
       try {
-        return await fn();
-      } catch (e) {
-        err(fault.text(e));
+        return await command();
+      } catch (error) {
+        err(fault.text(error));
         return 1;
       }
     };
-    const failed = (r: Reply, json: boolean): number => {
-      if (json) out(JSON.stringify(r.body));
-      err(`${textOf(r.body['error'] ?? r.status)}${r.body['message'] ? `: ${textOf(r.body['message'])}` : ''}`);
-      for (const p of (r.body['problems'] as { path: string; text: string }[] | undefined) ?? [])
-        err(`${p.path}: ${p.text}`);
-      return codeOf(r.status);
+    const failed = (res: Reply, json: boolean): number => {
+      if (json) out(JSON.stringify(res.body));
+      err(`${textOf(res.body['error'] ?? res.status)}${res.body['message'] ? `: ${textOf(res.body['message'])}` : ''}`);
+      for (const problem of (res.body['problems'] as { path: string; text: string }[] | undefined) ?? [])
+        err(`${problem.path}: ${problem.text}`);
+      return codeOf(res.status);
     };
-    const rows = (what: string, b: Record<string, unknown>): string => {
-      const v = b[what];
-      if (what === 'config') return JSON.stringify(b['config'], null, 2);
-      if (Array.isArray(v))
+    /** The body of a reply as text: a table if it has rows, else one line for each field. */
+    const bodyText = (what: string, body: Record<string, unknown>): string => {
+      const content = body[what];
+      if (what === 'config') return JSON.stringify(body['config'], null, 2);
+      if (Array.isArray(content))
         return table(
-          (v as Record<string, unknown>[]).map(({ since, ...r }) => {
+          (content as Record<string, unknown>[]).map(({ since, ...row }) => {
             void since;
-            return r;
+            return row;
           }),
         );
-      if (typeof v === 'object' && v !== null)
-        return table(Object.entries(v).map(([name, x]) => ({ name, ...(x as object) })));
-      return Object.entries(b)
-        .filter(([k]) => k !== 'mark')
+      if (typeof content === 'object' && content !== null)
+        return table(Object.entries(content).map(([name, fields]) => ({ name, ...(fields as object) })));
+      return Object.entries(body)
+        .filter(([field]) => field !== 'mark')
         .map(
-          ([k, x]) =>
-            `${k}: ${
-              typeof x === 'object'
-                ? Object.entries(x as object)
-                    .map(([a, y]) => `${a} ${String(y)}`)
+          ([field, value]) =>
+            `${field}: ${
+              typeof value === 'object'
+                ? Object.entries(value as object)
+                    .map(([name, inner]) => `${name} ${String(inner)}`)
                     .join(', ')
-                : textOf(x)
+                : textOf(value)
             }`,
         )
         .join('\n');
     };
-    const send = async (
+    const sendChange = async (
       at: string,
       method: string,
       type: string,
@@ -121,47 +138,47 @@
       id: string | undefined,
       json: boolean,
     ): Promise<number> => {
-      const push = id ?? runtime.rand.id();
-      const r = await call({
+      const pushId = id ?? runtime.rand.id();
+      const reply = await call({
         at,
         method,
-        path: `${root}/config`,
+        path: `${apiRoot}/config`,
         body,
-        headers: { 'content-type': type, 'if-match': mark, 'push-id': push },
+        headers: { 'content-type': type, 'if-match': mark, 'push-id': pushId },
       });
-      if (r.status !== 200) {
-        if (r.status === 503) err(`repeat, with one effect in all: --base ${mark} --push-id ${push}`);
-        return failed(r, json);
+      if (reply.status !== 200) {
+        if (reply.status === 503) err(`to retry as the same push: --base ${mark} --push-id ${pushId}`);
+        return failed(reply, json);
       }
-      out(json ? JSON.stringify(r.body) : `configuration is at mark ${String(r.body['mark'])}`);
+      out(json ? JSON.stringify(reply.body) : `configuration is at mark ${String(reply.body['mark'])}`);
       return 0;
     };
-    const planned = async (at: string, body: string, base: string | undefined): Promise<Reply> => {
+    const requestPlan = async (at: string, body: string, base: string | undefined): Promise<Reply> => {
       let mark = base;
       if (mark === undefined) {
-        const now = await call({ at, method: 'GET', path: `${root}/config` });
-        if (now.status !== 200) return now;
-        mark = String(now.body['mark']);
+        const current = await call({ at, method: 'GET', path: `${apiRoot}/config` });
+        if (current.status !== 200) return current;
+        mark = String(current.body['mark']);
       }
       return call({
         at,
         method: 'PATCH',
-        path: `${root}/config?plan=true`,
+        path: `${apiRoot}/config?plan=true`,
         body,
         headers: { 'content-type': 'application/json-patch+json', 'if-match': mark },
       });
     };
-    const planText = (b: Record<string, unknown>): string => {
-      const steps = b['plan'] as { op: string; path: string; before?: unknown; after?: unknown }[];
-      const val = (v: unknown): string => (v === undefined ? '' : JSON.stringify(v));
+    const planText = (body: Record<string, unknown>): string => {
+      const steps = body['plan'] as { op: string; path: string; before?: unknown; after?: unknown }[];
+      const jsonOf = (value: unknown): string => (value === undefined ? '' : JSON.stringify(value));
       return steps.length === 0
         ? 'nothing would change'
         : steps
-            .map((x) =>
+            .map((step) =>
               [
-                `${x.op} ${x.path}`,
-                x.before === undefined ? '' : ` from ${val(x.before)}`,
-                x.after === undefined ? '' : ` to ${val(x.after)}`,
+                `${step.op} ${step.path}`,
+                step.before === undefined ? '' : ` from ${jsonOf(step.before)}`,
+                step.after === undefined ? '' : ` to ${jsonOf(step.after)}`,
               ].join(''),
             )
             .join('\n');
@@ -169,43 +186,45 @@
     return {
       show: (at, what, json) =>
         safely(async () => {
-          const r = await call({ at, method: 'GET', path: `${root}/${what}` });
-          if (r.status !== 200) return failed(r, json);
+          const reply = await call({ at, method: 'GET', path: `${apiRoot}/${what}` });
+          if (reply.status !== 200) return failed(reply, json);
           out(
             json
-              ? JSON.stringify(r.body)
-              : `${rows(what, decodeReply(what, r.body))}\n(read at mark ${String(r.body['mark'])})`,
+              ? JSON.stringify(reply.body)
+              : `${bodyText(what, decodeReply(what, reply.body))}\n(read at mark ${String(reply.body['mark'])})`,
           );
           return 0;
         }),
       check: (at, json) =>
         safely(async () => {
-          const get = async (to: string, path: string): Promise<Reply | undefined> => {
+          const get = async (address: string, path: string): Promise<Reply | undefined> => {
             try {
-              return await call({ at: to, method: 'GET', path }, patience);
+              return await call({ at: address, method: 'GET', path }, requestTimeout);
             } catch {
               return undefined;
             }
           };
-          const r = await survey.run(get, at);
-          if (!r.ok) {
-            err(r.text);
+          const res = await survey.run(get, at);
+          if (!res.ok) {
+            err(res.text);
             return 4;
           }
-          const bad = r.findings.filter((f) => f.severity === 'bad').length;
-          if (json) out(JSON.stringify(r));
+          const bad = res.findings.filter((finding) => finding.severity === 'bad').length;
+          if (json) out(JSON.stringify(res));
           else {
-            for (const f of r.findings) out(`${f.severity}: ${f.about} ${f.text}`);
-            out(`${r.nodes} nodes looked at, ${bad} bad, ${r.findings.length - bad} notes (read at mark ${r.mark})`);
+            for (const finding of res.findings) out(`${finding.severity}: ${finding.about} ${finding.text}`);
+            out(
+              `${res.nodes} nodes checked, ${bad} bad, ${res.findings.length - bad} notes (read at mark ${res.mark})`,
+            );
           }
           return bad ? 1 : 0;
         }),
       revert: (at, to, json) =>
         safely(async () => {
-          const past = await call({ at, method: 'GET', path: `${root}/config?mark=${to}` });
+          const past = await call({ at, method: 'GET', path: `${apiRoot}/config?mark=${to}` });
           if (past.status !== 200) return failed(past, json);
-          // Against the mark that was read together with it: whoever pushed since then is not overwritten.
-          return send(
+          // Based on the current version read with the earlier one, so that a push made since is not overwritten.
+          return sendChange(
             at,
             'PUT',
             'application/json',
@@ -217,49 +236,50 @@
         }),
       plan: (at, body, json) =>
         safely(async () => {
-          const r = await planned(at, body, undefined);
-          if (r.status !== 200) return failed(r, json);
-          out(json ? JSON.stringify(r.body) : planText(r.body));
+          const reply = await requestPlan(at, body, undefined);
+          if (reply.status !== 200) return failed(reply, json);
+          out(json ? JSON.stringify(reply.body) : planText(reply.body));
           return 0;
         }),
       jsonPatch: (at, body, base, id, json) =>
         safely(async () => {
-          const p = await planned(at, body, base);
-          if (p.status !== 200) return failed(p, json);
-          if (!json) out(planText(p.body));
-          // The change goes against the mark that its plan was made on: if it moved meanwhile, nothing is applied.
-          return send(at, 'PATCH', 'application/json-patch+json', body, String(p.body['mark']), id, json);
+          const planned = await requestPlan(at, body, base);
+          if (planned.status !== 200) return failed(planned, json);
+          if (!json) out(planText(planned.body));
+          // Based on the version that was planned on, so that nothing is applied if it has changed meanwhile.
+          return sendChange(at, 'PATCH', 'application/json-patch+json', body, String(planned.body['mark']), id, json);
         }),
       query: (at, text, json) =>
         safely(async () => {
-          const p = queryShell.parse(text);
-          if (!p.ok) {
-            err(p.text);
+          const parsed = queryShell.parse(text);
+          if (!parsed.ok) {
+            err(parsed.text);
             return 2;
           }
-          const table_ = p.query.table;
-          let rowsAll: Record<string, unknown>[] = [];
+          const tableName = parsed.query.table;
+          let allRows: Record<string, unknown>[] = [];
           let mark = '';
-          const key = table_ === 'programs' ? 'program' : table_ === 'registers' ? 'key' : null;
+          /** The column that pages continue after; null for tables that come in one page. */
+          const key = tableName === 'programs' ? 'program' : tableName === 'registers' ? 'key' : null;
           for (let after = ''; ;) {
-            const r = await call({
+            const reply = await call({
               at,
               method: 'GET',
-              path: `${root}/${table_}${key ? `?limit=200&after=${encodeURIComponent(after)}` : ''}`,
+              path: `${apiRoot}/${tableName}${key ? `?limit=200&after=${encodeURIComponent(after)}` : ''}`,
             });
-            if (r.status !== 200) return failed(r, json);
-            const page = queryShell.rows(table_, decodeReply(table_, r.body));
-            rowsAll = [...rowsAll, ...page];
-            mark = String(r.body['mark']);
+            if (reply.status !== 200) return failed(reply, json);
+            const page = queryShell.rows(tableName, decodeReply(tableName, reply.body));
+            allRows = [...allRows, ...page];
+            mark = String(reply.body['mark']);
             const last = page[page.length - 1]?.[key ?? ''];
             if (!key || page.length < 200 || typeof last !== 'string') break;
             after = last;
           }
-          const got = queryShell.run(p.query, rowsAll);
+          const selected = queryShell.run(parsed.query, allRows);
           out(
             json
-              ? JSON.stringify({ mark: Number(mark), rows: got })
-              : `${table(got)}\n(${got.length} of ${rowsAll.length}, read at mark ${mark})`,
+              ? JSON.stringify({ mark: Number(mark), rows: selected })
+              : `${table(selected)}\n(${selected.length} of ${allRows.length}, read at mark ${mark})`,
           );
           return 0;
         }),
@@ -267,11 +287,11 @@
         safely(async () => {
           let mark = base;
           if (mark === undefined) {
-            const now = await call({ at, method: 'GET', path: `${root}/config` });
-            if (now.status !== 200) return failed(now, json);
-            mark = String(now.body['mark']);
+            const current = await call({ at, method: 'GET', path: `${apiRoot}/config` });
+            if (current.status !== 200) return failed(current, json);
+            mark = String(current.body['mark']);
           }
-          return send(
+          return sendChange(
             at,
             how,
             how === 'PUT' ? 'application/json' : 'application/merge-patch+json',
@@ -285,17 +305,17 @@
         safely(async () => {
           let method = cancel ? 'DELETE' : 'POST';
           for (;;) {
-            const r = await call({ at, method, path: `${root}/drain/${encodeURIComponent(node)}` });
-            if (r.status !== 200) return failed(r, json);
-            const done = r.body['safe'] === true || !wait || cancel;
+            const reply = await call({ at, method, path: `${apiRoot}/drain/${encodeURIComponent(node)}` });
+            if (reply.status !== 200) return failed(reply, json);
+            const done = reply.body['safe'] === true || !wait || cancel;
             out(
               json
-                ? JSON.stringify(r.body)
+                ? JSON.stringify(reply.body)
                 : [
-                    `${String(r.body['node'])}: ${String(r.body['state'])}`,
-                    ...(r.body['mark'] === undefined
+                    `${String(reply.body['node'])}: ${String(reply.body['state'])}`,
+                    ...(reply.body['mark'] === undefined
                       ? []
-                      : [`(group mark ${textOf(r.body['mark'])}, swept ${textOf(r.body['swept'])})`]),
+                      : [`(group mark ${textOf(reply.body['mark'])}, swept ${textOf(reply.body['swept'])})`]),
                   ].join(' '),
             );
             if (done) return 0;
--- a/programs/thornsail/src/roles.ts
+++ b/programs/thornsail/src/roles.ts
@@ -1,5 +1,7 @@
-// The roles (§1.2). Each is given its runtime and its checked options, and runs as well in the simulator as on a
-// machine.
+/**
+ * The roles of nodes (§1.2). Each takes its runtime and its checked options, so that it runs in the simulator as on a
+ * machine.
+ */
 import { workersOf, dataPlane, type DrainOptions, type GatewayLoad, type DataPlane } from '@thornsail/data-plane';
 import type { GatewayOptions, StoreOptions, AgentOptions, CoordinatorOptions } from '@thornsail/config-schema';
 import { serviceCatalog, type PlatformWorker } from '@thornsail/service-catalog';
@@ -18,59 +20,69 @@
 import { durableStore } from '@thornsail/durable-files';
 import { membership, type Membership } from '@thornsail/membership';
 import { rpc, type Rpc } from '@thornsail/rpc';
-import { control, root, signal, type Control, type NewsResult, type SignalNode } from '@thornsail/admin-api';
+import {
+  control,
+  apiRoot,
+  adminApi,
+  type Control,
+  type DisseminatedState,
+  type AdminApiNode,
+} from '@thornsail/admin-api';
 import { configuration, core, agreedState, snapshotCodec, type AgreedState, type Snapshot } from '@thornsail/consensus';
 import { leaseVoter } from '@thornsail/leases';
-import { obeyDrain } from './drain.js';
+import { handleDrainRequests } from './drain.js';
 import { groupOf, sweepDuty } from './sweep-duty.js';
 
+/** A running node. */
 export type Node = {
   id: string;
   role: string;
   http: Address;
+  /** Its address for other nodes. */
   place: Address;
   membership: Membership;
   registers: Registers;
-  /** What an operator may ask of this node, for interfaces of one's own. */
+  /** The operator actions, for programs with an interface of their own. */
   control: Control;
   ready: () => { ok: boolean; why: string[] };
   counts: () => Record<string, number>;
-  /** Stops taking new work, finishes what runs, and leaves the roster. */
-  drain: (o?: DrainOptions) => Promise<void>;
+  /** Stops accepting work, completes what runs, and leaves the cluster. */
+  drain: (options?: DrainOptions) => Promise<void>;
   close: () => Promise<void>;
-  /** Calls back if this node must stop: its disk failed, and nothing it says of its state would be safe (§6.1). */
-  onFailed: (fn: (why: string) => void) => void;
+  /** Calls back if this node must stop because its disk failed, after which its state can't be relied on (§6.1). */
+  onFailed: (listener: (why: string) => void) => void;
   dataPlane?: DataPlane;
 };
-const operatorBody = 1 << 20;
-/** Where there are so many coordinators, all vote: a loss right after a loss is borne without any repair (§3.3). */
+const maxAdminBodyBytes = 1 << 20;
+/** Voting coordinators where that many run: a second loss is tolerated before the first is repaired (§3.3). */
 const usualCoordinators = 5;
 
-type DiskWatch = { failed: (e: Error) => void; onFailed: Node['onFailed'] };
-const diskOf = (runtime: Runtime): DiskWatch => {
+type DiskMonitor = { failed: (error: Error) => void; onFailed: Node['onFailed'] };
+const monitorDisk = (runtime: Runtime): DiskMonitor => {
   const log = runtime.log('disk');
   let why: string | undefined;
-  const told: ((why: string) => void)[] = [];
+  const listeners: ((why: string) => void)[] = [];
   return {
-    failed: (e) => {
-      why = `the disk failed (${fault.text(e)}): this node stops`;
+    failed: (error) => {
+      why = `the disk failed (${fault.text(error)}): this node stops`;
       log(`${why}.`);
-      for (const fn of told) fn(why);
+      for (const listener of listeners) listener(why);
     },
-    onFailed: (fn) => (why === undefined ? void told.push(fn) : fn(why)),
+    onFailed: (listener) => (why === undefined ? void listeners.push(listener) : listener(why)),
   };
 };
-const commonCounts = (p: Rpc, m: Membership): Record<string, number> => ({
+const commonCounts = (transport: Rpc, member: Membership): Record<string, number> => ({
   breaches: invariant.breaches().length,
-  frames_sent: p.counts().sent,
-  frames_got: p.counts().received,
-  suspects: m.failureDetector.suspects().length,
-  freezes: m.freezes(),
-  ...Object.fromEntries(Object.entries(m.dissemination.counts()).map(([k, v]) => [`news_${k}`, v])),
+  frames_sent: transport.counts().sent,
+  frames_got: transport.counts().received,
+  suspects: member.failureDetector.suspects().length,
+  freezes: member.freezes(),
+  ...Object.fromEntries(Object.entries(member.dissemination.counts()).map(([name, count]) => [`news_${name}`, count])),
 });
-type Parts = Omit<SignalNode, 'drain'> & {
-  drain: (o?: DrainOptions) => Promise<void>;
-  /** Waits, once the leave is told, until another node has this one's place in its group. */
+/** What a role provides for its node. */
+type NodeParts = Omit<AdminApiNode, 'drain'> & {
+  drain: (options?: DrainOptions) => Promise<void>;
+  /** Waits, after the node has announced that it leaves, until another node has replaced it in its group. */
   replaced?: () => Promise<void>;
   http: Address;
   stop: () => void;
@@ -80,338 +92,367 @@
   maxBody?: number;
 };
 
-/** How long a member of a group that ends in order waits for a spare to take its place (§3.3, §6.5). */
-const replacedWithin = duration.ms(2500);
-const replacedEvery = duration.ms(50);
-/** Resolves once this node is no member any more, at once if no spare could replace it. */
+/** How long a leaving member of a group waits for a spare node to replace it (§3.3, §6.5). */
+const replacementTimeout = duration.ms(2500);
+const replacementPollInterval = duration.ms(50);
+/** Resolves once this node is no longer a member, at once if no spare can replace it, or after the timeout. */
 const untilReplaced = async (
   runtime: Runtime,
-  m: Membership,
+  self: Membership,
   role: 'coordinator' | 'store',
   members: () => { id: string }[],
 ): Promise<void> => {
-  const end = runtime.clock.now() + replacedWithin;
-  const isMember = (id: string): boolean => members().some((x) => x.id === id);
+  const deadline = runtime.clock.now() + replacementTimeout;
+  const isMember = (id: string): boolean => members().some((member) => member.id === id);
   const hasSpare = (): boolean => {
-    const s = m.state();
-    return s !== undefined && agreedState.liveNodes(s, role).some((n) => n.status === 'live' && !isMember(n.id));
+    const state = self.state();
+    return (
+      state !== undefined &&
+      agreedState.liveNodes(state, role).some((node) => node.status === 'live' && !isMember(node.id))
+    );
   };
-  while (isMember(m.id) && hasSpare() && runtime.clock.now() < end) await time.sleep(runtime.clock, replacedEvery);
+  while (isMember(self.id) && hasSpare() && runtime.clock.now() < deadline)
+    await time.sleep(runtime.clock, replacementPollInterval);
 };
 
-/** What all roles share: the operators' HTTP, draining by a sibling's word, closing in order. */
-const serve = async (x: Parts): Promise<Node> => {
+/** What all roles share: the admin API, drain requests from other nodes, and an orderly shutdown. */
+const serve = async (parts: NodeParts): Promise<Node> => {
   let draining: Promise<void> | undefined;
-  const drain = (o?: DrainOptions): Promise<void> =>
+  const drain = (options?: DrainOptions): Promise<void> =>
     (draining ??= (async () => {
-      // Nothing new is taken from now on, even if the core cannot be told.
-      const done = x.drain(o);
-      await x.membership.leave();
-      await done;
-      await x.replaced?.();
+      // New work is refused from now on, even if the coordinators can't be reached.
+      const drained = parts.drain(options);
+      await parts.membership.leave();
+      await drained;
+      await parts.replaced?.();
     })());
-  const ops = signal.handler({ ...x, drain: () => drain() });
-  const own = x.callers;
-  const http = await x.runtime.net.serveHttp(
-    x.http,
-    (ask, say) =>
-      own && !ask.path.startsWith(`${root}/`) && ask.path !== '/ready' && ask.path !== '/metrics'
-        ? own(ask, say)
-        : ops(ask, say),
-    x.maxBody ?? operatorBody,
+  const admin = adminApi.handler({ ...parts, drain: () => drain() });
+  const callers = parts.callers;
+  const http = await parts.runtime.net.serveHttp(
+    parts.http,
+    (request, response) =>
+      callers && !request.path.startsWith(`${apiRoot}/`) && request.path !== '/ready' && request.path !== '/metrics'
+        ? callers(request, response)
+        : admin(request, response),
+    parts.maxBody ?? maxAdminBodyBytes,
   );
-  obeyDrain(x.rpc, x.membership.id, drain);
+  handleDrainRequests(parts.rpc, parts.membership.id, drain);
   return {
-    id: x.membership.id,
-    role: x.role,
+    id: parts.membership.id,
+    role: parts.role,
     http: http.at,
-    place: x.rpc.address,
-    membership: x.membership,
-    registers: x.registers,
-    control: control.open({ runtime: x.runtime, membership: x.membership }),
-    ready: x.ready,
-    counts: x.counts,
+    place: parts.rpc.address,
+    membership: parts.membership,
+    registers: parts.registers,
+    control: control.open({ runtime: parts.runtime, membership: parts.membership }),
+    ready: parts.ready,
+    counts: parts.counts,
     drain,
-    onFailed: x.onFailed ?? ((): void => undefined),
-    ...(x.dataPlane ? { dataPlane: x.dataPlane } : {}),
+    onFailed: parts.onFailed ?? ((): void => undefined),
+    ...(parts.dataPlane ? { dataPlane: parts.dataPlane } : {}),
     close: async () => {
-      x.stop();
-      x.membership.close();
-      await Promise.all([http.close(), x.rpc.close()]);
+      parts.stop();
+      parts.membership.close();
+      await Promise.all([http.close(), parts.rpc.close()]);
     },
   };
 };
 
+/** Reads the list of workers from a platform; `known` gives what is known of a worker already. */
 export type ReadWorkers = (known: (id: string) => WorkerEntry | undefined) => Promise<PlatformWorker[]>;
 /**
- * One agent's reading of the list serves all: the first of those that live reads it when the newest list is old enough,
- * the next ones only if nothing came for a while longer (§3.8). Nobody has to be elected, and nobody's loss is felt.
+ * Whether this agent should read the list of workers now (§3.8). One agent's reading serves all: the first live agent
+ * reads once the newest list is 850 ms old, and each further one 200 ms later, so that another agent takes over without
+ * an election if one is lost.
  */
-const listDue = (m: Membership, now: Microseconds): boolean => {
-  const read = [...m.dissemination.withPrefix('workers/'), ...m.dissemination.withPrefix('read/')];
-  const newest = Math.max(-Infinity, ...read.map((x) => x.item.receivedAt));
-  const s = m.state();
-  const agents = s ? agreedState.liveNodes(s, 'agent').map((n) => n.id) : [];
-  const rank = Math.max(0, agents.indexOf(m.id));
+const isListDue = (member: Membership, now: Microseconds): boolean => {
+  const readings = [...member.dissemination.withPrefix('workers/'), ...member.dissemination.withPrefix('read/')];
+  const newest = Math.max(-Infinity, ...readings.map((reading) => reading.item.receivedAt));
+  const state = member.state();
+  const agents = state ? agreedState.liveNodes(state, 'agent').map((node) => node.id) : [];
+  const rank = Math.max(0, agents.indexOf(member.id));
   return now - newest >= duration.ms(850) + rank * duration.ms(200);
 };
 
+/** Opens a node of each role. */
 export const roles = {
-  coordinator: async (runtime: Runtime, o: CoordinatorOptions): Promise<Node> => {
-    const p = await rpc.open(runtime, o.place);
-    const disk = diskOf(runtime);
+  /** A coordinator: orders the configuration and the membership, and votes on leases. */
+  coordinator: async (runtime: Runtime, options: CoordinatorOptions): Promise<Node> => {
+    const transport = await rpc.open(runtime, options.place);
+    const disk = monitorDisk(runtime);
     const durable = await durableStore.open(runtime.disk, disk.failed);
-    const voter = leaseVoter.open({ runtime, rpc: p });
-    const here: { membership?: Membership } = {};
-    const give = (version: Snapshot<AgreedState>): void => {
-      const spread = { ...version, state: configuration.forDissemination(version.state) };
-      here.membership?.dissemination.put('order', version.index, snapshotCodec.encode(spread));
+    const voter = leaseVoter.open({ runtime, rpc: transport });
+    const opened: { membership?: Membership } = {};
+    const publish = (version: Snapshot<AgreedState>): void => {
+      const disseminated = { ...version, state: configuration.forDissemination(version.state) };
+      opened.membership?.dissemination.put('order', version.index, snapshotCodec.encode(disseminated));
     };
-    let last: Snapshot<AgreedState> | undefined;
-    const c = await core.open({
+    let lastCommitted: Snapshot<AgreedState> | undefined;
+    const coreNode = await core.open({
       runtime,
-      rpc: p,
+      rpc: transport,
       durable,
-      founders: o.founders,
-      onCommit: (v) => {
-        last = v;
-        give(v);
+      founders: options.founders,
+      onCommit: (version) => {
+        lastCommitted = version;
+        publish(version);
       },
       usedVersion: (id) => {
-        const used = here.membership?.dissemination.get(`uses/${id}`);
+        const used = opened.membership?.dissemination.get(`uses/${id}`);
         if (used) return used.version;
-        const l = here.membership?.dissemination.get(`load/${id}`)?.value as Partial<GatewayLoad> | undefined;
-        // A front of the release before does not say; it is taken at its word that news reaches it.
-        return l === undefined ? -1 : (l.uses ?? Infinity);
+        const load = opened.membership?.dissemination.get(`load/${id}`)?.value as Partial<GatewayLoad> | undefined;
+        // A gateway of the previous release does not report the version that it uses, and counts as up to date.
+        return load === undefined ? -1 : (load.uses ?? Infinity);
       },
-      onLeadershipConfirmed: (mark) => here.membership?.dissemination.put('core', mark, {}),
+      onLeadershipConfirmed: (mark) => opened.membership?.dissemination.put('core', mark, {}),
       settings: {
-        stores: 2 * o.tolerates + 1,
-        coordinators: Math.max(usualCoordinators, 2 * o.tolerates + 1),
-        leastStores: o.leastStores,
+        stores: 2 * options.tolerates + 1,
+        coordinators: Math.max(usualCoordinators, 2 * options.tolerates + 1),
+        leastStores: options.leastStores,
       },
-      news: (): NewsResult => ({
-        workers: here.membership ? workersOf(here.membership.dissemination, runtime.clock.now()) : [],
+      news: (): DisseminatedState => ({
+        workers: opened.membership ? workersOf(opened.membership.dissemination, runtime.clock.now()) : [],
         loads: Object.fromEntries(
-          (here.membership?.dissemination.withPrefix('load/') ?? []).map((x) => [x.name.slice(5), x.item.value]),
+          (opened.membership?.dissemination.withPrefix('load/') ?? []).map((entry) => [
+            entry.name.slice(5),
+            entry.item.value,
+          ]),
         ),
         duties: Object.fromEntries(
-          Object.entries(voter.grants()).map(([k, g]) => [k, { by: g.holder, mark: g.fencingToken }]),
+          Object.entries(voter.grants()).map(([name, grant]) => [name, { by: grant.holder, mark: grant.fencingToken }]),
         ),
       }),
     });
-    const m = membership.open({
+    const member = membership.open({
       runtime,
-      rpc: p,
-      id: c.consensus.id,
-      name: o.name,
+      rpc: transport,
+      id: coreNode.consensus.id,
+      name: options.name,
       role: 'coordinator',
-      http: o.http,
-      zone: o.zone,
-      seeds: o.seeds,
-      heartbeatInterval: duration.ms(o.beatMs),
-      coordinators: o.founders,
+      http: options.http,
+      zone: options.zone,
+      seeds: options.seeds,
+      heartbeatInterval: duration.ms(options.beatMs),
+      coordinators: options.founders,
+    });
+    opened.membership = member;
+    if (lastCommitted) publish(lastCommitted);
+    const registerClient = registers.open({
+      runtime,
+      rpc: transport,
+      clientId: `${member.id}.${runtime.rand.id()}`,
+      group: () => groupOf(member),
     });
-    here.membership = m;
-    if (last) give(last);
-    const regs = registers.open({ runtime, rpc: p, clientId: `${m.id}.${runtime.rand.id()}`, group: () => groupOf(m) });
     return serve({
       runtime,
-      rpc: p,
-      membership: m,
-      registers: regs,
+      rpc: transport,
+      membership: member,
+      registers: registerClient,
       role: 'coordinator',
-      name: o.name,
-      http: o.http,
+      name: options.name,
+      http: options.http,
       ready: () => {
-        const role = c.consensus.role();
-        const hasLeader = c.consensus.leader() !== undefined;
+        const role = coreNode.consensus.role();
+        const hasLeader = coreNode.consensus.leader() !== undefined;
         return {
           ok: role === 'leader' || (role === 'follower' && hasLeader),
           why: role === 'unformed' ? ['not in a view'] : hasLeader ? [] : ['no head'],
         };
       },
       counts: () => ({
-        ...commonCounts(p, m),
-        view: c.consensus.committed()?.term ?? 0,
-        version: c.consensus.committed()?.index ?? 0,
-        leads: c.consensus.role() === 'leader' ? 1 : 0,
+        ...commonCounts(transport, member),
+        view: coreNode.consensus.committed()?.term ?? 0,
+        version: coreNode.consensus.committed()?.index ?? 0,
+        leads: coreNode.consensus.role() === 'leader' ? 1 : 0,
         syncs: durable.counts().syncs,
         torn: durable.counts().torn,
       }),
       drain: () => Promise.resolve(),
-      replaced: () => untilReplaced(runtime, m, 'coordinator', () => m.snapshot()?.members ?? []),
-      stop: () => c.close(),
+      replaced: () => untilReplaced(runtime, member, 'coordinator', () => member.snapshot()?.members ?? []),
+      stop: () => coreNode.close(),
       onFailed: disk.onFailed,
     });
   },
 
-  store: async (runtime: Runtime, o: StoreOptions): Promise<Node> => {
-    const p = await rpc.open(runtime, o.place);
-    const disk = diskOf(runtime);
+  /** A store: holds registers, and sweeps them when it is responsible. */
+  store: async (runtime: Runtime, options: StoreOptions): Promise<Node> => {
+    const transport = await rpc.open(runtime, options.place);
+    const disk = monitorDisk(runtime);
     const durable = await durableStore.open(runtime.disk, disk.failed);
-    const s = await store.open({ runtime, rpc: p, durable });
-    const m = membership.open({
+    const storeNode = await store.open({ runtime, rpc: transport, durable });
+    const member = membership.open({
       runtime,
-      rpc: p,
-      id: s.id,
-      name: o.name,
+      rpc: transport,
+      id: storeNode.id,
+      name: options.name,
       role: 'store',
-      http: o.http,
-      zone: o.zone,
-      seeds: o.seeds,
-      heartbeatInterval: duration.ms(o.beatMs),
+      http: options.http,
+      zone: options.zone,
+      seeds: options.seeds,
+      heartbeatInterval: duration.ms(options.beatMs),
     });
-    const regs = registers.open({ runtime, rpc: p, clientId: `${s.id}.${runtime.rand.id()}`, group: () => groupOf(m) });
-    const counts: Record<string, number> = {};
-    m.onState(() => {
-      const g = groupOf(m);
-      if (g) void s.adoptGroup(g);
+    const registerClient = registers.open({
+      runtime,
+      rpc: transport,
+      clientId: `${storeNode.id}.${runtime.rand.id()}`,
+      group: () => groupOf(member),
+    });
+    const sweepCounts: Record<string, number> = {};
+    member.onState(() => {
+      const group = groupOf(member);
+      if (group) void storeNode.adoptGroup(group);
     });
     const stopSweep = sweepDuty({
       runtime,
-      rpc: p,
-      membership: m,
-      registers: regs,
-      id: s.id,
-      voters: () => m.snapshot()?.members.map((x) => x.at) ?? [],
-      counts,
+      rpc: transport,
+      membership: member,
+      registers: registerClient,
+      id: storeNode.id,
+      voters: () => member.snapshot()?.members.map((voter) => voter.at) ?? [],
+      counts: sweepCounts,
     });
     return serve({
       runtime,
-      rpc: p,
-      membership: m,
-      registers: regs,
+      rpc: transport,
+      membership: member,
+      registers: registerClient,
       role: 'store',
-      name: o.name,
-      http: o.http,
+      name: options.name,
+      http: options.http,
       ready: () => {
-        const g = groupOf(m);
+        const group = groupOf(member);
         const why = [
-          ...(g ? [] : ['no store group']),
-          ...(g && !g.members.some((k) => k.id === s.id) ? ['not a member'] : []),
+          ...(group ? [] : ['no store group']),
+          ...(group && !group.members.some((entry) => entry.id === storeNode.id) ? ['not a member'] : []),
         ];
         return { ok: why.length === 0, why };
       },
       counts: () => ({
-        ...commonCounts(p, m),
-        ...s.counts(),
-        ...counts,
-        records: s.size(),
-        group_mark: s.group()?.version ?? 0,
+        ...commonCounts(transport, member),
+        ...storeNode.counts(),
+        ...sweepCounts,
+        records: storeNode.size(),
+        group_mark: storeNode.group()?.version ?? 0,
         syncs: durable.counts().syncs,
         torn: durable.counts().torn,
       }),
       drain: () => Promise.resolve(),
-      replaced: () => untilReplaced(runtime, m, 'store', () => m.state()?.storeGroup.members ?? []),
+      replaced: () => untilReplaced(runtime, member, 'store', () => member.state()?.storeGroup.members ?? []),
       stop: stopSweep,
       onFailed: disk.onFailed,
     });
   },
 
   /**
-   * `read` brings the list of workers in a format of one's own; it is told what is known of a worker already, so that
-   * nobody is asked twice.
+   * An agent: publishes the list of workers to the gateways.
+   * `extra.read` reads the list of workers from a platform with a format of its own; it gets what is known of each
+   * worker already, so that no worker is queried twice.
    */
-  agent: async (runtime: Runtime, o: AgentOptions, extra: { read?: ReadWorkers } = {}): Promise<Node> => {
-    const p = await rpc.open(runtime, o.place);
+  agent: async (runtime: Runtime, options: AgentOptions, extra: { read?: ReadWorkers } = {}): Promise<Node> => {
+    const transport = await rpc.open(runtime, options.place);
     const id = `agent-${runtime.rand.id()}`;
-    const m = membership.open({
+    const member = membership.open({
       runtime,
-      rpc: p,
+      rpc: transport,
       id,
-      name: o.name,
+      name: options.name,
       role: 'agent',
-      http: o.http,
-      zone: o.zone,
-      seeds: o.seeds,
-      heartbeatInterval: duration.ms(o.beatMs),
+      http: options.http,
+      zone: options.zone,
+      seeds: options.seeds,
+      heartbeatInterval: duration.ms(options.beatMs),
     });
-    const regs = registers.open({ runtime, rpc: p, clientId: id, group: () => groupOf(m) });
-    let mark = 0;
-    let last = '';
-    let lastPut = 0;
+    const registerClient = registers.open({ runtime, rpc: transport, clientId: id, group: () => groupOf(member) });
+    let version = 0;
+    let lastText = '';
+    let lastPutAt = 0;
     const known = (worker: string): WorkerEntry | undefined =>
-      workersOf(m.dissemination, runtime.clock.now()).find((w) => w.id === worker);
+      workersOf(member.dissemination, runtime.clock.now()).find((entry) => entry.id === worker);
     const { read } = extra;
-    const h = serviceCatalog.open({
+    const catalog = serviceCatalog.open({
       runtime,
-      platform: o.platform,
-      ...(read ? { read: () => read(known), due: () => listDue(m, runtime.clock.now()), every: duration.ms(100) } : {}),
+      platform: options.platform,
+      ...(read
+        ? { read: () => read(known), due: () => isListDue(member, runtime.clock.now()), every: duration.ms(100) }
+        : {}),
       onList: (list) => {
         const text = JSON.stringify(list);
         const now = runtime.clock.now();
-        // An unchanged list is not sent again; that it was read is.
-        if (text === last && now - lastPut < duration.s(1.5))
-          return read ? m.dissemination.put(`read/${id}`, ++mark, {}) : undefined;
-        last = text;
-        lastPut = now;
-        m.dissemination.put(`workers/${id}`, ++mark, { list });
+        // An unchanged list is not published again, only the fact that it was read.
+        if (text === lastText && now - lastPutAt < duration.s(1.5))
+          return read ? member.dissemination.put(`read/${id}`, ++version, {}) : undefined;
+        lastText = text;
+        lastPutAt = now;
+        member.dissemination.put(`workers/${id}`, ++version, { list });
       },
     });
     let leaving = false;
     return serve({
       runtime,
-      rpc: p,
-      membership: m,
-      registers: regs,
+      rpc: transport,
+      membership: member,
+      registers: registerClient,
       role: 'agent',
-      name: o.name,
-      http: o.http,
+      name: options.name,
+      http: options.http,
       ready: () => {
         const why = [
           ...(leaving ? ['leaving'] : []),
-          ...(m.state() ? [] : ['no agreed state']),
-          ...(h.lastReadAt() === undefined ? ['no list of workers'] : []),
+          ...(member.state() ? [] : ['no agreed state']),
+          ...(catalog.lastReadAt() === undefined ? ['no list of workers'] : []),
         ];
         return { ok: why.length === 0, why };
       },
-      counts: () => ({ ...commonCounts(p, m), workers: workersOf(m.dissemination, runtime.clock.now()).length }),
+      counts: () => ({
+        ...commonCounts(transport, member),
+        workers: workersOf(member.dissemination, runtime.clock.now()).length,
+      }),
       drain: () => {
         leaving = true;
         return Promise.resolve();
       },
-      stop: () => h.close(),
+      stop: () => catalog.close(),
     });
   },
 
-  gateway: async (runtime: Runtime, o: GatewayOptions, extra: { plain?: boolean } = {}): Promise<Node> => {
-    const p = await rpc.open(runtime, o.place);
+  /** A gateway: serves callers through the data plane. */
+  gateway: async (runtime: Runtime, options: GatewayOptions, extra: { plain?: boolean } = {}): Promise<Node> => {
+    const transport = await rpc.open(runtime, options.place);
     const id = `gateway-${runtime.rand.id()}`;
-    const m = membership.open({
+    const member = membership.open({
       runtime,
-      rpc: p,
+      rpc: transport,
       id,
-      name: o.name,
+      name: options.name,
       role: 'gateway',
-      http: o.http,
-      zone: o.zone,
-      seeds: o.seeds,
-      heartbeatInterval: duration.ms(o.beatMs),
-      localAgent: o.agent,
+      http: options.http,
+      zone: options.zone,
+      seeds: options.seeds,
+      heartbeatInterval: duration.ms(options.beatMs),
+      localAgent: options.agent,
     });
-    const f = dataPlane.open({
+    const plane = dataPlane.open({
       runtime,
-      rpc: p,
-      membership: m,
-      zone: o.zone,
+      rpc: transport,
+      membership: member,
+      zone: options.zone,
       ...extra,
     });
     return serve({
       runtime,
-      rpc: p,
-      membership: m,
-      registers: f.registers,
+      rpc: transport,
+      membership: member,
+      registers: plane.registers,
       role: 'gateway',
-      name: o.name,
-      http: o.http,
-      ready: f.ready,
-      counts: () => ({ ...commonCounts(p, m), ...f.counts() }),
-      metrics: f.metrics,
-      drain: (o) => f.drain(o),
-      stop: () => f.close(),
-      callers: f.handle,
-      dataPlane: f,
+      name: options.name,
+      http: options.http,
+      ready: plane.ready,
+      counts: () => ({ ...commonCounts(transport, member), ...plane.counts() }),
+      metrics: plane.metrics,
+      drain: (drainOptions) => plane.drain(drainOptions),
+      stop: () => plane.close(),
+      callers: plane.handle,
+      dataPlane: plane,
       maxBody: 8 << 20,
     });
   },
--- a/programs/thornsail/src/sweep-duty.ts
+++ b/programs/thornsail/src/sweep-duty.ts
@@ -1,6 +1,9 @@
-// When a store sweeps (§6.5). Now and then one store does, by a lease. After a change of group the first member that
-// lives does at once, without a lease: the lease may be with the very store that was lost, and two sweeps at once do
-// no harm, as every key is settled by a ballot.
+/**
+ * Decides when a store sweeps, that is, brings every record to a majority of the store group (§6.5). While the group
+ * stays the same, the holder of a lease sweeps periodically. After a change of the group, its first live member sweeps
+ * at once without the lease, since the lost store may hold it; concurrent sweeps are safe, as each key is settled by a
+ * ballot.
+ */
 import { time, duration, type Runtime, type Address, type Microseconds } from '@thornsail/runtime';
 import { lease } from '@thornsail/leases';
 import type { Membership } from '@thornsail/membership';
@@ -8,22 +11,22 @@
 import type { AgreedState } from '@thornsail/consensus';
 import type { Rpc } from '@thornsail/rpc';
 
-/** Between two passes while the group stays as it is. */
-const fullEvery = duration.s(20);
-/** How often it is looked at whether a pass is due; a new agreed state is looked at when it comes. */
-const lookEvery = duration.ms(100);
-/** A change that the first member has not swept in this time is swept by whoever holds the lease as well. */
-const firstWithin = duration.s(1);
-const tellWithin = duration.s(3);
+/** Interval between two passes while the group does not change. */
+const passInterval = duration.s(20);
+/** How often a store checks whether a pass is due; it also checks on each new agreed state. */
+const checkInterval = duration.ms(100);
+/** If the first member has not swept a new group within this time, the holder of the lease sweeps it as well. */
+const firstMemberTimeout = duration.s(1);
+const reportTimeout = duration.s(3);
 const pauseBetweenKeys = duration.ms(2);
 
-/** The group of stores as the newest agreed state known here has it; undefined before one is formed. */
+/** The store group of the newest agreed state that this node knows; undefined before a group is formed. */
 export const groupOf = (membership: Membership): Group | undefined => {
   const group = membership.state()?.storeGroup;
   return group && group.mark > 0 ? { version: group.mark, members: group.members } : undefined;
 };
-/** The member that sweeps after a change: the first that the agreed state has alive. */
-const firstMember = ({ storeGroup, nodes }: AgreedState): string | undefined =>
+/** The identity of the member that sweeps after a change: the first that is live by the agreed state. */
+const firstLiveMember = ({ storeGroup, nodes }: AgreedState): string | undefined =>
   storeGroup.members.find(({ id }) => nodes[id] !== undefined && nodes[id].status !== 'dead')?.id;
 
 type SweepDutyOptions = {
@@ -33,16 +36,16 @@
   registers: Registers;
   /** The identity of this store. */
   id: string;
-  /** Where the lease of the sweep is asked for. */
+  /** Addresses of the voters that grant the lease. */
   voters: () => Address[];
-  /** Counters by name; the passes of this store are added. */
+  /** Counters by name; the passes of this store are added to them. */
   counts: Record<string, number>;
 };
-/** Sweeps all keys once; false where the group changed meanwhile, or not every key was settled. */
+/** Sweeps all keys once; false if the group changed meanwhile or not every key was settled. */
 type Pass = (group: Group, pace: SweepPace) => Promise<boolean>;
 
 const addCounts = (counts: Record<string, number>, result: SweepResult): void => {
-  const add = (name: string, by: number): void => void (counts[name] = (counts[name] ?? 0) + by);
+  const add = (name: string, amount: number): void => void (counts[name] = (counts[name] ?? 0) + amount);
   add('sweeps', 1);
   add('swept_keys', result.seen);
   add('swept_ranges', result.ranges);
@@ -66,7 +69,7 @@
   };
 
 type Sweeper = {
-  /** Makes the pass that is due, if this store is to make it. */
+  /** Makes a pass if one is due and this store is responsible for it. */
   once: () => Promise<void>;
   close: () => void;
 };
@@ -75,36 +78,36 @@
   const { clock } = runtime;
   const log = runtime.log('store');
   const sweepLease = lease.open({ runtime, rpc, name: 'sweep', holder: id, voters });
-  let lastFull = clock.now();
-  let changed: { mark: number; at: Microseconds } = { mark: 0, at: clock.now() };
+  let lastPassAt = clock.now();
+  let change: { mark: number; at: Microseconds } = { mark: 0, at: clock.now() };
   let closed = false;
   const pass = passes(options, () => closed);
 
-  /** Settles everything under the new mark, says so, and then fills the newcomer. */
+  /** Settles every record under the new group version, reports that to the core, and then fills the new member. */
   const sweepChange = async (group: Group): Promise<void> => {
     if (!(await pass(group, 'change'))) return;
     log(`every record is on a majority of group ${group.version}.`);
     await membership.core
-      .request({ type: 'sweep-complete', version: group.version }, tellWithin)
+      .request({ type: 'sweep-complete', version: group.version }, reportTimeout)
       .catch(() => undefined);
-    // Brings up what the newcomer lacks; the lease's holder goes on if this one is lost meanwhile.
-    lastFull = clock.now() - fullEvery;
-    if (await pass(group, 'fill')) lastFull = clock.now();
+    // Copies what the new member lacks; if this store is lost meanwhile, the holder of the lease continues.
+    lastPassAt = clock.now() - passInterval;
+    if (await pass(group, 'fill')) lastPassAt = clock.now();
   };
-  const isMine = (ordered: AgreedState): boolean =>
-    firstMember(ordered) === id || (sweepLease.holds() && clock.now() - changed.at > firstWithin);
+  const isResponsible = (agreed: AgreedState): boolean =>
+    firstLiveMember(agreed) === id || (sweepLease.holds() && clock.now() - change.at > firstMemberTimeout);
   return {
     once: async () => {
-      const ordered = membership.state();
+      const agreed = membership.state();
       const group = groupOf(membership);
-      if (closed || !ordered || !group) return;
-      if (changed.mark !== group.version) changed = { mark: group.version, at: clock.now() };
-      if (ordered.storeGroup.swept !== group.version) {
-        if (isMine(ordered)) await sweepChange(group);
+      if (closed || !agreed || !group) return;
+      if (change.mark !== group.version) change = { mark: group.version, at: clock.now() };
+      if (agreed.storeGroup.swept !== group.version) {
+        if (isResponsible(agreed)) await sweepChange(group);
         return;
       }
-      if (!sweepLease.holds() || clock.now() - lastFull < fullEvery) return;
-      if (await pass(group, 'usual')) lastFull = clock.now();
+      if (!sweepLease.holds() || clock.now() - lastPassAt < passInterval) return;
+      if (await pass(group, 'usual')) lastPassAt = clock.now();
     },
     close: () => {
       closed = true;
@@ -113,11 +116,11 @@
   };
 };
 
-/** Sweeps from now on whenever it is due, one pass at a time, until the function that it gives is called. */
+/** Sweeps whenever a pass is due, one pass at a time; the returned function stops it. */
 export const sweepDuty = (options: SweepDutyOptions): (() => void) => {
   const sweeper = openSweeper(options);
   let running = false;
-  const look = async (): Promise<void> => {
+  const sweepIfDue = async (): Promise<void> => {
     if (running) return;
     running = true;
     try {
@@ -126,8 +129,8 @@
       running = false;
     }
   };
-  options.membership.onState(() => void look().catch(() => undefined));
-  const stop = time.every(options.runtime.clock, lookEvery, look);
+  options.membership.onState(() => void sweepIfDue().catch(() => undefined));
+  const stop = time.every(options.runtime.clock, checkInterval, sweepIfDue);
   return () => {
     stop();
     sweeper.close();
--- a/programs/thornsail/src/warm-up.ts
+++ b/programs/thornsail/src/warm-up.ts
@@ -1,14 +1,14 @@
-/** When a gateway warms itself up (§5.10): on an ordinary start, while nobody asks it for anything yet. */
+/** Warms a gateway up on an ordinary start, while it gets no requests yet (§5.10). */
 import { warmUp } from '@thornsail/data-plane';
 import { duration, time, type Microseconds, type Runtime } from '@thornsail/runtime';
 import type { Node } from './roles.js';
 
-/** A start in a running fleet gets its first requests within this; one before the fleet serves does not. */
+/** A gateway that starts in a running cluster gets its first requests within this time, and needs no warm-up. */
 const firstRequestsWithin: Microseconds = duration.s(2.5);
-/** Enough for most functions of a request's way to be compiled. */
+/** Enough to compile most functions on the path of a request. */
 const programs = 10;
-const longest: Microseconds = duration.s(6);
-/** A small part of what clients wait for a first event or an answer. */
+const maxDuration: Microseconds = duration.s(6);
+/** A small part of the time that clients wait for a first event or an answer. */
 const goodEnough: Microseconds = duration.ms(12);
 
 /** Warms a gateway up unless requests come first. Never rejects. */
@@ -17,5 +17,11 @@
   const isUnused = (): boolean => dataPlane.counts()['requests'] === 0;
   await time.sleep(runtime.clock, firstRequestsWithin);
   if (isUnused())
-    await warmUp.run({ runtime, programs, timeout: longest, targetRequestTime: goodEnough, shouldContinue: isUnused });
+    await warmUp.run({
+      runtime,
+      programs,
+      timeout: maxDuration,
+      targetRequestTime: goodEnough,
+      shouldContinue: isUnused,
+    });
 };
--- a/tools/simulation/src/fleet/calls.ts
+++ b/tools/simulation/src/fleet/calls.ts
@@ -1,5 +1,5 @@
 // Calls to the nodes of a simulated deployment, as an operator makes them.
-import { root } from '@thornsail/admin-api';
+import { apiRoot } from '@thornsail/admin-api';
 import { duration, readText, type Address, type Runtime } from '@thornsail/runtime';
 import type { Fleet } from './types.js';
 
@@ -28,7 +28,7 @@
     http,
     push: async (config, base, id, at = usual) => {
       const headers = { 'if-match': String(base), ...(id ? { 'push-id': id } : {}) };
-      const { status, body } = await http(at, 'PUT', `${root}/config`, config, headers);
+      const { status, body } = await http(at, 'PUT', `${apiRoot}/config`, config, headers);
       return { status, mark: Number(body['mark'] ?? -1) };
     },
   };
--- a/tools/simulation/src/guards/thornsail.ts
+++ b/tools/simulation/src/guards/thornsail.ts
@@ -1,18 +1,18 @@
-// Guards of the lines of the program `thornsail` that keep a rule.
+/** Guards of `thornsail`: each replaces a line that enforces a rule, and names the test that must notice it. */
 import { guard, type Guard } from './guard.js';
 
 /** Guards of the program `thornsail`. */
 export const thornsailGuards: readonly Guard[] = [
   guard({
-    name: 'the first member sweeps without a lease',
+    name: 'the first live member sweeps without a lease',
     rule: '12 recovery',
     file: 'thornsail/src/sweep-duty.js',
-    find: 'firstMember(ordered) === id || ',
+    find: 'firstLiveMember(agreed) === id || ',
     replacement: '',
     noticedBy: { test: 'simulation/test/repair.test.js' },
   }),
   guard({
-    name: 'an order to drain names its process',
+    name: 'a drain request names the process that it is meant for',
     rule: 'late messages',
     file: 'thornsail/src/drain.js',
     find: 'if ((to ?? id) !== id)',
--- a/tools/simulation/src/operator-calls.ts
+++ b/tools/simulation/src/operator-calls.ts
@@ -1,6 +1,6 @@
 // Operators' calls that the scenarios share (§9.4): changes of the configuration, and whether those that were
 // acknowledged are in use.
-import { root } from '@thornsail/admin-api';
+import { apiRoot } from '@thornsail/admin-api';
 import { type Address, type Microseconds, duration } from '@thornsail/runtime';
 import type { Fleet } from './fleet/index.js';
 import { gatewayAt } from './scene.js';
@@ -28,7 +28,7 @@
   return async (at) => {
     const mine = ++n;
     try {
-      const now = await f.http(at, 'GET', `${root}/config`);
+      const now = await f.http(at, 'GET', `${apiRoot}/config`);
       if (now.status !== 200) return;
       const r = await f.push(nth(f, mine), Number(now.body['mark']), `op-${mine}`, at);
       if (r.status === 200) acked.push({ n: mine, mark: r.mark, ackedAt: f.world.now() });
@@ -56,7 +56,7 @@
 /** The mark of the configuration that a gateway reads back; -1 when the read fails. */
 export const read = async (f: Fleet): Promise<{ mark: number }> => {
   const got: { mark?: number } = {};
-  void f.http(gatewayAt(f, 0), 'GET', `${root}/config`).then(
+  void f.http(gatewayAt(f, 0), 'GET', `${apiRoot}/config`).then(
     (x) => (got.mark = Number(x.body['mark'])),
     () => (got.mark = -1),
   );
--- a/tools/simulation/src/scenarios/config.ts
+++ b/tools/simulation/src/scenarios/config.ts
@@ -1,5 +1,5 @@
 // Scenario `config` (§9.4).
-import { root } from '@thornsail/admin-api';
+import { apiRoot } from '@thornsail/admin-api';
 import { type Address, type Microseconds, duration } from '@thornsail/runtime';
 import { fleet } from '../fleet/index.js';
 import { type Scenario, finish, gateways, ofLive, run, coordinators } from '../scene.js';
@@ -24,7 +24,7 @@
       const agents = ofLive(f, 'agent');
       const at = f.process(agents[r.int(agents.length)]!).options['http'] as Address;
       try {
-        const now = await f.http(at, 'GET', `${root}/config`);
+        const now = await f.http(at, 'GET', `${apiRoot}/config`);
         if (now.status === 200) {
           const mark = Number(now.body['mark']);
           const bad = r.int(6) === 0;
--- a/tools/simulation/src/scenarios/durable.ts
+++ b/tools/simulation/src/scenarios/durable.ts
@@ -1,5 +1,5 @@
 // Scenario `durable` (§9.4).
-import { root } from '@thornsail/admin-api';
+import { apiRoot } from '@thornsail/admin-api';
 import { duration } from '@thornsail/runtime';
 import { fleet } from '../fleet/index.js';
 import { type Scenario, finish, gatewayAt, ofLive, run } from '../scene.js';
@@ -49,7 +49,7 @@
         duration.s(25),
       );
       let got: { status: number; body: Record<string, unknown> } | undefined;
-      void f.http(gatewayAt(f, r.int(7)), 'GET', `${root}/config`).then(
+      void f.http(gatewayAt(f, r.int(7)), 'GET', `${apiRoot}/config`).then(
         (x) => {
           got = x;
         },
--- a/tools/simulation/src/scenarios/rolling.ts
+++ b/tools/simulation/src/scenarios/rolling.ts
@@ -1,5 +1,5 @@
 // Scenario `rolling` (§9.4).
-import { root } from '@thornsail/admin-api';
+import { apiRoot } from '@thornsail/admin-api';
 import { type Address, duration } from '@thornsail/runtime';
 import { fleet } from '../fleet/index.js';
 import { type Scenario, finish, gatewayAt, oneToLeave, replaceWorker, run, serving, settleLoad } from '../scene.js';
@@ -60,7 +60,7 @@
     // A store machine is emptied: with a spare its records move, without one the group shrinks to two.
     let safe = false;
     const ask = async (method: string): Promise<void> => {
-      const x = await f.http(gatewayAt(f, 2), method, `${root}/drain/store2`).catch(() => undefined);
+      const x = await f.http(gatewayAt(f, 2), method, `${apiRoot}/drain/store2`).catch(() => undefined);
       if (x?.body['safe'] === true) safe = true;
     };
     void ask('POST');
--- a/tools/simulation/src/scene.ts
+++ b/tools/simulation/src/scene.ts
@@ -1,7 +1,7 @@
 // What the scenarios share (§9.4): the names of the machines, how a run ends, and when a fleet serves again.
 import { duration, type Address, type Microseconds } from '@thornsail/runtime';
 import { silent, type Listed, type ShapeName, type StandIn } from '@thornsail/test-harness';
-import { root } from '@thornsail/admin-api';
+import { apiRoot } from '@thornsail/admin-api';
 import type { Fleet } from './fleet/index.js';
 
 export type Outcome = { breaches: string[]; figures: Record<string, number>; hash: string };
@@ -101,7 +101,7 @@
   const up = f.processes.filter((p) => p.host.alive && !p.host.frozen);
   const at = up[f.world.rand.int(up.length)]!.options['http'] as Address;
   try {
-    const now = await f.http(at, 'GET', `${root}/config`);
+    const now = await f.http(at, 'GET', `${apiRoot}/config`);
     return (await f.push(now.body['raw'], Number(now.body['mark']), `back-${f.world.now()}`, at)).status === 200;
   } catch {
     return false;
--- a/tools/simulation/test/api.test.ts
+++ b/tools/simulation/test/api.test.ts
@@ -2,7 +2,7 @@
 import * as assert from 'uvu/assert';
 import { duration, type Address } from '@thornsail/runtime';
 import { fleet, type Fleet } from '@thornsail/simulation';
-import { root } from '@thornsail/admin-api';
+import { apiRoot } from '@thornsail/admin-api';
 import { survey } from '@thornsail/thornsail';
 
 type Reply = { status: number; body: Record<string, unknown>; headers: Record<string, string> };
@@ -89,7 +89,7 @@
 test('operators get the same from any node; with the core cut off a node says so', async () => {
   const f = await fleet.open({ seed: 4, shape: 'granite' });
   const ask = (name: string, what: string): Promise<Reply> =>
-    get(f, f.http(f.process(name).options['http'] as Address, 'GET', `${root}/${what}`));
+    get(f, f.http(f.process(name).options['http'] as Address, 'GET', `${apiRoot}/${what}`));
   for (const what of ['config', 'classes', 'nodes', 'workers', 'status', 'marks', 'keepers']) {
     const all: Reply[] = [];
     for (const n of ['gateway-edge1', 'agent-edge4', 'coordinator2', 'store3']) all.push(await ask(n, what));
@@ -101,7 +101,7 @@
     f.http(
       f.process('agent-edge2').options['http'] as Address,
       'PATCH',
-      `${root}/config`,
+      `${apiRoot}/config`,
       { classes: { repair: { weight: -1 } } },
       { 'if-match': '1' },
     ),
@@ -112,7 +112,7 @@
     f.http(
       f.process('store1').options['http'] as Address,
       'PATCH',
-      `${root}/config`,
+      `${apiRoot}/config`,
       { slots: { model: 9 } },
       { 'if-match': '0' },
     ),
@@ -124,7 +124,7 @@
       f.http(
         f.process('gateway-edge7').options['http'] as Address,
         'PATCH',
-        `${root}/config`,
+        `${apiRoot}/config`,
         { slots: { model: 9 } },
         { 'if-match': '1', 'push-id': 'same' },
       ),
@@ -133,14 +133,14 @@
   const json = { 'content-type': 'application/json-patch+json', 'if-match': '2' };
   const patch = [{ op: 'replace', path: '/slots/model', value: 11 }];
   const at = f.process('store2').options['http'] as Address;
-  const plan = await get(f, f.http(at, 'PATCH', `${root}/config?plan=true`, patch, json));
+  const plan = await get(f, f.http(at, 'PATCH', `${apiRoot}/config?plan=true`, patch, json));
   assert.equal(
     [plan.status, plan.body['plan']],
     [200, [{ op: 'replace', path: '/slots/model', before: 9, after: 11 }]],
   );
   assert.is((await ask('gateway-edge3', 'config')).body['mark'], 2);
-  assert.equal((await get(f, f.http(at, 'PATCH', `${root}/config`, patch, json))).body['mark'], 3);
-  assert.is((await get(f, f.http(at, 'PATCH', `${root}/config?plan=true`, patch, json))).status, 409);
+  assert.equal((await get(f, f.http(at, 'PATCH', `${apiRoot}/config`, patch, json))).body['mark'], 3);
+  assert.is((await get(f, f.http(at, 'PATCH', `${apiRoot}/config?plan=true`, patch, json))).status, 409);
   assert.is((await ask('agent-edge1', 'registers')).status, 200);
   assert.equal(
     ((await ask('store1', 'history')).body['history'] as { mark: number }[]).map((x) => x.mark),
@@ -182,7 +182,7 @@
 test('a drain can be taken back, asked again and repeated; with a spare the group stays at three', async () => {
   const f = await fleet.open({ seed: 8, shape: 'granite' });
   const ask = (method: string): Promise<Reply> =>
-    get(f, f.http(f.process('agent-edge2').options['http'] as Address, method, `${root}/drain/store3`));
+    get(f, f.http(f.process('agent-edge2').options['http'] as Address, method, `${apiRoot}/drain/store3`));
   const group = (): { mark: number; members: { at: string }[]; swept: number; draining: string[] } =>
     f.process('agent-edge2').node!.membership.state()!.storeGroup;
   f.addStore('store7', '127.77.2.7');
@@ -212,11 +212,12 @@
     [3, true, false],
   );
   assert.equal(
-    (await get(f, f.http(f.process('agent-edge2').options['http'] as Address, 'POST', `${root}/drain/nosuch`))).status,
+    (await get(f, f.http(f.process('agent-edge2').options['http'] as Address, 'POST', `${apiRoot}/drain/nosuch`)))
+      .status,
     404,
   );
   assert.equal(
-    (await get(f, f.http(f.process('agent-edge2').options['http'] as Address, 'POST', `${root}/drain/coordinator1`)))
+    (await get(f, f.http(f.process('agent-edge2').options['http'] as Address, 'POST', `${apiRoot}/drain/coordinator1`)))
       .status,
     400,
   );
@@ -277,7 +278,7 @@
     f.push(f.shape.config, 0).then((x) => ({ status: x.status, body: {}, headers: {} })),
   );
   await f.until('readiness', () => f.ready() === 7, duration.s(5));
-  await get(f, f.http(f.process('agent-edge3').options['http'] as Address, 'POST', `${root}/drain/gateway-edge1`));
+  await get(f, f.http(f.process('agent-edge3').options['http'] as Address, 'POST', `${apiRoot}/drain/gateway-edge1`));
   await f.world.run(f.world.now() + duration.s(1));
   const gone = await get(f, f.http(at, 'GET', '/ready'));
   assert.equal([gone.status, (gone.body['why'] as string[]).includes('leaving')], [503, true]);
