--- a/packages/register-store/test/expiry.test.ts
+++ b/packages/register-store/test/expiry.test.ts
@@ -72,9 +72,9 @@
       assert.is(stores.get(1)!.size(), 2);
       await wait(duration.s(30));
       // By the clock of store 3, which is behind, the grace period is not over yet.
-      hosts[2]!.skew = -duration.s(300);
+      hosts[2]!.clockSkew = -duration.s(300);
       assert.is((await runSweep(client1, false)).purged, 0);
-      hosts[2]!.skew = 0;
+      hosts[2]!.clockSkew = 0;
       await wait(duration.s(40));
       assert.ok((await runSweep(client1, false)).purged >= 1);
       assert.is(await client1.registers.read(secondKey), 'again');
--- a/tools/simulation/src/fleet/calls.ts
+++ b/tools/simulation/src/fleet/calls.ts
@@ -1,4 +1,4 @@
-// Calls to the nodes of a simulated deployment, as an operator makes them.
+// HTTP calls to the nodes of a simulated deployment, as an operator makes them.
 import { apiRoot } from '@thornsail/admin-api';
 import { duration, readText, type Address, type Runtime } from '@thornsail/runtime';
 import type { Fleet } from './types.js';
@@ -6,11 +6,11 @@
 type Calls = Pick<Fleet, 'http' | 'push'>;
 const callTimeout = duration.s(8);
 
-/** `usual` is the node that a configuration is pushed to when a scenario names none. */
-export const callsOf = ({ net }: Runtime, usual: Address): Calls => {
-  const http: Fleet['http'] = async (at, method, path, body, headers = {}) => {
+/** Creates the calls; configurations are pushed to `defaultNode` unless a scenario gives an address. */
+export const callsOf = ({ net }: Runtime, defaultNode: Address): Calls => {
+  const http: Fleet['http'] = async (address, method, path, body, headers = {}) => {
     const response = await net.request({
-      at,
+      at: address,
       method,
       path,
       headersTimeout: callTimeout,
@@ -26,9 +26,9 @@
   };
   return {
     http,
-    push: async (config, base, id, at = usual) => {
+    push: async (config, base, id, address = defaultNode) => {
       const headers = { 'if-match': String(base), ...(id ? { 'push-id': id } : {}) };
-      const { status, body } = await http(at, 'PUT', `${apiRoot}/config`, config, headers);
+      const { status, body } = await http(address, 'PUT', `${apiRoot}/config`, config, headers);
       return { status, mark: Number(body['mark'] ?? -1) };
     },
   };
--- a/tools/simulation/src/fleet/fleet.ts
+++ b/tools/simulation/src/fleet/fleet.ts
@@ -1,4 +1,4 @@
-// A whole deployment in the simulator (§9.2): its machines, roles, workers, platform and callers, with faults by name.
+// Opens a complete deployment in the simulator (§9.2): machines, processes, workers, platform, callers and faults.
 import { duration, invariant, type Runtime } from '@thornsail/runtime';
 import {
   audit,
@@ -21,37 +21,39 @@
 import type { Fleet, FleetOptions } from './types.js';
 import { openWorkers } from './workers.js';
 
-const usualGap = duration.ms(400);
-const usualPlaces = { model: 16, app: 16 };
-const gateways = 7;
-const pollEvery = duration.ms(50);
-/** Tokens of a class that has no budget. */
-const noBudget = 1_000_000;
+/** Pause between the turns of a conversation. */
+const defaultGap = duration.ms(400);
+/** Concurrent requests per worker, by kind. */
+const defaultPlaces = { model: 16, app: 16 };
+const gatewayCount = 7;
+const pollInterval = duration.ms(50);
+/** Token budget of a class without a configured budget. */
+const unlimitedBudget = 1_000_000;
 
 const shapeOf = (options: FleetOptions): Shape => {
-  const usual = shapes[options.shape];
+  const defaults = shapes[options.shape];
   return {
-    ...usual,
+    ...defaults,
     ...(options.capacity ? { capacity: options.capacity } : {}),
     ...(options.models ? { models: options.models } : {}),
     ...(options.perToken ? { perToken: options.perToken } : {}),
     ...(options.firstToken ? { firstToken: options.firstToken } : {}),
-    config: options.config ? options.config(structuredClone(usual.config)) : usual.config,
+    config: options.config ? options.config(structuredClone(defaults.config)) : defaults.config,
   };
 };
 
 const untilOf =
   (simulated: World, onBreach: (text: string) => void): Fleet['until'] =>
-  async (what, ok, limit) => {
-    const begun = simulated.now();
-    while (!ok()) {
-      if (simulated.now() - begun > limit) {
+  async (what, condition, limit) => {
+    const startedAt = simulated.now();
+    while (!condition()) {
+      if (simulated.now() - startedAt > limit) {
         onBreach(`${what}: not within ${duration.toMs(limit)} ms`);
         break;
       }
-      await simulated.run(simulated.now() + pollEvery);
+      await simulated.run(simulated.now() + pollInterval);
     }
-    return simulated.now() - begun;
+    return simulated.now() - startedAt;
   };
 
 type CallerOptions = {
@@ -68,50 +70,50 @@
     classes: classNames[options.shape],
     chatTimeLeft: shape.chatTimeLeft,
     pushTimeLeft: shape.pushTimeLeft,
-    gap: options.gap ?? usualGap,
-    excused: (at, since) => {
-      const process = processes.all.find((one) => one.options['http'] === at);
+    gap: options.gap ?? defaultGap,
+    excused: (address, since) => {
+      const process = processes.all.find((candidate) => candidate.options['http'] === address);
       return process === undefined || machines.hadFault(process.host, since);
     },
     stalls: options.stalls ?? false,
     gateways: () => {
       const up = processes.all.filter(({ role, host }) => role === 'gateway' && host.alive);
-      return up.map((one) => one.options['http'] as string).slice(0, options.callAt ?? up.length);
+      return up.map((gateway) => gateway.options['http'] as string).slice(0, options.gatewayLimit ?? up.length);
     },
   });
 
-const breachesOf = (fleetOf: Fleet): string[] => {
-  const { shape, requestLog: log, callers: callersOf, platform } = fleetOf;
+const breachesOf = (deployment: Fleet): string[] => {
+  const { shape, requestLog: log, callers: deploymentCallers, platform } = deployment;
   const budgets = (program: string): number => {
     const classes = shape.config['classes'] as Record<string, { budgetTokens?: number }>;
     const names = classNames[shape.name];
-    return (program.startsWith('k') ? classes[names.kept] : classes[names.chat])?.budgetTokens ?? noBudget;
+    return (program.startsWith('k') ? classes[names.kept] : classes[names.chat])?.budgetTokens ?? unlimitedBudget;
   };
   return [
     ...invariant.breaches(),
-    ...fleetOf.breachesOfItsOwn,
-    ...callersOf.summary.breaches,
-    ...silent(log, callersOf.summary.silences, shape.firstToken).breaches,
-    ...audit({ requestLog: log, keys: callersOf.keys, budgets, leftAt: platform.leftAt }),
+    ...deployment.reportedBreaches,
+    ...deploymentCallers.summary.breaches,
+    ...silent(log, deploymentCallers.summary.silences, shape.firstToken).breaches,
+    ...audit({ requestLog: log, keys: deploymentCallers.keys, budgets, leftAt: platform.leftAt }),
   ];
 };
 
-/** Pushes the first configuration and waits until all gateways serve it. */
-const configure = async (opened: Fleet): Promise<void> => {
-  await opened.until(
-    'a view of coordinators',
-    () => opened.processes.some(({ role, node }) => role === 'coordinator' && node?.counts()['leads'] === 1),
+/** Pushes the first configuration and waits until all gateways are ready. */
+const configure = async (deployment: Fleet): Promise<void> => {
+  await deployment.until(
+    'a leading coordinator',
+    () => deployment.processes.some(({ role, node }) => role === 'coordinator' && node?.counts()['leads'] === 1),
     duration.s(10),
   );
   let mark = 0;
-  void opened.push(opened.shape.config, 0, 'first').then(
+  void deployment.push(deployment.shape.config, 0, 'first').then(
     (pushed) => {
       mark = pushed.mark;
     },
     () => undefined,
   );
-  await opened.until('the first configuration', () => mark === 1, duration.s(8));
-  await opened.until('all gateways ready', () => opened.ready() === gateways, duration.s(15));
+  await deployment.until('the first configuration', () => mark === 1, duration.s(8));
+  await deployment.until('all gateways ready', () => deployment.ready() === gatewayCount, duration.s(15));
 };
 
 const open = async (options: FleetOptions): Promise<Fleet> => {
@@ -121,27 +123,27 @@
   const { seed, log } = options;
   const { zoneDelay, clientDelay } = shape;
   const simulated = world.open({ seed, zoneDelay, clientDelay, clientIp: machineLayout.callers });
-  if (log) simulated.onLog((at, ip, part, text) => log(`${(at / 1e6).toFixed(3)} ${ip} ${part}: ${text}`));
-  const breachesOfItsOwn: string[] = [];
-  const onBreach = (text: string): void => void breachesOfItsOwn.push(text);
-  const recorded = requestLog.open();
+  if (log) simulated.onLog((time, ip, part, text) => log(`${(time / 1e6).toFixed(3)} ${ip} ${part}: ${text}`));
+  const reportedBreaches: string[] = [];
+  const onBreach = (text: string): void => void reportedBreaches.push(text);
+  const requests = requestLog.open();
   const machines = openMachines(simulated);
   const common = { world: simulated, machines, layout: machineLayout };
-  const places = options.places ?? { ...usualPlaces, ...(shape.config['slots'] as object) };
-  const workers = await openWorkers({ ...common, shape, requestLog: recorded, places });
+  const places = options.places ?? { ...defaultPlaces, ...(shape.config['slots'] as object) };
+  const workers = await openWorkers({ ...common, shape, requestLog: requests, places });
   const processes = openProcesses({
     ...common,
     plain: options.plain ?? false,
-    onFailed: ({ name }) => opened.kill(name),
+    onFailed: ({ name }) => deployment.kill(name),
     onBreach,
   });
   processes.addLayout();
   const callerRuntime = simulated.runtime(machines.host(machineLayout.callers, 'c'));
-  const opened: Fleet = {
+  const deployment: Fleet = {
     world: simulated,
     shape,
     layout: machineLayout,
-    requestLog: recorded,
+    requestLog: requests,
     processes: processes.all,
     models: workers.models,
     apps: workers.apps,
@@ -156,14 +158,14 @@
     ready: () =>
       processes.all.filter(({ role, host, node }) => role === 'gateway' && host.alive && node?.ready().ok).length,
     until: untilOf(simulated, onBreach),
-    load: loadOf({ world: simulated, callers: () => opened.callers, onBreach }),
-    breaches: () => breachesOf(opened),
-    breachesOfItsOwn,
+    load: loadOf({ world: simulated, callers: () => deployment.callers, onBreach }),
+    breaches: () => breachesOf(deployment),
+    reportedBreaches,
   };
   for (const process of processes.all) processes.boot(process);
-  if (!options.noConfig) await configure(opened);
-  return opened;
+  if (!options.noConfig) await configure(deployment);
+  return deployment;
 };
 
-/** Simulated deployments. */
+/** Opens simulated deployments. */
 export const fleet = { open };
--- a/tools/simulation/src/fleet/index.ts
+++ b/tools/simulation/src/fleet/index.ts
@@ -1,3 +1,3 @@
-// A whole deployment in the simulator.
+// Complete deployments in the simulator.
 export { fleet } from './fleet.js';
 export type { Fleet, FleetProcess } from './types.js';
--- a/tools/simulation/src/fleet/machines.ts
+++ b/tools/simulation/src/fleet/machines.ts
@@ -1,23 +1,24 @@
-// The machines of a simulated deployment and the times for which a fault had hold of them.
+// The machines of a simulated deployment and the periods in which they had a fault.
 import { duration, type Microseconds } from '@thornsail/runtime';
 import type { Host, World } from '../world/index.js';
 
-/** When a fault had hold of a machine; `to` is infinite while it still has. */
+/** The period of a fault of a machine; `to` is infinite while the fault lasts. */
 export type FaultPeriod = { from: Microseconds; to: Microseconds };
 
-/** Hosts by their addresses. What a host's callers bear while a fault has hold of it is no breach (§9.3). */
+/** Hosts by IP, and their faults. Errors that callers see during a fault of their host are no breach (§9.3). */
 export type Machines = {
-  /** The host at this address; made in this zone when there is none yet. */
+  /** The host of an IP; created in the zone if there is none yet. */
   host: (ip: string, zone: string) => Host;
+  /** Records the start of a fault; the caller sets `to` at its end. */
   beginFault: (host: Host) => FaultPeriod;
-  /** Whether a fault has had hold of the host since a time. */
+  /** Whether the host is down or had a fault since a time. */
   hadFault: (host: Host, since: Microseconds) => boolean;
 };
 
-/** Callers may still feel a fault for so long after it is over. */
-const aftermath: Microseconds = duration.ms(300);
+/** Time after the end of a fault in which callers may still see errors. */
+const faultAftermath: Microseconds = duration.ms(300);
 
-/** No machines yet. */
+/** Creates an empty registry of machines. */
 export const openMachines = (world: World): Machines => {
   const hosts = new Map<string, Host>();
   const faults = new Map<Host, FaultPeriod[]>();
@@ -32,6 +33,7 @@
       faults.set(host, [...(faults.get(host) ?? []), period]);
       return period;
     },
-    hadFault: (host, since) => !host.alive || (faults.get(host) ?? []).some((period) => period.to + aftermath >= since),
+    hadFault: (host, since) =>
+      !host.alive || (faults.get(host) ?? []).some((period) => period.to + faultAftermath >= since),
   };
 };
--- a/tools/simulation/src/fleet/operations.ts
+++ b/tools/simulation/src/fleet/operations.ts
@@ -1,4 +1,4 @@
-// What a scenario does to the machines of a simulated deployment: kill, start, freeze, partition, replace, add.
+// Operations of a scenario on the machines of a simulated deployment: kill, start, freeze, partition, replace, add.
 import type { Microseconds } from '@thornsail/runtime';
 import type { Layout } from '@thornsail/test-harness';
 import type { World } from '../world/index.js';
@@ -11,12 +11,12 @@
   'kill' | 'start' | 'replace' | 'addEdge' | 'addStore' | 'freeze' | 'partition' | 'cutMachine'
 >;
 type OperationsOptions = { world: World; machines: Machines; processes: Processes; layout: Layout };
-/** Edges that are added read the seeds of this one. */
-const seedsFrom = 'agent-edge2';
+/** The process whose seed list an added edge machine copies. */
+const seedsSource = 'agent-edge2';
 
-type Changes = Pick<Operations, 'replace' | 'addEdge' | 'addStore'>;
-const changesOf = ({ world, processes, layout }: OperationsOptions): Changes => ({
-  replace: (name, as, ip) => {
+type MachineChanges = Pick<Operations, 'replace' | 'addEdge' | 'addStore'>;
+const machineChangesOf = ({ world, processes, layout }: OperationsOptions): MachineChanges => ({
+  replace: (name, newName, ip) => {
     const lost = processes.named(name);
     if (lost.host.alive) {
       world.kill(lost.host, 'disk');
@@ -24,15 +24,15 @@
     }
     processes.all.splice(processes.all.indexOf(lost), 1);
     const founders = lost.role === 'coordinator' ? { founders: [] } : {};
-    const options = { ...lost.options, name: as, ...addressesAt(ip), ...founders };
-    processes.add({ name: as, role: lost.role, ip, zone: lost.host.zone, options });
-    processes.named(as).seeds = lost.seeds;
-    processes.boot(processes.named(as));
+    const options = { ...lost.options, name: newName, ...addressesAt(ip), ...founders };
+    processes.add({ name: newName, role: lost.role, ip, zone: lost.host.zone, options });
+    processes.named(newName).seeds = lost.seeds;
+    processes.boot(processes.named(newName));
   },
   addEdge: (n) => {
     processes.addEdge(`edge${n}`, layout.machines[0]!.host.replace(/\d+$/, String(n)), 'z2');
     for (const process of processes.all.slice(-2)) {
-      process.seeds = processes.named(seedsFrom).seeds;
+      process.seeds = processes.named(seedsSource).seeds;
       processes.boot(process);
     }
   },
@@ -42,14 +42,14 @@
   },
 });
 
-/** The operations on a deployment; times of faults are noted for the callers' checks. */
+/** The operations on a deployment; they record the periods of faults, which the callers' checks take into account. */
 export const operationsOf = (options: OperationsOptions): Operations => {
   const { world, machines, processes } = options;
   return {
-    kill: (name, how = 'process') => {
+    kill: (name, failure = 'process') => {
       const process = processes.named(name);
       machines.beginFault(process.host).to = world.now();
-      world.kill(process.host, how);
+      world.kill(process.host, failure);
       process.node = null;
     },
     start: (name) => {
@@ -57,12 +57,12 @@
       world.start(process.host);
       processes.boot(process);
     },
-    freeze: (name, forUs: Microseconds) => {
+    freeze: (name, period: Microseconds) => {
       const { host } = processes.named(name);
-      const period = machines.beginFault(host);
+      const faultPeriod = machines.beginFault(host);
       world.freeze(host);
-      world.scheduleAt(world.now() + forUs, () => {
-        period.to = world.now();
+      world.scheduleAt(world.now() + period, () => {
+        faultPeriod.to = world.now();
         world.thaw(host);
       });
     },
@@ -76,6 +76,6 @@
       };
     },
     cutMachine: (ip, from) => world.partition([machines.host(ip, 'z1')], from),
-    ...changesOf(options),
+    ...machineChangesOf(options),
   };
 };
--- a/tools/simulation/src/fleet/processes.ts
+++ b/tools/simulation/src/fleet/processes.ts
@@ -1,4 +1,4 @@
-// The processes of a simulated deployment: added by the layout or a scenario, started with their options.
+// The processes of a simulated deployment, which the layout or a scenario adds and starts with their options.
 import { configSchema } from '@thornsail/config-schema';
 import type { Address, Runtime } from '@thornsail/runtime';
 import { ports, type Layout } from '@thornsail/test-harness';
@@ -7,16 +7,19 @@
 import type { Machines } from './machines.js';
 import type { FleetProcess } from './types.js';
 
-/** All processes, in the order in which they were added. */
+/** The processes in order of addition; `named` throws if there is none of that name. */
 export type Processes = {
   all: FleetProcess[];
   named: (name: string) => FleetProcess;
   add: (added: AddedProcess) => void;
+  /** Adds an agent and a gateway. */
   addEdge: (name: string, ip: string, zone: string) => void;
+  /** Adds the processes of the layout. */
   addLayout: () => void;
+  /** Starts the process; a failed start is reported as a breach. */
   boot: (process: FleetProcess) => void;
 };
-/** A process and the machine at whose address it is to run. */
+/** A process to add, and the IP and zone of its machine. */
 export type AddedProcess = {
   name: string;
   role: FleetProcess['role'];
@@ -29,12 +32,12 @@
   machines: Machines;
   layout: Layout;
   plain: boolean;
-  /** A node that had to end by itself. */
+  /** Called for a node that stopped itself after a fatal error. */
   onFailed: (process: FleetProcess) => void;
   onBreach: (text: string) => void;
 };
 
-/** Where an agent, coordinator or store listens on its machine. */
+/** The listening addresses of an agent, coordinator or store: for its peers (`place`) and for HTTP. */
 export const addressesAt = (ip: string): { place: Address; http: Address } => ({
   place: `${ip}:${ports.sibling}`,
   http: `${ip}:${ports.http}`,
@@ -54,20 +57,20 @@
       node.onFailed(() => onFailed(process));
     },
     (error) => {
-      // One that cannot read its disk ends with an error; so it must.
+      // A node that cannot read its disk must fail to start.
       if (host.disk.fail.read > 0) onFailed(process);
       else onBreach(`${process.name} did not start: ${String(error)}`);
     },
   );
 };
 
-/** No processes yet; `addLayout` adds those of the layout. */
+/** Creates an empty list of processes; `addLayout` adds those of the layout. */
 export const openProcesses = (options: ProcessesOptions): Processes => {
   const { machines, layout } = options;
   const all: FleetProcess[] = [];
-  const add = ({ name, role, ip, zone, options: own }: AddedProcess): void => {
+  const add = ({ name, role, ip, zone, options: roleOptions }: AddedProcess): void => {
     const host = machines.host(ip, zone);
-    all.push({ name, role, host, node: null, options: { name, zone, ...own }, seeds: layout.seeds });
+    all.push({ name, role, host, node: null, options: { name, zone, ...roleOptions }, seeds: layout.seeds });
   };
   const addEdge = (name: string, ip: string, zone: string): void => {
     const agent = addressesAt(ip);
@@ -91,7 +94,7 @@
   return {
     all,
     named: (name) => {
-      const process = all.find((one) => one.name === name);
+      const process = all.find((candidate) => candidate.name === name);
       if (!process) throw new Error(`no process ${name}`);
       return process;
     },
--- a/tools/simulation/src/fleet/workers.ts
+++ b/tools/simulation/src/fleet/workers.ts
@@ -12,7 +12,7 @@
 import type { World } from '../world/index.js';
 import type { Machines } from './machines.js';
 
-/** Workers by kind, in the order in which they were started. */
+/** The workers by kind, in order of their start, and the platform that lists them. */
 export type Workers = {
   models: StandIn[];
   apps: StandIn[];
@@ -28,29 +28,31 @@
   places: { model: number; app: number };
 };
 
+/** Prefill time of one prompt token, in microseconds. */
 const prefillPerToken = 60;
-const appTakes = duration.ms(15);
-const zones = 3;
-const ipOf = (at: string): string => at.split(':')[0]!;
+/** Duration of one job at an app worker. */
+const appJobTime = duration.ms(15);
+const zoneCount = 3;
+const ipOf = (address: string): string => address.split(':')[0]!;
 
-/** Starts all workers of the layout, and then the platform that lists them. */
+/** Starts the workers of the layout, then the platform that lists them. */
 export const openWorkers = async (options: WorkersOptions): Promise<Workers> => {
   const { world, machines, shape, layout, requestLog, places } = options;
   const models: StandIn[] = [];
   const apps: StandIn[] = [];
-  const start = async ({ id, at, kind }: Listed, zone: string): Promise<StandIn> => {
-    const runtime = world.runtime(machines.host(ipOf(at), zone));
-    const common = { id, at, requestLog, rand: runtime.rand };
+  const start = async ({ id, at: address, kind }: Listed, zone: string): Promise<StandIn> => {
+    const runtime = world.runtime(machines.host(ipOf(address), zone));
+    const common = { id, at: address, requestLog, rand: runtime.rand };
     const { capacity, firstToken, perToken } = shape;
     const speed = { capacity, firstToken, perToken, perPrefill: prefillPerToken };
     const worker =
       kind === 'model'
         ? await standIns.model(runtime, { ...common, ...speed, places: places.model })
-        : await standIns.app(runtime, { ...common, takes: appTakes, places: places.app });
+        : await standIns.app(runtime, { ...common, takes: appJobTime, places: places.app });
     (kind === 'model' ? models : apps).push(worker);
     return worker;
   };
-  for (const [i, worker] of layout.workers.entries()) await start(worker, `z${(i % zones) + 1}`);
+  for (const [i, worker] of layout.workers.entries()) await start(worker, `z${(i % zoneCount) + 1}`);
   const platform = await standIns.platform(world.runtime(machines.host(ipOf(layout.platform), 'z1')), {
     at: layout.platform,
     workers: layout.workers,
--- a/tools/simulation/src/guards-cli.ts
+++ b/tools/simulation/src/guards-cli.ts
@@ -1,13 +1,14 @@
-// npm run guards: takes each guarding line out of a copy and shows which test notices.
+// npm run guards [-- TEXT ...]: disables each guard in a copy of the build and prints whether its test notices. With
+// arguments, only the guards whose name or rule contains one of the texts.
 import { guardRunner, guards } from './guards.js';
 
-const wanted = process.argv.slice(2);
-const chosen = guards.filter(
-  ({ name, rule }) => wanted.length === 0 || wanted.some((text) => name.includes(text) || rule.includes(text)),
+const filters = process.argv.slice(2);
+const selected = guards.filter(
+  ({ name, rule }) => filters.length === 0 || filters.some((text) => name.includes(text) || rule.includes(text)),
 );
-const verdicts = await guardRunner.takeOutAll(
-  chosen,
-  (verdict) => void process.stdout.write(guardRunner.line(verdict)),
+const verdicts = await guardRunner.runAll(
+  selected,
+  (verdict) => void process.stdout.write(guardRunner.formatVerdict(verdict)),
 );
 const missed = verdicts.filter(({ noticed }) => !noticed).length;
 process.stdout.write(`${verdicts.length - missed} noticed, ${missed} missed\n`);
--- a/tools/simulation/src/guards.ts
+++ b/tools/simulation/src/guards.ts
@@ -1,2 +1,2 @@
-// The guards of the packages and the program, and how they are taken out: see guards/.
+// The guards of the packages and the program, and the runner that disables them one by one.
 export * from './guards/index.js';
--- a/tools/simulation/src/guards/build-copy.ts
+++ b/tools/simulation/src/guards/build-copy.ts
@@ -1,4 +1,4 @@
-// A copy of the built workspaces in a temporary folder, in which texts of a guard are replaced.
+// Creates a copy of the built workspaces in a temporary folder and replaces the texts of a guard in it.
 import { cpSync, mkdirSync, mkdtempSync, readFileSync, readdirSync, rmSync, symlinkSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import path from 'node:path';
@@ -9,14 +9,18 @@
 const repository = path.resolve(path.dirname(fileURLToPath(import.meta.url)), '../../../..');
 const scope = '@thornsail';
 
-/** A text wherever it stands, however the formatter laid it out over lines. */
-const inAnyLayout = (text: string): RegExp => {
-  const characters = [...text.replace(/\s+/g, '')].map((one) => one.replace(/[.*+?^${}()|[\]\\/]/g, '\\$&'));
-  const withTrailingCommas = characters.map((one) => (/^\\[)\]}]$/.test(one) ? `(?:,\\s*)?${one}` : one));
+/** A pattern that matches a text in any layout of the formatter: whitespace and trailing commas are ignored. */
+const layoutInsensitive = (text: string): RegExp => {
+  const characters = [...text.replace(/\s+/g, '')].map((character) =>
+    character.replace(/[.*+?^${}()|[\]\\/]/g, '\\$&'),
+  );
+  const withTrailingCommas = characters.map((character) =>
+    /^\\[)\]}]$/.test(character) ? `(?:,\\s*)?${character}` : character,
+  );
   return new RegExp(withTrailingCommas.join('\\s*'), 'g');
 };
 
-/** Other packages are linked from the repository; the project's own are linked to the copy. */
+/** Links third-party packages from the repository, and the project's own packages from the copy. */
 const linkModules = (folder: string): void => {
   const modules = path.join(folder, 'node_modules');
   mkdirSync(path.join(modules, scope), { recursive: true });
@@ -27,11 +31,11 @@
     symlinkSync(path.join(folder, workspace), path.join(modules, scope, path.basename(workspace)));
 };
 
-/** Replaces the text wherever it stands in its file; false when the file has no such text. */
+/** Replaces all occurrences of the text in its file; false if there is none. */
 const replaceIn = (folder: string, { file, find, replacement }: Replacement): boolean => {
   const target = fileOfWorkspace(folder, file);
   const text = readFileSync(target, 'utf8');
-  const pattern = inAnyLayout(find);
+  const pattern = layoutInsensitive(find);
   if (!pattern.test(text)) return false;
   writeFileSync(
     target,
@@ -40,7 +44,7 @@
   return true;
 };
 
-/** Copies of the build; whoever makes one removes it. */
+/** Copies of the build; the caller of `create` has to `remove` the folder. */
 export const buildCopy = {
   create: (): string => {
     const folder = mkdtempSync(path.join(tmpdir(), 'thornsail-guard-'));
@@ -50,8 +54,8 @@
     linkModules(folder);
     return folder;
   },
-  /** Makes the replacements in order; gives the first that has no such text in its file, if there is one. */
+  /** Makes the replacements in order; stops at the first whose text is not in its file, and returns it. */
   replace: (folder: string, replacements: readonly Replacement[]): Replacement | undefined =>
-    replacements.find((one) => !replaceIn(folder, one)),
+    replacements.find((replacement) => !replaceIn(folder, replacement)),
   remove: (folder: string): void => rmSync(folder, { recursive: true, force: true }),
 };
--- a/tools/simulation/src/guards/consensus.ts
+++ b/tools/simulation/src/guards/consensus.ts
@@ -154,7 +154,7 @@
     find: 'message.to !== state.id || snapshot.term < state.term',
     replacement: 'message.to !== state.id',
     noticedBy: { test: 'consensus/test/model.test.js' },
-    also: [
+    otherReplacements: [
       {
         file: 'consensus/src/effects.js',
         find: 'invariant.hold(snapshot.term >= term',
@@ -185,7 +185,7 @@
     find: 'state.pendingWrite || state.replication || state.queue.length === 0',
     replacement: 'state.pendingWrite || state.queue.length === 0',
     noticedBy: { test: 'consensus/test/model.test.js' },
-    also: [
+    otherReplacements: [
       {
         file: 'consensus/src/leader.js',
         find: 'if (committed?.term !== state.term || committed.index !== accepted.index)\n        return;',
@@ -208,7 +208,7 @@
     find: 'message.to !== state.id || snapshot.term',
     replacement: 'snapshot.term',
     noticedBy: { test: 'consensus/test/model.test.js' },
-    also: [
+    otherReplacements: [
       {
         file: 'consensus/src/follower.js',
         find: 'message.to !== state.id || message.term <= state.term',
--- a/tools/simulation/src/guards/data-plane.ts
+++ b/tools/simulation/src/guards/data-plane.ts
@@ -10,7 +10,7 @@
     find: 'gateway.admission.observeFirstToken(plan.className, gateway.runtime.clock.now() - sentAt, turn.forced);',
     replacement: '',
     noticedBy: { scenario: 'hold', from: 2, to: 2 },
-    also: [
+    otherReplacements: [
       {
         file: 'data-plane/src/admission/service-times.js',
         find: 'forcedFirstTokens.get(className)?.upperBound() ?? expectedService(className)',
@@ -67,7 +67,7 @@
     find: 'if (current.marks.includes(turnId)) return',
     replacement: 'if (false) return',
     noticedBy: { test: 'simulation/test/keep.test.js' },
-    also: [
+    otherReplacements: [
       {
         file: 'data-plane/src/answer-duplicate.js',
         find: 'if (result) return replay(duplicate, result);',
--- a/tools/simulation/src/guards/guard.ts
+++ b/tools/simulation/src/guards/guard.ts
@@ -1,25 +1,30 @@
-// What a guard is: a line of the built code that keeps a rule, and the run that must fail without it (§9.5).
+// A guard is a line of the built code that upholds a rule, and the run that must fail without it (mutation test, §9.5).
 
-/** One text of a built file and what it is replaced by; `file` starts with its workspace (`consensus/src/core.js`). */
+/** A text of a built file and its replacement; `file` is a path within a workspace (`consensus/src/core.js`). */
 export type Replacement = { file: string; find: string; replacement: string };
 
 /**
- * The run that must notice that a guard is missing: seeds of a simulator scenario, a test file, or a program.
- * The program tells of each of its runs in one line of JSON with `seed` and `breaches`; its path and those of its
- * arguments start at the repository's root.
+ * The run that must fail when the guard is disabled: seeds `from` to `to` of a simulator scenario, a test file, or a
+ * program. A program prints one line of JSON with `seed` and `breaches` for each of its runs; its path and those in its
+ * arguments are relative to the repository root.
  */
 export type NoticedBy =
   | { scenario: string; shape?: 'lautoka' | 'granite'; from?: number; to?: number }
   | { test: string }
   | { program: string; args: string[] };
 
-/** A line that keeps a rule. `name` stands in docs/FAILURES.md; `also` holds other lines that would keep it, too. */
+/**
+ * A line that upholds a rule. `name` is its title in docs/FAILURES.md; `otherReplacements` disable further lines that
+ * would uphold the rule without it.
+ */
 export type Guard = Replacement & {
   name: string;
   rule: string;
   noticedBy: NoticedBy;
-  also: readonly Replacement[];
+  otherReplacements: readonly Replacement[];
 };
 
-/** Makes a guard; without `also` only its own line is taken out. */
-export const guard = (options: Omit<Guard, 'also'> & Partial<Pick<Guard, 'also'>>): Guard => ({ also: [], ...options });
+/** Creates a guard; without `otherReplacements` only its own line is replaced. */
+export const guard = (
+  options: Omit<Guard, 'otherReplacements'> & Partial<Pick<Guard, 'otherReplacements'>>,
+): Guard => ({ otherReplacements: [], ...options });
--- a/tools/simulation/src/guards/index.ts
+++ b/tools/simulation/src/guards/index.ts
@@ -1,4 +1,4 @@
-// All guards of the packages and the program, joined from one list for each package whose built code they change.
+// All guards of the packages and the program, from one list for each package whose built code they change.
 import { admissionSchedulerGuards } from './admission-scheduler.js';
 import { consensusGuards } from './consensus.js';
 import { dataPlaneGuards } from './data-plane.js';
@@ -18,7 +18,7 @@
 export { guard, type Guard, type NoticedBy, type Replacement } from './guard.js';
 export { guardRunner, type Verdict } from './runner.js';
 
-/** Every guard that `npm run guards` takes out; names are unique and stand in docs/FAILURES.md. */
+/** Every guard that `npm run guards` disables; names are unique and listed in docs/FAILURES.md. */
 export const guards: readonly Guard[] = [
   ...admissionSchedulerGuards,
   ...consensusGuards,
--- a/tools/simulation/src/guards/load-balancer.ts
+++ b/tools/simulation/src/guards/load-balancer.ts
@@ -18,7 +18,7 @@
     find: '!worker.leaving && !excluded?.has(worker.id)',
     replacement: '!excluded?.has(worker.id)',
     noticedBy: { scenario: 'leaving' },
-    also: [
+    otherReplacements: [
       {
         file: 'data-plane/src/requests/attempt.js',
         find: 'if (!current || current.leaving)',
@@ -81,7 +81,7 @@
     find: 'if (!force && mustYield(state, className, ownService))',
     replacement: 'if (false)',
     noticedBy: { scenario: 'urgent' },
-    also: [
+    otherReplacements: [
       {
         file: 'load-balancer/src/class-shares.js',
         find: 'free -= Math.max(0, unusedReserve(occupancy, other, reserve));',
--- a/tools/simulation/src/guards/runner.ts
+++ b/tools/simulation/src/guards/runner.ts
@@ -1,4 +1,4 @@
-// Takes guards out of a copy of the built code and tells whether the run that watches over each one notices (§9.5).
+// Disables guards in a copy of the built code and checks that the run that watches over each guard notices (§9.5).
 import { spawn } from 'node:child_process';
 import { availableParallelism } from 'node:os';
 import path from 'node:path';
@@ -6,15 +6,16 @@
 import { buildCopy } from './build-copy.js';
 import type { Guard, NoticedBy } from './guard.js';
 
-/** What came of taking one guard out; `how` names the run and, if it noticed, the first breach. */
-export type Verdict = { guard: string; rule: string; noticed: boolean; how: string };
+/** The result of disabling one guard; `evidence` names the run and the first breach, if it noticed. */
+export type Verdict = { guard: string; rule: string; noticed: boolean; evidence: string };
 
-/** A run that hangs has not passed either. In milliseconds. */
-const runLimit = 150_000;
-const mostWorkers = 6;
-const longestBreach = 110;
+/** Time limit of a run in milliseconds; a test that exceeds it counts as failed. */
+const runTimeoutMs = 150_000;
+const maxWorkers = 6;
+/** In characters. */
+const maxBreachLength = 110;
 
-/** Runs a Node.js program until it ends or `isEnough` says so of a line that it printed; gives its exit code. */
+/** Runs a Node.js program until it ends or `isEnough` is true for a printed line; resolves to its exit code. */
 const runNode = (args: string[], cwd: string, isEnough: (line: string) => boolean): Promise<number | null> =>
   new Promise((resolve) => {
     const child = spawn(process.execPath, args, {
@@ -28,7 +29,7 @@
       rest = lines.pop() ?? '';
       for (const line of lines) if (isEnough(line)) child.kill('SIGKILL');
     });
-    const timeout = setTimeout(() => child.kill('SIGKILL'), runLimit);
+    const timeout = setTimeout(() => child.kill('SIGKILL'), runTimeoutMs);
     child.on('close', (code) => {
       clearTimeout(timeout);
       resolve(code);
@@ -46,53 +47,55 @@
   };
 };
 
-type Notice = { noticed: boolean; how: string };
+type Notice = { noticed: boolean; evidence: string };
 const runTest = async (folder: string, test: string): Promise<Notice> => {
   const code = await runNode([fileOfWorkspace(folder, test)], folder, () => false);
-  return { noticed: code !== 0, how: test };
+  return { noticed: code !== 0, evidence: test };
 };
 const runProgram = async (folder: string, { program, args, name }: ProgramRun): Promise<Notice> => {
-  let notice: Notice = { noticed: false, how: `${name}: no breach` };
+  let notice: Notice = { noticed: false, evidence: `${name}: no breach` };
   await runNode([path.join(folder, program), ...args], folder, (line) => {
     const run = JSON.parse(line) as { seed: number; breaches: string[] };
     const [breach] = run.breaches;
     if (breach === undefined) return false;
-    notice = { noticed: true, how: `${name} seed ${run.seed}: ${breach.slice(0, longestBreach)}` };
+    notice = { noticed: true, evidence: `${name} seed ${run.seed}: ${breach.slice(0, maxBreachLength)}` };
     return true;
   });
   return notice;
 };
 
-const noticeIn = async (folder: string, one: Guard): Promise<Notice> => {
-  const missing = buildCopy.replace(folder, [one, ...one.also]);
-  // Reported as a miss, so that one guard which is out of date hides no other.
-  if (missing) return { noticed: false, how: `its line is not in ${missing.file}` };
-  return 'test' in one.noticedBy ? runTest(folder, one.noticedBy.test) : runProgram(folder, programRun(one.noticedBy));
+const disableAndRun = async (folder: string, guard: Guard): Promise<Notice> => {
+  const missing = buildCopy.replace(folder, [guard, ...guard.otherReplacements]);
+  // Reported as a miss instead of thrown, so that an outdated guard does not hide the results of the others.
+  if (missing) return { noticed: false, evidence: `its line is not in ${missing.file}` };
+  return 'test' in guard.noticedBy
+    ? runTest(folder, guard.noticedBy.test)
+    : runProgram(folder, programRun(guard.noticedBy));
 };
-const takeOut = async (one: Guard): Promise<Verdict> => {
+const runOne = async (guard: Guard): Promise<Verdict> => {
   const folder = buildCopy.create();
   try {
-    return { guard: one.name, rule: one.rule, ...(await noticeIn(folder, one)) };
+    return { guard: guard.name, rule: guard.rule, ...(await disableAndRun(folder, guard)) };
   } finally {
     buildCopy.remove(folder);
   }
 };
-const takeOutAll = async (guards: readonly Guard[], onVerdict: (verdict: Verdict) => void): Promise<Verdict[]> => {
+const runAll = async (guards: readonly Guard[], onVerdict: (verdict: Verdict) => void): Promise<Verdict[]> => {
   const queue = [...guards];
   const verdicts: Verdict[] = [];
-  const work = async (): Promise<void> => {
+  const runQueue = async (): Promise<void> => {
     for (let next = queue.shift(); next; next = queue.shift()) {
-      const verdict = await takeOut(next);
+      const verdict = await runOne(next);
       verdicts.push(verdict);
       onVerdict(verdict);
     }
   };
-  const workers = Math.max(1, Math.min(mostWorkers, availableParallelism() - 1));
-  await Promise.all(Array.from({ length: workers }, work));
+  const workers = Math.max(1, Math.min(maxWorkers, availableParallelism() - 1));
+  await Promise.all(Array.from({ length: workers }, runQueue));
   return verdicts;
 };
-const line = ({ guard, rule, noticed, how }: Verdict): string =>
-  `${noticed ? 'noticed' : 'MISSED '} ${rule}: ${guard} (${how})\n`;
+const formatVerdict = ({ guard, rule, noticed, evidence }: Verdict): string =>
+  `${noticed ? 'noticed' : 'MISSED '} ${rule}: ${guard} (${evidence})\n`;
 
-/** Takes one guard out, or all of a list with a few at a time; `line` prints a verdict. */
-export const guardRunner = { takeOut, takeOutAll, line };
+/** Disables and runs one guard, or all of a list a few at a time; `formatVerdict` gives a line of text. */
+export const guardRunner = { runOne, runAll, formatVerdict };
--- a/tools/simulation/src/guards/simulation.ts
+++ b/tools/simulation/src/guards/simulation.ts
@@ -1,7 +1,7 @@
-// Guards of the lines of the simulator itself that keep a rule.
+// Guards for lines of the simulator itself.
 import { guard, type Guard } from './guard.js';
 
-/** Guards of the simulator itself. */
+/** Guards for the simulator. */
 export const simulationGuards: readonly Guard[] = [
   guard({
     name: 'a call receives what was written before its server ended',
--- a/tools/simulation/src/guards/token-budget.ts
+++ b/tools/simulation/src/guards/token-budget.ts
@@ -10,7 +10,9 @@
     find: 'if (isReserved(record, budget))',
     replacement: 'if (false)',
     noticedBy: { scenario: 'budget' },
-    also: [{ file: 'token-budget/src/charge.js', find: 'if (isExhausted(record, budget))', replacement: 'if (false)' }],
+    otherReplacements: [
+      { file: 'token-budget/src/charge.js', find: 'if (isExhausted(record, budget))', replacement: 'if (false)' },
+    ],
   }),
   guard({
     name: 'a turn is charged before it is sent',
--- a/tools/simulation/src/measurement/day.ts
+++ b/tools/simulation/src/measurement/day.ts
@@ -2,7 +2,7 @@
 import { duration } from '@thornsail/runtime';
 import type { ShapeName } from '@thornsail/test-harness';
 import { type Fleet, fleet } from '../fleet/index.js';
-import { sum } from '../scene.js';
+import { sumGatewayCounts } from '../scenario-support.js';
 
 export const seeds = [1, 2, 3, 4];
 
@@ -66,10 +66,10 @@
     capacity: o.capacity,
     gap: duration.ms(900),
     ...(o.plain ? { plain: true } : {}),
-    ...(o.callAt ? { callAt: o.callAt } : {}),
+    ...(o.callAt ? { gatewayLimit: o.callAt } : {}),
     config: (c) => ({ ...c, slots: { model: 64, app: 16 }, scheduler: { ...o.scheduler } }),
   });
-  const l = f.load({ chats: o.chats, kept: Math.round(o.chats / 8), jobs: 0, over: duration.s(20) });
+  const l = f.load({ chats: o.chats, kept: Math.round(o.chats / 8), jobs: 0, spreadOver: duration.s(20) });
   const over = overCapacity();
   while (!l.done() && f.world.now() < duration.s(120)) {
     await f.world.run(f.world.now() + duration.ms(250));
@@ -80,9 +80,9 @@
     turns: f.callers.summary.turns,
     prompt: e.reduce((a, x) => a + x.prompt, 0),
     reprefilled: e.reduce((a, x) => a + x.reprefilled, 0),
-    held: sum(f, 'held'),
-    resumed: sum(f, 'resumed'),
-    forced: sum(f, 'forced'),
+    held: sumGatewayCounts(f, 'held'),
+    resumed: sumGatewayCounts(f, 'resumed'),
+    forced: sumGatewayCounts(f, 'forced'),
     rejected: Object.values(f.callers.summary.rejected).reduce((a, b) => a + b, 0),
     gaveUp: f.callers.summary.gaveUp,
     over: over.part(),
--- a/tools/simulation/src/measurement/turns.ts
+++ b/tools/simulation/src/measurement/turns.ts
@@ -1,7 +1,7 @@
 // What a turn costs in syncs, frames and ballots.
 import { duration } from '@thornsail/runtime';
 import { fleet } from '../fleet/index.js';
-import { sum } from '../scene.js';
+import { sumGatewayCounts } from '../scenario-support.js';
 import { head, out, row } from './table.js';
 
 export const turns = async (): Promise<void> => {
@@ -23,7 +23,7 @@
     ] as const) {
       const f = await fleet.open({ seed: 1, shape });
       const idle = await fleet.open({ seed: 1, shape });
-      const l = f.load({ ...o, over: duration.s(5) });
+      const l = f.load({ ...o, spreadOver: duration.s(5) });
       const [s0, fr0] = [f.world.syncs(), f.world.frames()];
       await f.until('the load', l.done, duration.s(60));
       const span = f.world.now();
@@ -36,8 +36,8 @@
         n,
         ((f.world.syncs() - s0 - (idle.world.syncs() - si)) / n).toFixed(1),
         ((f.world.frames() - fr0 - (idle.world.frames() - fi)) / n).toFixed(1),
-        (sum(f, 'register_rounds') / n).toFixed(2),
-        (sum(f, 'register_quick') / n).toFixed(2),
+        (sumGatewayCounts(f, 'register_rounds') / n).toFixed(2),
+        (sumGatewayCounts(f, 'register_quick') / n).toFixed(2),
       );
     }
 };
--- a/tools/simulation/src/operator-calls.ts
+++ b/tools/simulation/src/operator-calls.ts
@@ -1,65 +1,88 @@
-// Operators' calls that the scenarios share (§9.4): changes of the configuration, and whether those that were
-// acknowledged are in use.
+// Operator calls that the scenarios share (§9.4): pushes of configurations, and a check that acknowledged ones apply.
 import { apiRoot } from '@thornsail/admin-api';
 import { type Address, type Microseconds, duration } from '@thornsail/runtime';
 import type { Fleet } from './fleet/index.js';
-import { gatewayAt } from './scene.js';
+import { gatewayAddress } from './scenario-support.js';
 
-/** Runs `fn` once `after` microseconds of simulated time have passed. */
-export const later = (f: Fleet, after: Microseconds, fn: () => void): void =>
-  f.world.scheduleAt(f.world.now() + after, fn);
+/** Runs `run` once `after` microseconds of simulated time have passed. */
+export const runAfter = (deployment: Fleet, after: Microseconds, run: () => void): void =>
+  deployment.world.scheduleAt(deployment.world.now() + after, run);
 
-/** The coordinator that leads now; `coordinator1` while none does. */
-export const headOf = (f: Fleet): string =>
-  f.processes.find((p) => p.role === 'coordinator' && p.node?.counts()['leads'] === 1)?.name ?? 'coordinator1';
+/** Name of the coordinator that considers itself the leader; `coordinator1` if there is none. */
+export const leaderName = (deployment: Fleet): string =>
+  deployment.processes.find((process) => process.role === 'coordinator' && process.node?.counts()['leads'] === 1)
+    ?.name ?? 'coordinator1';
 
-/** Configurations that can be told apart: the n-th has a class `only-n`, by which callers see it in use. */
-const nth = (f: Fleet, n: number): Record<string, unknown> => ({
-  ...f.shape.config,
-  classes: { ...(f.shape.config['classes'] as object), [`only-${n}`]: { kind: 'app', weight: 1 } },
+/** The n-th of distinguishable configurations: it has a class `only-n`, which exists only while it is in use. */
+const numberedConfig = (deployment: Fleet, n: number): Record<string, unknown> => ({
+  ...deployment.shape.config,
+  classes: { ...(deployment.shape.config['classes'] as object), [`only-${n}`]: { kind: 'app', weight: 1 } },
 });
 
-/** An acknowledged change: its number, the mark it got, and when it was acknowledged in simulated time. */
-export type Pushed = { n: number; mark: number; ackedAt: Microseconds };
+/** An acknowledged push: `n` numbers its configuration, `mark` is the version that it got. */
+export type AcknowledgedPush = { n: number; mark: number; acknowledgedAt: Microseconds };
 
-/** An operator at one node: reads, pushes, and writes down what was acknowledged, and when. */
-export const operator = (f: Fleet, acked: Pushed[]): ((at: Address) => Promise<void>) => {
-  let n = 0;
-  return async (at) => {
-    const mine = ++n;
+/**
+ * Creates an operator that pushes the next configuration at an address, based on the version read there, and appends
+ * acknowledged pushes to a list.
+ */
+export const openOperator = (
+  deployment: Fleet,
+  acknowledged: AcknowledgedPush[],
+): ((address: Address) => Promise<void>) => {
+  let count = 0;
+  return async (address) => {
+    const n = ++count;
     try {
-      const now = await f.http(at, 'GET', `${apiRoot}/config`);
-      if (now.status !== 200) return;
-      const r = await f.push(nth(f, mine), Number(now.body['mark']), `op-${mine}`, at);
-      if (r.status === 200) acked.push({ n: mine, mark: r.mark, ackedAt: f.world.now() });
+      const current = await deployment.http(address, 'GET', `${apiRoot}/config`);
+      if (current.status !== 200) return;
+      const result = await deployment.push(
+        numberedConfig(deployment, n),
+        Number(current.body['mark']),
+        `op-${n}`,
+        address,
+      );
+      if (result.status === 200) acknowledged.push({ n, mark: result.mark, acknowledgedAt: deployment.world.now() });
     } catch {
-      /* Not known: it may have been taken or not. */
+      /* The outcome is unknown: the push may have taken effect. */
     }
   };
 };
 
-/** The newest acknowledged configuration is in use, or a newer one, two seconds later, wherever a gateway serves. */
-export const inUse = async (f: Fleet, acked: Pushed[], gateway: string): Promise<void> => {
-  const sent = f.world.now();
-  const due = acked.filter((a) => sent - a.ackedAt > duration.s(2)).sort((a, b) => b.mark - a.mark)[0];
-  const older = acked.filter((a) => due && a.mark < due.mark);
-  if (!due || older.length === 0) return;
-  const old = older[older.length - 1]!;
-  const at = f.process(gateway).options['http'] as Address;
-  const r = await f.http(at, 'POST', '/v1/jobs', {}, { 'x-thornsail-class': `only-${old.n}` }).catch(() => undefined);
-  if (r?.status === 200)
-    f.breachesOfItsOwn.push(
-      `${gateway} served by configuration ${old.mark}, ${duration.toMs(sent - due.ackedAt)} ms after ${due.mark}`,
+/**
+ * Checks that a gateway uses the newest configuration acknowledged more than two seconds ago, or a newer one: reports a
+ * breach if it still serves the class of an older one.
+ */
+export const checkNewestConfigInUse = async (
+  deployment: Fleet,
+  acknowledged: AcknowledgedPush[],
+  gateway: string,
+): Promise<void> => {
+  const sentAt = deployment.world.now();
+  const newest = acknowledged
+    .filter((push) => sentAt - push.acknowledgedAt > duration.s(2))
+    .sort((a, b) => b.mark - a.mark)[0];
+  const older = acknowledged.filter((push) => newest && push.mark < newest.mark);
+  if (!newest || older.length === 0) return;
+  const former = older[older.length - 1]!;
+  const address = deployment.process(gateway).options['http'] as Address;
+  const response = await deployment
+    .http(address, 'POST', '/v1/jobs', {}, { 'x-thornsail-class': `only-${former.n}` })
+    .catch(() => undefined);
+  if (response?.status === 200)
+    deployment.reportedBreaches.push(
+      `${gateway} served a request by configuration ${former.mark}, ` +
+        `${duration.toMs(sentAt - newest.acknowledgedAt)} ms after ${newest.mark} was acknowledged`,
     );
 };
 
-/** The mark of the configuration that a gateway reads back; -1 when the read fails. */
-export const read = async (f: Fleet): Promise<{ mark: number }> => {
-  const got: { mark?: number } = {};
-  void f.http(gatewayAt(f, 0), 'GET', `${apiRoot}/config`).then(
-    (x) => (got.mark = Number(x.body['mark'])),
-    () => (got.mark = -1),
+/** Reads the configuration at the first gateway; its version (`mark`), -1 if the read fails. */
+export const readConfigMark = async (deployment: Fleet): Promise<{ mark: number }> => {
+  const result: { mark?: number } = {};
+  void deployment.http(gatewayAddress(deployment, 0), 'GET', `${apiRoot}/config`).then(
+    (response) => (result.mark = Number(response.body['mark'])),
+    () => (result.mark = -1),
   );
-  await f.until('a read of the configuration', () => got.mark !== undefined, duration.s(10));
-  return { mark: got.mark ?? -1 };
+  await deployment.until('a read of the configuration', () => result.mark !== undefined, duration.s(10));
+  return { mark: result.mark ?? -1 };
 };
--- a/tools/simulation/src/repair-load.ts
+++ b/tools/simulation/src/repair-load.ts
@@ -1,37 +1,40 @@
-// The load of a repair run, and what was acknowledged to it read back at the end (§6.5).
+// The load of a repair run, and the check at its end that every acknowledged change can be read (§6.5).
 import { duration, type Microseconds } from '@thornsail/runtime';
-import { runUntil, type RepairStage } from './repair-stage.js';
+import { runUntil, type RepairCluster } from './repair-cluster.js';
 
-const loadEvery = duration.ms(40);
-const pushEvery = 5 * loadEvery;
-/** Wall time, microseconds: beyond the end of every run. */
-const keptUntil = 9e15;
+const writeInterval = duration.ms(40);
+const pushInterval = 5 * writeInterval;
+/** Wall-clock time, in microseconds, beyond the end of every run. */
+const neverExpires = 9e15;
 const config = {
   classes: { c: { kind: 'model', budgetTokens: 1000 } },
 };
 
-/** Writes to registers; `every` repeats them until a time of the world, in microseconds. */
+/** Writes to registers; `writeUntil` repeats them until a simulated time. */
 export type RegisterLoad = {
-  /** Resolves to whether the write was acknowledged. */
+  /** Writes one register; resolves to whether the write was acknowledged. */
   write: (key: string) => Promise<boolean>;
-  /** What was acknowledged: value by key. */
+  /** Acknowledged values by key. */
   acknowledged: Map<string, string>;
-  every: (end: Microseconds) => void;
+  writeUntil: (end: Microseconds) => void;
 };
-/** Changes of configuration; `newest` is the highest mark that was acknowledged, 0 if none. */
-export type ConfigurationLoad = { every: (end: Microseconds) => void; newest: () => number };
+/**
+ * Changes of the configuration; `pushUntil` repeats them until a simulated time, `newest` is the highest acknowledged
+ * version, 0 if there is none.
+ */
+export type ConfigurationLoad = { pushUntil: (end: Microseconds) => void; newest: () => number };
 
-/** Writes registers one after another through any live store, and notes those that were acknowledged. */
-export const openLoad = (stage: RepairStage): RegisterLoad => {
+/** Writes registers one after another through a random live store, and records the acknowledged ones. */
+export const openRegisterLoad = (cluster: RepairCluster): RegisterLoad => {
   const acknowledged = new Map<string, string>();
   const write = async (key: string): Promise<boolean> => {
-    const nodes = stage.live('store').flatMap((process) => (process.node ? [process.node] : []));
-    const node = nodes[stage.world.rand.int(Math.max(1, nodes.length))];
+    const nodes = cluster.live('store').flatMap((process) => (process.node ? [process.node] : []));
+    const node = nodes[cluster.world.rand.int(Math.max(1, nodes.length))];
     if (!node) return false;
     try {
       await node.registers.change(
         key,
-        () => ({ stored: { value: key, expiresAt: keptUntil }, result: true }),
+        () => ({ stored: { value: key, expiresAt: neverExpires }, result: true }),
         duration.s(2),
         {
           expectAbsent: true,
@@ -44,57 +47,64 @@
     }
   };
   let n = 0;
-  const every = (end: Microseconds): void => {
+  const writeUntil = (end: Microseconds): void => {
     void write(`load/${++n}`);
-    if (stage.world.now() + loadEvery < end) stage.world.scheduleAt(stage.world.now() + loadEvery, () => every(end));
+    if (cluster.world.now() + writeInterval < end)
+      cluster.world.scheduleAt(cluster.world.now() + writeInterval, () => writeUntil(end));
   };
-  return { write, acknowledged, every };
+  return { write, acknowledged, writeUntil };
 };
-/** Changes of configuration, each on the one before, and the newest that was acknowledged. */
-export const openPushes = (stage: RepairStage): ConfigurationLoad => {
+/** Pushes configurations, each based on the current one, and records the newest acknowledged version. */
+export const openConfigurationLoad = (cluster: RepairCluster): ConfigurationLoad => {
   let newest = 0;
   let n = 0;
   const push = async (): Promise<void> => {
-    const nodes = [...stage.live('coordinator'), ...stage.live('store')].flatMap((process) =>
+    const nodes = [...cluster.live('coordinator'), ...cluster.live('store')].flatMap((process) =>
       process.node ? [process.node] : [],
     );
-    const node = nodes[stage.world.rand.int(Math.max(1, nodes.length))];
+    const node = nodes[cluster.world.rand.int(Math.max(1, nodes.length))];
     if (!node) return;
     try {
       const { state } = (await node.control.read()).value;
       const result = await node.control.push({ id: `p${++n}`, base: state.config.mark, how: 'whole', body: config });
       if (result.ok) newest = Math.max(newest, result.mark);
     } catch {
-      // Not acknowledged: nothing to hold it to.
+      // Not acknowledged: the push may be lost.
     }
   };
-  const every = (end: Microseconds): void => {
+  const pushUntil = (end: Microseconds): void => {
     void push();
-    if (stage.world.now() + pushEvery < end) stage.world.scheduleAt(stage.world.now() + pushEvery, () => every(end));
+    if (cluster.world.now() + pushInterval < end)
+      cluster.world.scheduleAt(cluster.world.now() + pushInterval, () => pushUntil(end));
   };
-  return { every, newest: () => newest };
+  return { pushUntil, newest: () => newest };
 };
 
-/** What was acknowledged and is not there: five lines at most. */
-export const readBack = async (stage: RepairStage, keys: string[], newest: number): Promise<string[]> => {
-  const out: string[] = [];
-  const node = stage.live('store').find((process) => process.node)?.node;
+/** Reads all acknowledged changes back; describes those that are missing, at most five. */
+export const verifyAcknowledged = async (cluster: RepairCluster, keys: string[], newest: number): Promise<string[]> => {
+  const problems: string[] = [];
+  const node = cluster.live('store').find((process) => process.node)?.node;
   if (!node) return ['no store is up'];
   let done = false;
-  const work = async (): Promise<void> => {
+  const readAll = async (): Promise<void> => {
     for (let i = 0; i < keys.length; i += 64) {
-      const some = keys.slice(i, i + 64);
-      const got = await node.registers.readMany(some, duration.s(3)).catch((error: unknown) => String(error));
-      if (typeof got === 'string') out.push(`${some.length} registers could not be read: ${got}`);
-      else for (const [j, value] of got.entries()) if (value !== some[j]) out.push(`register ${some[j]!} is gone`);
+      const batch = keys.slice(i, i + 64);
+      const values = await node.registers.readMany(batch, duration.s(3)).catch((error: unknown) => String(error));
+      if (typeof values === 'string') problems.push(`${batch.length} registers could not be read: ${values}`);
+      else
+        for (const [j, value] of values.entries())
+          if (value !== batch[j]) problems.push(`register ${batch[j]!} is lost`);
     }
     const configuration = await node.control.read().catch((error: unknown) => String(error));
-    if (typeof configuration === 'string') out.push(`the configuration could not be read: ${configuration}`);
+    if (typeof configuration === 'string') problems.push(`the configuration could not be read: ${configuration}`);
     else if (configuration.value.state.config.mark < newest)
-      out.push(`configuration ${newest} was acknowledged, ${configuration.value.state.config.mark} is there`);
+      problems.push(
+        `configuration ${newest} was acknowledged, but the current one is ${configuration.value.state.config.mark}`,
+      );
     done = true;
   };
-  void work();
-  if ((await runUntil(stage, () => done, duration.s(60))) === Infinity) out.push('reading back did not end');
-  return out.slice(0, 5);
+  void readAll();
+  if ((await runUntil(cluster, () => done, duration.s(60))) === Infinity)
+    problems.push('acknowledged changes could not be read back within 60 s');
+  return problems.slice(0, 5);
 };
--- a/tools/simulation/src/repair-losses.ts
+++ b/tools/simulation/src/repair-losses.ts
@@ -1,70 +1,71 @@
-// The losses of a repair run, and what starts again after them (§6.5).
-import type { Loss, Process, RepairStage } from './repair-stage.js';
+// Injects the losses of a repair run and starts the replacements (§6.5).
+import type { Loss, ClusterProcess, RepairCluster } from './repair-cluster.js';
 
-const chosen = (stage: RepairStage, loss: Loss): Process[] => {
-  const all = stage.live(loss.role);
+/** Selects the processes of a loss, among the members of the group if enough of them are up. */
+const selectProcesses = (cluster: RepairCluster, loss: Loss): ClusterProcess[] => {
+  const live = cluster.live(loss.role);
   const members = new Set(
     (loss.role === 'coordinator'
-      ? stage.leader()?.node?.membership.snapshot()?.members
-      : stage.leader()?.node?.membership.state()?.storeGroup.members
-    )?.map((member) => member.at) ?? all.map((process) => process.at),
+      ? cluster.leader()?.node?.membership.snapshot()?.members
+      : cluster.leader()?.node?.membership.state()?.storeGroup.members
+    )?.map((member) => member.at) ?? live.map((process) => process.address),
   );
-  const own = all.filter((process) => members.has(process.at));
-  const pool = own.length >= loss.count ? own : all;
-  if (loss.which === 'leader') return [stage.leader() ?? pool[0]!];
-  const mixed = pool.map((process) => ({
+  const liveMembers = live.filter((process) => members.has(process.address));
+  const pool = liveMembers.length >= loss.count ? liveMembers : live;
+  if (loss.selection === 'leader') return [cluster.leader() ?? pool[0]!];
+  const candidates = pool.map((process) => ({
     process,
-    by: loss.which === 'oldest' ? process.diskSince : stage.world.rand.next(),
+    sortKey: loss.selection === 'oldest' ? process.diskEmptySince : cluster.world.rand.next(),
   }));
-  return mixed
-    .sort((a, b) => a.by - b.by)
+  return candidates
+    .sort((a, b) => a.sortKey - b.sortKey)
     .slice(0, loss.count)
     .map((candidate) => candidate.process);
 };
-/** What starts after a loss: the process at its address, with or without its disk, or an empty one elsewhere. */
-const restart = (stage: RepairStage, loss: Loss, process: Process): void => {
-  if (loss.elsewhere) {
-    const known = stage.live('coordinator').slice(0, 3);
-    stage.add(
+/** Starts the process again at its address, with or without its disk, or an empty process at a new address. */
+const restart = (cluster: RepairCluster, loss: Loss, process: ClusterProcess): void => {
+  if (loss.atNewAddress) {
+    const known = cluster.live('coordinator').slice(0, 3);
+    cluster.add(
       loss.role,
-      known.map((coordinator) => coordinator.at),
+      known.map((coordinator) => coordinator.address),
     );
     return;
   }
-  stage.world.start(process.host);
+  cluster.world.start(process.host);
   process.firstStart = false;
-  if (loss.how === 'disk') process.diskSince = stage.world.now();
-  stage.start(process);
+  if (loss.how === 'disk') process.diskEmptySince = cluster.world.now();
+  cluster.start(process);
 };
-/** Others start in their stead first, then these are told to end, and their disks go with them. */
-const replaceInOrder = (stage: RepairStage, loss: Loss, returned: () => void): void => {
-  const leaving = chosen(stage, loss);
-  const known = stage.live('coordinator').slice(0, 3);
+/** Starts the replacements first, then drains the processes and removes their disks. */
+const replacePlanned = (cluster: RepairCluster, loss: Loss, onReturned: () => void): void => {
+  const leaving = selectProcesses(cluster, loss);
+  const known = cluster.live('coordinator').slice(0, 3);
   for (let i = 0; i < leaving.length; i++)
-    stage.add(
+    cluster.add(
       loss.role,
-      known.map((coordinator) => coordinator.at),
+      known.map((coordinator) => coordinator.address),
     );
-  stage.world.scheduleAt(stage.world.now() + loss.backAfter, () => {
-    returned();
+  cluster.world.scheduleAt(cluster.world.now() + loss.downtime, () => {
+    onReturned();
     for (const process of leaving)
       void process.node?.drain().then(() => {
         process.node = undefined;
-        stage.world.kill(process.host, 'disk');
+        cluster.world.kill(process.host, 'disk');
       });
   });
 };
-/** A loss of some processes; `returned` is called at the moment at which they, or others, start again. */
-export const lose = (stage: RepairStage, loss: Loss, returned: () => void): void => {
-  if (loss.how === 'planned') return replaceInOrder(stage, loss, returned);
+/** Injects a loss; `onReturned` is called when the processes start again, or when the drain of a planned one begins. */
+export const injectLoss = (cluster: RepairCluster, loss: Loss, onReturned: () => void): void => {
+  if (loss.how === 'planned') return replacePlanned(cluster, loss, onReturned);
   const { how } = loss;
-  const lost = chosen(stage, loss);
+  const lost = selectProcesses(cluster, loss);
   for (const process of lost) {
     process.node = undefined;
-    stage.world.kill(process.host, how);
+    cluster.world.kill(process.host, how);
   }
-  stage.world.scheduleAt(stage.world.now() + loss.backAfter, () => {
-    for (const process of lost) restart(stage, loss, process);
-    returned();
+  cluster.world.scheduleAt(cluster.world.now() + loss.downtime, () => {
+    for (const process of lost) restart(cluster, loss, process);
+    onReturned();
   });
 };
--- a/tools/simulation/src/scenarios/budget.ts
+++ b/tools/simulation/src/scenarios/budget.ts
@@ -1,13 +1,24 @@
 // Scenario `budget` (§9.4).
 import { duration } from '@thornsail/runtime';
 import { fleet } from '../fleet/index.js';
-import { type Scenario, finish, gatewayAt, gateways, stores, ofLive, patch, pause, run, sum } from '../scene.js';
+import {
+  type Scenario,
+  outcomeOf,
+  gatewayAddress,
+  gateways,
+  stores,
+  liveProcessNames,
+  patchClasses,
+  sleep,
+  run,
+  sumGatewayCounts,
+} from '../scenario-support.js';
 
 /** A few programs driven from several edges at once, while gateways and stores fail. */
 export const budget: Scenario = {
   rule: 'never more tokens than the budget plus one turn',
   run: async (seed, shape, log) => {
-    const f = await fleet.open({ seed, shape, log, config: patch({ '*model': { budgetTokens: 900 } }) });
+    const f = await fleet.open({ seed, shape, log, config: patchClasses({ '*model': { budgetTokens: 900 } }) });
     const r = f.world.rand;
     const cls = Object.entries(
       f.shape.config['classes'] as Record<string, { kind: string; keepSeconds?: number }>,
@@ -19,21 +30,21 @@
       for (let i = 0; i < 14; i++) {
         await f
           .http(
-            gatewayAt(f, r.int(7)),
+            gatewayAddress(f, r.int(7)),
             'POST',
             '/v1/chat/completions',
             { messages: [{ role: 'user', content: `${program} ${i} ${'y'.repeat(60)}` }], max_tokens: 40 },
             { 'x-thornsail-program': program, 'x-thornsail-class': cls },
           )
           .catch(() => undefined);
-        await pause(f, duration.ms(r.int(300)));
+        await sleep(f, duration.ms(r.int(300)));
       }
       busy -= 1;
     };
     for (let p = 0; p < 6; p++) for (let k = 0; k < 3; k++) void drive(`p-${p}`);
     const bring = async (): Promise<void> => {
       for (let i = 0; i < 6; i++) {
-        await pause(f, duration.ms(400 + r.int(500)));
+        await sleep(f, duration.ms(400 + r.int(500)));
         const e = gateways[r.int(7)]!;
         const k = r.int(4);
         if (k === 0 && f.process(e).host.alive) {
@@ -43,7 +54,7 @@
           f.freeze(e, duration.ms(800 + r.int(3000)));
         else if (k === 2) {
           const n = stores[r.int(3)]!;
-          if (f.process(n).host.alive && ofLive(f, 'store').length === 3) {
+          if (f.process(n).host.alive && liveProcessNames(f, 'store').length === 3) {
             f.kill(n, 'power');
             f.world.scheduleAt(f.world.now() + duration.ms(500 + r.int(1500)), () => f.start(n));
           }
@@ -53,6 +64,6 @@
     void bring();
     await f.until('the drivers to end', () => busy === 0, duration.s(120));
     await run(f, duration.s(3));
-    return finish(f, { budget_rejected: sum(f, 'budget_rejected') });
+    return outcomeOf(f, { budget_rejected: sumGatewayCounts(f, 'budget_rejected') });
   },
 };
--- a/tools/simulation/src/scenarios/burst.ts
+++ b/tools/simulation/src/scenarios/burst.ts
@@ -2,8 +2,8 @@
 import { type Microseconds, duration } from '@thornsail/runtime';
 import { classNames } from '@thornsail/test-harness';
 import { fleet } from '../fleet/index.js';
-import { later } from '../operator-calls.js';
-import { type Scenario, finish, gatewayAt, stores, run, settleLoad } from '../scene.js';
+import { runAfter } from '../operator-calls.js';
+import { type Scenario, outcomeOf, gatewayAddress, stores, run, waitForLoad } from '../scenario-support.js';
 
 /** Urgent jobs at all edges in one instant, among crowds of ordinary ones. */
 export const burst: Scenario = {
@@ -12,15 +12,15 @@
     const f = await fleet.open({ seed, shape, log });
     const r = f.world.rand;
     for (const a of f.apps) a.faults.slow = 10;
-    for (const k of stores) f.process(k).host.disk.slow = 4;
+    for (const k of stores) f.process(k).host.disk.syncTimeFactor = 4;
     const names = classNames[shape];
     const limit = shape === 'lautoka' ? 2000 : 1500;
-    const l = f.load({ chats: 160, kept: 10, jobs: 0, over: duration.s(6) });
+    const l = f.load({ chats: 160, kept: 10, jobs: 0, spreadOver: duration.s(6) });
     // A crowd of refreshes takes all slots that urgent work lends.
     let crowd = 0;
     for (let i = 0; i < 1800; i++)
-      later(f, r.int(duration.s(6)), () => {
-        const at = gatewayAt(f, r.int(7));
+      runAfter(f, r.int(duration.s(6)), () => {
+        const at = gatewayAddress(f, r.int(7));
         const head = { 'x-thornsail-class': names.ping, 'x-thornsail-time-left-ms': '2500' };
         void f.http(at, 'POST', '/v1/jobs', { i }, head).then(
           (x) => void (x.status === 200 && (crowd += 1)),
@@ -39,22 +39,22 @@
         'idempotency-key': id,
         'x-thornsail-once': 'true',
       };
-      const x = await f.http(gatewayAt(f, edge), 'POST', '/v1/jobs', { id }, head).catch(() => undefined);
+      const x = await f.http(gatewayAddress(f, edge), 'POST', '/v1/jobs', { id }, head).catch(() => undefined);
       if (x?.status === 200) waits.push(f.world.now() - begun);
       else bad += 1;
       open -= 1;
     };
     for (const [b, at] of [duration.s(1.5), duration.s(3), duration.s(4.5)].entries())
-      later(f, at, () => {
+      runAfter(f, at, () => {
         for (let e = 0; e < 7; e++) for (let i = 0; i < 8; i++) void urgent(e, `u-${b}-${e}-${i}`);
       });
     await run(f, duration.s(6));
     await f.until('the urgent callers to end', () => open === 0, duration.s(10));
-    await settleLoad(f, l);
+    await waitForLoad(f, l);
     const sorted = waits.sort((a, b) => a - b);
     const worst = duration.toMs(sorted[sorted.length - 1] ?? 0);
     const lines = Math.max(...f.apps.map((a) => a.peak().line));
-    const out = finish(f, {
+    const out = outcomeOf(f, {
       urgent_served: waits.length,
       urgent_refused: bad,
       urgent_p50_ms: duration.toMs(sorted[Math.floor(sorted.length / 2)] ?? 0),
--- a/tools/simulation/src/scenarios/clocks.ts
+++ b/tools/simulation/src/scenarios/clocks.ts
@@ -1,18 +1,18 @@
 // Scenario `clocks` (§9.4).
 import { duration } from '@thornsail/runtime';
 import { fleet } from '../fleet/index.js';
-import { type Pushed, later, operator } from '../operator-calls.js';
+import { type AcknowledgedPush, runAfter, openOperator } from '../operator-calls.js';
 import {
   type Scenario,
-  finish,
-  gatewayAt,
+  outcomeOf,
+  gatewayAddress,
   gateways,
   stores,
   run,
-  serving,
-  settleLoad,
+  timeUntilServing,
+  waitForLoad,
   coordinators,
-} from '../scene.js';
+} from '../scenario-support.js';
 
 /** Wall clocks that jump by up to 400 days in either direction. */
 export const clocks: Scenario = {
@@ -22,26 +22,26 @@
     const f = await fleet.open({ seed, shape, log, config: (c) => ({ ...c, slots: small }) });
     const r = f.world.rand;
     for (const a of f.apps) a.faults.slow = 6;
-    const l = f.load({ chats: 60, kept: 14, jobs: 250, over: duration.s(14) });
+    const l = f.load({ chats: 60, kept: 14, jobs: 250, spreadOver: duration.s(14) });
     const day = duration.s(86_400);
     const jump = (name: string): void => {
       // Of the stores one clock at a time is wrong, by up to 400 days either way.
       const role = f.process(name).role;
-      for (const p of f.processes) if (p.role === role && role !== 'gateway') p.host.skew = 0;
-      f.process(name).host.skew = (r.int(2) ? 1 : -1) * r.int(400) * day;
+      for (const p of f.processes) if (p.role === role && role !== 'gateway') p.host.clockSkew = 0;
+      f.process(name).host.clockSkew = (r.int(2) ? 1 : -1) * r.int(400) * day;
     };
     const all = [...stores, ...stores, ...coordinators, ...gateways];
-    for (let i = 0; i < 24; i++) later(f, r.int(duration.s(16)), () => jump(all[r.int(all.length)]!));
-    later(f, duration.s(3), () => f.kill(stores[r.int(3)]!, 'power'));
-    later(f, duration.s(5), () => stores.forEach((k) => f.process(k).host.alive || f.start(k)));
-    later(f, duration.s(6), () => f.kill(gateways[r.int(7)]!));
-    const acked: Pushed[] = [];
-    const push = operator(f, acked);
-    for (let i = 0; i < 8; i++) later(f, r.int(duration.s(14)), () => void push(gatewayAt(f, r.int(7))));
+    for (let i = 0; i < 24; i++) runAfter(f, r.int(duration.s(16)), () => jump(all[r.int(all.length)]!));
+    runAfter(f, duration.s(3), () => f.kill(stores[r.int(3)]!, 'power'));
+    runAfter(f, duration.s(5), () => stores.forEach((k) => f.process(k).host.alive || f.start(k)));
+    runAfter(f, duration.s(6), () => f.kill(gateways[r.int(7)]!));
+    const acked: AcknowledgedPush[] = [];
+    const push = openOperator(f, acked);
+    for (let i = 0; i < 8; i++) runAfter(f, r.int(duration.s(14)), () => void push(gatewayAddress(f, r.int(7))));
     await run(f, duration.s(17));
-    const back = await serving(f, duration.s(12));
-    await settleLoad(f, l);
-    const out = finish(f, {
+    const back = await timeUntilServing(f, duration.s(12));
+    await waitForLoad(f, l);
+    const out = outcomeOf(f, {
       acknowledged: acked.length,
       recalled: f.callers.summary.recalled,
       back_ms: duration.toMs(back),
--- a/tools/simulation/src/scenarios/closing.ts
+++ b/tools/simulation/src/scenarios/closing.ts
@@ -1,7 +1,15 @@
 // Scenario `closing` (§9.4).
 import { type Microseconds, duration } from '@thornsail/runtime';
 import { fleet, type Fleet } from '../fleet/index.js';
-import { type Scenario, finish, stores, run, serving, settleLoad, coordinators } from '../scene.js';
+import {
+  type Scenario,
+  outcomeOf,
+  stores,
+  run,
+  timeUntilServing,
+  waitForLoad,
+  coordinators,
+} from '../scenario-support.js';
 
 /** One fault; `strike` gives what heals it, if it does not pass by itself. */
 type ClosingFault = { name: string; strike: () => (() => void) | void; lasts: Microseconds };
@@ -36,16 +44,16 @@
   rule: 'after a closing fault, serving is back within twelve seconds',
   run: async (seed, shape, log) => {
     const deployment = await fleet.open({ seed, shape, log });
-    const load = deployment.load({ chats: 70, kept: 10, jobs: 80, over: duration.s(26) });
+    const load = deployment.load({ chats: 70, kept: 10, jobs: 80, spreadOver: duration.s(26) });
     const figures: Record<string, number> = {};
     await run(deployment, duration.s(2));
     for (const { name, strike, lasts } of faultsOf(deployment)) {
       const heal = strike();
       await run(deployment, lasts);
       heal?.();
-      figures[`${name}_ms`] = duration.toMs(await serving(deployment, duration.s(12)));
+      figures[`${name}_ms`] = duration.toMs(await timeUntilServing(deployment, duration.s(12)));
     }
-    await settleLoad(deployment, load);
-    return finish(deployment, figures);
+    await waitForLoad(deployment, load);
+    return outcomeOf(deployment, figures);
   },
 };
--- a/tools/simulation/src/scenarios/config.ts
+++ b/tools/simulation/src/scenarios/config.ts
@@ -2,7 +2,7 @@
 import { apiRoot } from '@thornsail/admin-api';
 import { type Address, type Microseconds, duration } from '@thornsail/runtime';
 import { fleet } from '../fleet/index.js';
-import { type Scenario, finish, gateways, ofLive, run, coordinators } from '../scene.js';
+import { type Scenario, outcomeOf, gateways, liveProcessNames, run, coordinators } from '../scenario-support.js';
 
 /** Two operators that change the configuration at once, some of it invalid, while nodes fail. */
 export const config: Scenario = {
@@ -21,7 +21,7 @@
     const push = async (): Promise<void> => {
       open += 1;
       const mine = ++n;
-      const agents = ofLive(f, 'agent');
+      const agents = liveProcessNames(f, 'agent');
       const at = f.process(agents[r.int(agents.length)]!).options['http'] as Address;
       try {
         const now = await f.http(at, 'GET', `${apiRoot}/config`);
@@ -34,10 +34,10 @@
             `push-${mine}`,
             at,
           );
-          if (bad && res.status === 200) f.breachesOfItsOwn.push('an invalid configuration was acknowledged');
+          if (bad && res.status === 200) f.reportedBreaches.push('an invalid configuration was acknowledged');
           if (res.status === 200) {
             if (acked.has(res.mark))
-              f.breachesOfItsOwn.push(`two configurations were acknowledged with mark ${res.mark}`);
+              f.reportedBreaches.push(`two configurations were acknowledged with mark ${res.mark}`);
             acked.set(res.mark, { at: f.world.now(), n: mine });
           } else if (res.status === 409 || res.status === 422) losers.add(mine);
         }
@@ -81,7 +81,7 @@
     while (f.world.now() < end || open > 0) {
       await run(f, duration.ms(50));
       if (f.world.now() > end + duration.s(30)) {
-        f.breachesOfItsOwn.push('an operator was never answered');
+        f.reportedBreaches.push('an operator was never answered');
         break;
       }
       for (const name of gateways) {
@@ -89,23 +89,23 @@
         if (!node || f.process(name).host.frozen) continue;
         const mark = node.counts()['config_mark'] ?? 0;
         if (mark < (seen.get(name) ?? 0))
-          f.breachesOfItsOwn.push(`${name} slipped back from ${seen.get(name)} to ${mark}`);
+          f.reportedBreaches.push(`${name} slipped back from ${seen.get(name)} to ${mark}`);
         seen.set(name, mark);
         const value = node.membership.state()?.config.value;
         const v = (value?.limits.onceKeepSeconds ?? 1000) - 1000;
-        if (losers.has(v)) f.breachesOfItsOwn.push(`the losing configuration ${v} took effect at ${name}`);
+        if (losers.has(v)) f.reportedBreaches.push(`the losing configuration ${v} took effect at ${name}`);
         for (const [m, a] of acked)
           if (mark < m) {
             const late = f.world.now() - Math.max(a.at, frozenUntil.get(name) ?? 0);
             if (late > duration.s(2))
-              f.breachesOfItsOwn.push(`${name} is at ${mark}, ${duration.toMs(late)} ms after ${m} was acknowledged`);
+              f.reportedBreaches.push(`${name} is at ${mark}, ${duration.toMs(late)} ms after ${m} was acknowledged`);
           } else if (!arrived.has(`${name}.${m}`)) {
             arrived.set(`${name}.${m}`, f.world.now() - a.at);
             slowest = Math.max(slowest, f.world.now() - a.at);
           }
       }
     }
-    if (acked.size < 3) f.breachesOfItsOwn.push(`only ${acked.size} configurations were acknowledged`);
-    return finish(f, { acknowledged: acked.size, losers: losers.size, slowest_spread_ms: duration.toMs(slowest) });
+    if (acked.size < 3) f.reportedBreaches.push(`only ${acked.size} configurations were acknowledged`);
+    return outcomeOf(f, { acknowledged: acked.size, losers: losers.size, slowest_spread_ms: duration.toMs(slowest) });
   },
 };
--- a/tools/simulation/src/scenarios/durable.ts
+++ b/tools/simulation/src/scenarios/durable.ts
@@ -2,7 +2,7 @@
 import { apiRoot } from '@thornsail/admin-api';
 import { duration } from '@thornsail/runtime';
 import { fleet } from '../fleet/index.js';
-import { type Scenario, finish, gatewayAt, ofLive, run } from '../scene.js';
+import { type Scenario, outcomeOf, gatewayAddress, liveProcessNames, run } from '../scenario-support.js';
 
 /** Acknowledged configurations, while coordinators lose power or disks at every moment. */
 export const durable: Scenario = {
@@ -14,7 +14,7 @@
     for (let i = 0; i < 3; i++) {
       let res: { status: number; mark: number } | undefined;
       const next = { ...f.shape.config, limits: { onceKeepSeconds: 2000 + i } };
-      void f.push(next, mark, `d${i}`, gatewayAt(f, r.int(7))).then(
+      void f.push(next, mark, `d${i}`, gatewayAddress(f, r.int(7))).then(
         (x) => {
           res = x;
         },
@@ -26,7 +26,7 @@
       if (res!.status === 200) mark = res!.mark;
       // Right after the acknowledgement: power or disk of one machine, the head more often than not.
       const head = f.processes.find((p) => p.role === 'coordinator' && p.node?.counts()['leads'] === 1)?.name;
-      const live = ofLive(f, 'coordinator');
+      const live = liveProcessNames(f, 'coordinator');
       const t = head && r.int(3) > 0 ? head : live[r.int(live.length)]!;
       if (r.int(2) === 0) {
         f.kill(t, 'power');
@@ -49,7 +49,7 @@
         duration.s(25),
       );
       let got: { status: number; body: Record<string, unknown> } | undefined;
-      void f.http(gatewayAt(f, r.int(7)), 'GET', `${apiRoot}/config`).then(
+      void f.http(gatewayAddress(f, r.int(7)), 'GET', `${apiRoot}/config`).then(
         (x) => {
           got = x;
         },
@@ -60,11 +60,11 @@
       await f.until('a read of the configuration', () => got !== undefined, duration.s(10));
       const value = (got!.body['config'] as { limits?: { onceKeepSeconds?: number } } | undefined)?.limits
         ?.onceKeepSeconds;
-      if (got!.status !== 200) f.breachesOfItsOwn.push(`round ${i}: no agreed configuration (${got!.status})`);
+      if (got!.status !== 200) f.reportedBreaches.push(`round ${i}: no agreed configuration (${got!.status})`);
       else if (Number(got!.body['mark']) < mark || (res!.status === 200 && value !== 2000 + i))
-        f.breachesOfItsOwn.push(`round ${i}: acknowledged mark ${mark} is gone, ${String(got!.body['mark'])} is there`);
+        f.reportedBreaches.push(`round ${i}: acknowledged mark ${mark} is gone, ${String(got!.body['mark'])} is there`);
       else mark = Number(got!.body['mark']);
     }
-    return finish(f, { mark });
+    return outcomeOf(f, { mark });
   },
 };
--- a/tools/simulation/src/scenarios/index.ts
+++ b/tools/simulation/src/scenarios/index.ts
@@ -1,6 +1,6 @@
 // What must never happen, caused (§9.4): each scenario brings one kind of failure over a simulated deployment and says
 // what was breached. One scenario a file; figures are simulated time and counts.
-import type { Scenario } from '../scene.js';
+import type { Scenario } from '../scenario-support.js';
 import { budget } from './budget.js';
 import { burst } from './burst.js';
 import { clocks } from './clocks.js';
@@ -22,7 +22,7 @@
 import { urgent } from './urgent.js';
 import { workers } from './workers.js';
 
-export type { Outcome, Scenario } from '../scene.js';
+export type { Outcome, Scenario } from '../scenario-support.js';
 
 /** All scenarios by the names that the sweep, the guards and docs/FAILURES.md use, in the order of a sweep. */
 export const scenarios: Record<string, Scenario> = {
--- a/tools/simulation/src/scenarios/notrun.ts
+++ b/tools/simulation/src/scenarios/notrun.ts
@@ -1,7 +1,7 @@
 // Scenario `notrun` (§9.4).
 import { duration } from '@thornsail/runtime';
 import { fleet } from '../fleet/index.js';
-import { type Scenario, finish, gatewayAt, gateways, patch, run } from '../scene.js';
+import { type Scenario, outcomeOf, gatewayAddress, gateways, patchClasses, run } from '../scenario-support.js';
 
 /** Too many jobs for the slots: refusals that promise "not run", next to copies with the same key. */
 export const notrun: Scenario = {
@@ -12,7 +12,7 @@
       shape,
       log,
       config: (c) => ({
-        ...patch({ push: { buffer: 6 }, alarm: { buffer: 6 }, lobby: { buffer: 6 }, status: { buffer: 6 } })(c),
+        ...patchClasses({ push: { buffer: 6 }, alarm: { buffer: 6 }, lobby: { buffer: 6 }, status: { buffer: 6 } })(c),
         slots: { model: 8, app: 2 },
       }),
     });
@@ -41,7 +41,7 @@
       }
       const res = await f
         .http(
-          gatewayAt(f, r.int(7)),
+          gatewayAddress(f, r.int(7)),
           'POST',
           '/v1/jobs',
           { key },
@@ -71,7 +71,7 @@
     await run(f, duration.s(5));
     await f.until('the callers to end', () => open === 0, duration.s(30));
     await run(f, duration.s(5));
-    const out = finish(f, { promised: said.length });
+    const out = outcomeOf(f, { promised: said.length });
     const ran = requestLogKeys();
     for (const k of said) if (ran.has(k) && !mixed.has(k)) out.breaches.push(`${k} ran after "not run"`);
     if (said.length === 0) out.breaches.push('nothing was refused: the scenario shows nothing');
--- a/tools/simulation/src/scenarios/once.ts
+++ b/tools/simulation/src/scenarios/once.ts
@@ -1,7 +1,7 @@
 // Scenario `once` (§9.4).
 import { duration } from '@thornsail/runtime';
 import { fleet } from '../fleet/index.js';
-import { type Scenario, finish, gateways, run } from '../scene.js';
+import { type Scenario, outcomeOf, gateways, run } from '../scenario-support.js';
 
 /** Jobs with the same key at several edges at once, whose results are lost. */
 export const once: Scenario = {
@@ -33,6 +33,6 @@
       });
     await run(f, duration.s(8));
     await f.until('the callers to end', () => open === 0, duration.s(60));
-    return finish(f);
+    return outcomeOf(f);
   },
 };
--- a/tools/simulation/src/scenarios/random.ts
+++ b/tools/simulation/src/scenarios/random.ts
@@ -3,15 +3,15 @@
 import { fleet } from '../fleet/index.js';
 import {
   type Scenario,
-  finish,
-  gatewayAt,
+  outcomeOf,
+  gatewayAddress,
   stores,
-  oneToLeave,
+  pickLeavingWorker,
   run,
-  serving,
-  settleLoad,
+  timeUntilServing,
+  waitForLoad,
   coordinators,
-} from '../scene.js';
+} from '../scenario-support.js';
 
 /** Two or three faults of any kind in one run. */
 export const random: Scenario = {
@@ -19,7 +19,7 @@
   run: async (seed, shape, log) => {
     const f = await fleet.open({ seed, shape, log });
     const r = f.world.rand;
-    const l = f.load({ chats: 50, kept: 8, jobs: 50, over: duration.s(10) });
+    const l = f.load({ chats: 50, kept: 8, jobs: 50, spreadOver: duration.s(10) });
     const all = f.processes.map((p) => p.name);
     const some = (): string => all[r.int(all.length)]!;
     const disks = new Set<string>();
@@ -49,28 +49,28 @@
           f.world.scheduleAt(f.world.now() + r.int(duration.s(2)), () => f.start(k));
         }
       },
-      () => f.platform.leave(oneToLeave(f).id),
+      () => f.platform.leave(pickLeavingWorker(f).id),
       () => {
-        f.world.rough(r.next() * 0.2, r.int(duration.ms(30)));
-        f.world.scheduleAt(f.world.now() + duration.s(3), () => f.world.rough(0, 0));
+        f.world.setFrameFaults(r.next() * 0.2, r.int(duration.ms(30)));
+        f.world.scheduleAt(f.world.now() + duration.s(3), () => f.world.setFrameFaults(0, 0));
       },
       () => {
-        f.process(some()).host.skew = (r.int(2) === 0 ? 1 : -1) * duration.s(r.int(10_000_000));
+        f.process(some()).host.clockSkew = (r.int(2) === 0 ? 1 : -1) * duration.s(r.int(10_000_000));
       },
       () => {
-        f.world.slow(duration.ms(r.int(60)));
-        f.world.scheduleAt(f.world.now() + duration.s(3), () => f.world.slow(0));
+        f.world.setExtraDelay(duration.ms(r.int(60)));
+        f.world.scheduleAt(f.world.now() + duration.s(3), () => f.world.setExtraDelay(0));
       },
       () =>
         void f
-          .push({ ...f.shape.config, slots: { model: 8 + r.int(8), app: 16 } }, 1, 'r', gatewayAt(f, r.int(7)))
+          .push({ ...f.shape.config, slots: { model: 8 + r.int(8), app: 16 } }, 1, 'r', gatewayAddress(f, r.int(7)))
           .catch(() => undefined),
     ];
     const n = 2 + r.int(2);
     for (let i = 0; i < n; i++) f.world.scheduleAt(f.world.now() + r.int(duration.s(8)), faults[r.int(faults.length)]!);
     await run(f, duration.s(13));
-    const back = await serving(f, duration.s(12));
-    await settleLoad(f, l);
-    return finish(f, { back_ms: duration.toMs(back) });
+    const back = await timeUntilServing(f, duration.s(12));
+    await waitForLoad(f, l);
+    return outcomeOf(f, { back_ms: duration.toMs(back) });
   },
 };
--- a/tools/simulation/src/scenarios/rolling.ts
+++ b/tools/simulation/src/scenarios/rolling.ts
@@ -2,14 +2,23 @@
 import { apiRoot } from '@thornsail/admin-api';
 import { type Address, duration } from '@thornsail/runtime';
 import { fleet } from '../fleet/index.js';
-import { type Scenario, finish, gatewayAt, oneToLeave, replaceWorker, run, serving, settleLoad } from '../scene.js';
+import {
+  type Scenario,
+  outcomeOf,
+  gatewayAddress,
+  pickLeavingWorker,
+  replaceWorker,
+  run,
+  timeUntilServing,
+  waitForLoad,
+} from '../scenario-support.js';
 
 /** A rolling replacement of workers, seeds, store machines and coordinators, and an added edge machine. */
 export const rolling: Scenario = {
   rule: 'workers replaced one after another, machines added, seeds swapped, a store machine emptied',
   run: async (seed, shape, log) => {
     const f = await fleet.open({ seed, shape, log });
-    const l = f.load({ chats: 60, kept: 8, jobs: 40, over: duration.s(16) });
+    const l = f.load({ chats: 60, kept: 8, jobs: 40, spreadOver: duration.s(16) });
     // The three seed machines go, one by one, and an empty one takes each place at a new address.
     f.kill('agent-edge1');
     f.kill('gateway-edge1');
@@ -60,7 +69,7 @@
     // A store machine is emptied: with a spare its records move, without one the group shrinks to two.
     let safe = false;
     const ask = async (method: string): Promise<void> => {
-      const x = await f.http(gatewayAt(f, 2), method, `${apiRoot}/drain/store2`).catch(() => undefined);
+      const x = await f.http(gatewayAddress(f, 2), method, `${apiRoot}/drain/store2`).catch(() => undefined);
       if (x?.body['safe'] === true) safe = true;
     };
     void ask('POST');
@@ -76,16 +85,16 @@
     await run(f, duration.s(1));
     const unserved = (): number => f.callers.summary.rejected['no_worker'] ?? 0;
     const before = unserved();
-    const meanwhile = f.load({ chats: 20, kept: 2, jobs: 30, over: duration.s(4) });
+    const meanwhile = f.load({ chats: 20, kept: 2, jobs: 30, spreadOver: duration.s(4) });
     for (let i = 0; i < 3; i++) {
-      await replaceWorker(f, oneToLeave(f, true), i);
+      await replaceWorker(f, pickLeavingWorker(f, true), i);
       await run(f, duration.s(1));
     }
-    await serving(f, duration.s(12));
-    await settleLoad(f, l);
-    await settleLoad(f, meanwhile);
+    await timeUntilServing(f, duration.s(12));
+    await waitForLoad(f, l);
+    await waitForLoad(f, meanwhile);
     const none = unserved() - before;
-    const out = finish(f, { no_worker: none, replaced: f.platform.leftAt.size });
+    const out = outcomeOf(f, { no_worker: none, replaced: f.platform.leftAt.size });
     if (out.figures['replaced'] !== 3) out.breaches.push(`${out.figures['replaced']} workers were replaced, not 3`);
     if (none > 0) out.breaches.push(`${none} requests found no worker though there always were some`);
     return out;
--- a/tools/simulation/src/scenarios/split.ts
+++ b/tools/simulation/src/scenarios/split.ts
@@ -1,19 +1,19 @@
 // Scenario `split` (§9.4).
 import { type Address, duration } from '@thornsail/runtime';
 import { fleet } from '../fleet/index.js';
-import { type Pushed, inUse, later, operator } from '../operator-calls.js';
+import { type AcknowledgedPush, checkNewestConfigInUse, runAfter, openOperator } from '../operator-calls.js';
 import {
   type Scenario,
   edges,
-  finish,
-  gatewayAt,
+  outcomeOf,
+  gatewayAddress,
   gateways,
   stores,
   run,
-  serving,
-  settleLoad,
+  timeUntilServing,
+  waitForLoad,
   coordinators,
-} from '../scene.js';
+} from '../scenario-support.js';
 
 /** The fleet cut in two at random, while operators change the configuration on both sides. */
 export const split: Scenario = {
@@ -21,16 +21,16 @@
   run: async (seed, shape, log) => {
     const f = await fleet.open({ seed, shape, log });
     const r = f.world.rand;
-    const l = f.load({ chats: 50, kept: 8, jobs: 50, over: duration.s(26) });
-    const acked: Pushed[] = [];
-    const push = operator(f, acked);
-    void push(gatewayAt(f, 1));
+    const l = f.load({ chats: 50, kept: 8, jobs: 50, spreadOver: duration.s(26) });
+    const acked: AcknowledgedPush[] = [];
+    const push = openOperator(f, acked);
+    void push(gatewayAddress(f, 1));
     await run(f, duration.s(1));
     let rounds = 0;
     let probing = true;
     const probe = (): void => {
-      for (const name of gateways) void inUse(f, acked, name);
-      if (probing) later(f, duration.ms(200), probe);
+      for (const name of gateways) void checkNewestConfigInUse(f, acked, name);
+      if (probing) runAfter(f, duration.ms(200), probe);
     };
     probe();
     for (; rounds < 4; rounds++) {
@@ -42,19 +42,19 @@
       const [a, b] = [0, 1].map((k) => names.filter((n) => side.get(machine(n)) === k));
       const heal = f.partition(a!, b!);
       for (let i = 0; i < 6; i++)
-        later(
+        runAfter(
           f,
           r.int(duration.s(3)),
           () => void push(f.process(names[r.int(names.length)]!).options['http'] as Address),
         );
       await run(f, duration.s(4));
       heal();
-      later(f, duration.ms(r.int(500)), () => void push(gatewayAt(f, r.int(7))));
+      runAfter(f, duration.ms(r.int(500)), () => void push(gatewayAddress(f, r.int(7))));
       await run(f, duration.s(2));
     }
     probing = false;
-    const back = await serving(f, duration.s(12));
-    await settleLoad(f, l);
-    return finish(f, { acknowledged: acked.length, back_ms: duration.toMs(back) });
+    const back = await timeUntilServing(f, duration.s(12));
+    await waitForLoad(f, l);
+    return outcomeOf(f, { acknowledged: acked.length, back_ms: duration.toMs(back) });
   },
 };
--- a/tools/simulation/src/scenarios/storm.ts
+++ b/tools/simulation/src/scenarios/storm.ts
@@ -1,7 +1,15 @@
 // Scenario `storm` (§9.4).
 import { duration } from '@thornsail/runtime';
 import { fleet } from '../fleet/index.js';
-import { type Scenario, finish, gatewayAt, patch, run, serving, settleLoad } from '../scene.js';
+import {
+  type Scenario,
+  outcomeOf,
+  gatewayAddress,
+  patchClasses,
+  run,
+  timeUntilServing,
+  waitForLoad,
+} from '../scenario-support.js';
 
 /** Many faults of any kind in one run, under a heavier load and a rough network. */
 export const storm: Scenario = {
@@ -12,16 +20,16 @@
       shape,
       log,
       capacity: shape === 'lautoka' ? 900 : 2000,
-      config: patch({ '*model': { budgetTokens: 1500 } }),
+      config: patchClasses({ '*model': { budgetTokens: 1500 } }),
     });
     const r = f.world.rand;
-    f.world.rough(0.01 + r.next() * 0.04, duration.ms(5));
+    f.world.setFrameFaults(0.01 + r.next() * 0.04, duration.ms(5));
     for (const m of f.models) {
       m.faults.dieMidStream = 0.03;
       m.faults.loseResult = 0.02;
     }
     for (const a of f.apps) a.faults.loseResult = 0.05;
-    const l = f.load({ chats: 150, kept: 20, jobs: 150, over: duration.s(24) });
+    const l = f.load({ chats: 150, kept: 20, jobs: 150, spreadOver: duration.s(24) });
     const until = f.world.now() + duration.s(24);
     let lostDisk = false;
     while (f.world.now() < until) {
@@ -55,14 +63,14 @@
             { ...f.shape.config, limits: { onceKeepSeconds: 1000 + r.int(9000) } },
             1 + r.int(3),
             `s${f.world.now()}`,
-            gatewayAt(f, r.int(7)),
+            gatewayAddress(f, r.int(7)),
           )
           .catch(() => undefined);
     }
-    f.world.rough(0, 0);
+    f.world.setFrameFaults(0, 0);
     await run(f, duration.s(4));
-    const back = await serving(f, duration.s(12));
-    await settleLoad(f, l);
-    return finish(f, { back_ms: duration.toMs(back) });
+    const back = await timeUntilServing(f, duration.s(12));
+    await waitForLoad(f, l);
+    return outcomeOf(f, { back_ms: duration.toMs(back) });
   },
 };
--- a/tools/simulation/src/scenarios/streams.ts
+++ b/tools/simulation/src/scenarios/streams.ts
@@ -1,7 +1,7 @@
 // Scenario `streams` (§9.4).
 import { duration } from '@thornsail/runtime';
 import { fleet } from '../fleet/index.js';
-import { type Scenario, finish, gateways, settleLoad } from '../scene.js';
+import { type Scenario, outcomeOf, gateways, waitForLoad } from '../scenario-support.js';
 
 /** Workers that die within a stream, and gateways that are killed. */
 export const streams: Scenario = {
@@ -13,7 +13,7 @@
       m.faults.dieMidStream = 0.15;
       m.faults.loseResult = 0.05;
     }
-    const l = f.load({ chats: 80, kept: 10, jobs: 10, over: duration.s(6) });
+    const l = f.load({ chats: 80, kept: 10, jobs: 10, spreadOver: duration.s(6) });
     for (let i = 0; i < 3; i++)
       f.world.scheduleAt(f.world.now() + duration.s(1) + r.int(duration.s(5)), () => {
         const e = gateways[r.int(7)]!;
@@ -22,8 +22,8 @@
           f.world.scheduleAt(f.world.now() + duration.s(1), () => f.start(e));
         }
       });
-    await settleLoad(f, l);
-    const out = finish(f);
+    await waitForLoad(f, l);
+    const out = outcomeOf(f);
     if (f.callers.summary.cut === 0) out.breaches.push('no stream was cut: the scenario shows nothing');
     return out;
   },
--- a/tools/simulation/src/scenarios/uncut.ts
+++ b/tools/simulation/src/scenarios/uncut.ts
@@ -1,14 +1,14 @@
 // Scenario `uncut` (§9.4).
 import { type Microseconds, duration } from '@thornsail/runtime';
 import { fleet } from '../fleet/index.js';
-import { type Scenario, finish, gateways, settleLoad } from '../scene.js';
+import { type Scenario, outcomeOf, gateways, waitForLoad } from '../scenario-support.js';
 
 /** Changes that are part of normal operation: workers leave, a configuration changes, gateways drain. */
 export const uncut: Scenario = {
   rule: 'a turn at a worker is never paused or cut off',
   run: async (seed, shape, log) => {
     const f = await fleet.open({ seed, shape, log, capacity: 1500, perToken: duration.ms(40) });
-    const l = f.load({ chats: 60, kept: 8, jobs: 20, over: duration.s(8) });
+    const l = f.load({ chats: 60, kept: 8, jobs: 20, spreadOver: duration.s(8) });
     const r = f.world.rand;
     const later = (at: Microseconds, fn: () => void): void => f.world.scheduleAt(f.world.now() + at, fn);
     later(duration.s(2), () => f.platform.leave(f.layout.workers[r.int(3)]!.id));
@@ -33,8 +33,8 @@
             .then(() => node.close())
             .then(() => f.world.kill(p.host, 'process'));
       });
-    await settleLoad(f, l);
-    const out = finish(f);
+    await waitForLoad(f, l);
+    const out = outcomeOf(f);
     if (f.callers.summary.cut > 0) out.breaches.push(`${f.callers.summary.cut} streams were cut though nothing failed`);
     return out;
   },
--- a/tools/simulation/src/scenarios/urgent.ts
+++ b/tools/simulation/src/scenarios/urgent.ts
@@ -2,7 +2,7 @@
 import { type Microseconds, duration } from '@thornsail/runtime';
 import type { ShapeName } from '@thornsail/test-harness';
 import { fleet, type Fleet } from '../fleet/index.js';
-import { type Outcome, type Scenario, finish, gatewayAt, run, settleLoad } from '../scene.js';
+import { type Outcome, type Scenario, outcomeOf, gatewayAddress, run, waitForLoad } from '../scenario-support.js';
 
 const urgentTurns = 60;
 const firstUrgentAfter = duration.s(1);
@@ -42,7 +42,7 @@
   const begun = deployment.world.now();
   const response = await deployment
     .http(
-      gatewayAt(deployment, i),
+      gatewayAddress(deployment, i),
       'POST',
       '/v1/chat/completions',
       { messages: [{ role: 'user', content: `alarm ${i} [last]` }], max_tokens: 8, stream: false },
@@ -57,7 +57,7 @@
 const judge = (deployment: Fleet, { waits, refused }: UrgentTurns, limit: Microseconds): Outcome => {
   const sorted = [...waits].sort((a, b) => a - b);
   const worst = sorted[sorted.length - 1] ?? 0;
-  const outcome = finish(deployment, {
+  const outcome = outcomeOf(deployment, {
     urgent_served: waits.length,
     urgent_refused: refused,
     urgent_p50_ms: duration.toMs(sorted[Math.floor(sorted.length / 2)] ?? 0),
@@ -76,7 +76,7 @@
   run: async (seed, shape, log) => {
     const deployment = await openFleet(seed, shape, log);
     const { rand } = deployment.world;
-    const crowd = deployment.load({ chats: 400, kept: 0, jobs: 0, over: duration.s(8) });
+    const crowd = deployment.load({ chats: 400, kept: 0, jobs: 0, spreadOver: duration.s(8) });
     const turns: UrgentTurns = { waits: [], refused: 0, open: 0 };
     for (let i = 0; i < urgentTurns; i++)
       deployment.world.scheduleAt(
@@ -85,7 +85,7 @@
       );
     await run(deployment, duration.s(10));
     await deployment.until('the urgent callers to end', () => turns.open === 0, duration.s(20));
-    await settleLoad(deployment, crowd);
+    await waitForLoad(deployment, crowd);
     return judge(deployment, turns, limitOf(shape));
   },
 };
--- a/tools/simulation/src/scenarios/workers.ts
+++ b/tools/simulation/src/scenarios/workers.ts
@@ -2,8 +2,8 @@
 import { duration } from '@thornsail/runtime';
 import type { Listed } from '@thornsail/test-harness';
 import { fleet } from '../fleet/index.js';
-import { later } from '../operator-calls.js';
-import { type Scenario, finish, replaceWorker, run, serving, settleLoad } from '../scene.js';
+import { runAfter } from '../operator-calls.js';
+import { type Scenario, outcomeOf, replaceWorker, run, timeUntilServing, waitForLoad } from '../scenario-support.js';
 
 /** Workers that are replaced one after another, and a platform that answers slowly, wrongly or not at all. */
 export const workers: Scenario = {
@@ -11,31 +11,35 @@
   run: async (seed, shape, log) => {
     const f = await fleet.open({ seed, shape, log, stalls: true });
     const r = f.world.rand;
-    const l = f.load({ chats: 110, kept: 14, jobs: 110, over: duration.s(22) });
+    const l = f.load({ chats: 110, kept: 14, jobs: 110, spreadOver: duration.s(22) });
     const replace = async (old: Listed, i: number): Promise<void> => {
       const s = await replaceWorker(f, old, i, r.int(4) === 0 ? 'drop' : 'leave');
       if (r.int(3) === 0) s.faults.report = r.int(2) ? 'rubbish' : 'silent';
     };
     for (const [i, x] of f.layout.workers.entries())
-      later(f, duration.ms(500) + Math.round((i * duration.s(18)) / f.layout.workers.length), () => void replace(x, i));
+      runAfter(
+        f,
+        duration.ms(500) + Math.round((i * duration.s(18)) / f.layout.workers.length),
+        () => void replace(x, i),
+      );
     // Two workers freeze for a while; another is cut off from the edges.
     for (let i = 0; i < 2; i++)
-      later(f, duration.s(3) + r.int(duration.s(10)), () => {
+      runAfter(f, duration.s(3) + r.int(duration.s(10)), () => {
         const h = f.hostOf(f.layout.workers[r.int(f.layout.workers.length)]!.at.split(':')[0]!);
         f.world.freeze(h);
-        later(f, duration.s(2), () => f.world.thaw(h));
+        runAfter(f, duration.s(2), () => f.world.thaw(h));
       });
     const moods = ['slow', 'failing', 'silent', 'rubbish', 'empty'] as const;
     for (const [i, m] of moods.entries()) {
-      later(f, duration.s(2 + i * 4), () => (f.platform.mood.now = m));
-      later(f, duration.s(4 + i * 4), () => (f.platform.mood.now = 'ok'));
+      runAfter(f, duration.s(2 + i * 4), () => (f.platform.mood.now = m));
+      runAfter(f, duration.s(4 + i * 4), () => (f.platform.mood.now = 'ok'));
     }
     await run(f, duration.s(23));
-    const back = await serving(f, duration.s(12));
-    await settleLoad(f, l);
+    const back = await timeUntilServing(f, duration.s(12));
+    await waitForLoad(f, l);
     const s = f.callers.summary;
     const none = s.rejected['no_worker'] ?? 0;
-    const out = finish(f, { no_worker: none, gave_up_of: s.chats + s.kept + s.jobs, back_ms: duration.toMs(back) });
+    const out = outcomeOf(f, { no_worker: none, gave_up_of: s.chats + s.kept + s.jobs, back_ms: duration.toMs(back) });
     if (none > 0) out.breaches.push(`${none} requests found no worker though there always were some`);
     if (s.gaveUp * 20 > s.chats + s.kept + s.jobs) out.breaches.push(`${s.gaveUp} callers gave up`);
     return out;
--- a/tools/simulation/src/sweep-cli.ts
+++ b/tools/simulation/src/sweep-cli.ts
@@ -1,17 +1,19 @@
-// npm run sweep -- --seeds N [--from S] [--only a,b] [--shape lautoka|granite]
-// replay one with --seed S [--only a] [--log true]
+// Sweep over the seeds of the scenarios: npm run sweep -- --seeds N [--from S] [--only a,b] [--shape lautoka|granite]
+// Replay of one seed: --seed S [--only a] [--log true]
+// --workers N sets the number of child processes; --child NAME:SHAPE:FROM:TO runs one job of a sweep in such a process
+// and prints one line of JSON for each seed. Exits with 1 if there was a breach, with 2 for a wrong flag.
 import { spawn } from 'node:child_process';
 import { availableParallelism } from 'node:os';
 import { fileURLToPath } from 'node:url';
 import type { ShapeName } from '@thornsail/test-harness';
 import { scenarios } from './scenarios/index.js';
 
-const out = (t: string): void => void process.stdout.write(`${t}\n`);
-const wrong = (t: string): never => {
-  process.stderr.write(`sweep: ${t}\n`);
+const print = (line: string): void => void process.stdout.write(`${line}\n`);
+const failUsage = (message: string): never => {
+  process.stderr.write(`sweep: ${message}\n`);
   process.exit(2);
 };
-const given: Record<string, string> = {
+const flags: Record<string, string> = {
   seeds: '',
   seed: '',
   from: '1',
@@ -22,19 +24,20 @@
   workers: '',
 };
 for (let i = 2; i < process.argv.length; i += 2) {
-  const k = process.argv[i]!.replace(/^--/, '');
-  if (!Object.hasOwn(given, k) || process.argv[i + 1] === undefined)
-    wrong(`unknown or incomplete flag ${process.argv[i]}`);
-  given[k] = process.argv[i + 1]!;
+  const flag = process.argv[i]!.replace(/^--/, '');
+  if (!Object.hasOwn(flags, flag) || process.argv[i + 1] === undefined)
+    failUsage(`unknown or incomplete flag ${process.argv[i]}`);
+  flags[flag] = process.argv[i + 1]!;
 }
-for (const k of ['seeds', 'seed', 'from'])
-  if (given[k] !== '' && !/^\d+$/.test(given[k]!)) wrong(`--${k}: a whole number is needed`);
-const names = given['only'] ? given['only'].split(',') : Object.keys(scenarios);
-for (const n of names) if (!Object.hasOwn(scenarios, n)) wrong(`--only: no scenario ${n}`);
-const shapes: ShapeName[] = given['shape'] ? [given['shape'] as ShapeName] : ['lautoka', 'granite'];
-if (shapes.some((s) => s !== 'lautoka' && s !== 'granite')) wrong('--shape: lautoka or granite');
+for (const flag of ['seeds', 'seed', 'from'])
+  if (flags[flag] !== '' && !/^\d+$/.test(flags[flag]!)) failUsage(`--${flag}: a whole number is needed`);
+const names = flags['only'] ? flags['only'].split(',') : Object.keys(scenarios);
+for (const name of names) if (!Object.hasOwn(scenarios, name)) failUsage(`--only: no scenario ${name}`);
+const shapes: ShapeName[] = flags['shape'] ? [flags['shape'] as ShapeName] : ['lautoka', 'granite'];
+if (shapes.some((shape) => shape !== 'lautoka' && shape !== 'granite')) failUsage('--shape: lautoka or granite');
 
-type Line = {
+/** The result of one run; a child process prints it as a line of JSON. `took` is wall-clock time in milliseconds. */
+type RunResult = {
   name: string;
   shape: ShapeName;
   seed: number;
@@ -42,90 +45,115 @@
   figures: Record<string, number>;
   took: number;
 };
-const one = async (name: string, shape: ShapeName, seed: number, log?: (l: string) => void): Promise<Line> => {
-  const begun = performance.now();
+const runScenario = async (
+  name: string,
+  shape: ShapeName,
+  seed: number,
+  log?: (line: string) => void,
+): Promise<RunResult> => {
+  const startedAt = performance.now();
   try {
-    const o = await scenarios[name]!.run(seed, shape, log);
-    return { name, shape, seed, breaches: o.breaches, figures: o.figures, took: performance.now() - begun };
-  } catch (e) {
+    const outcome = await scenarios[name]!.run(seed, shape, log);
     return {
       name,
       shape,
       seed,
-      breaches: [`failed: ${e instanceof Error ? (e.stack ?? e.message) : String(e)}`],
+      breaches: outcome.breaches,
+      figures: outcome.figures,
+      took: performance.now() - startedAt,
+    };
+  } catch (error) {
+    return {
+      name,
+      shape,
+      seed,
+      breaches: [`failed: ${error instanceof Error ? (error.stack ?? error.message) : String(error)}`],
       figures: {},
-      took: performance.now() - begun,
+      took: performance.now() - startedAt,
     };
   }
 };
 
-if (given['child']) {
-  const [name, shape, from, to] = given['child'].split(':');
-  for (let s = Number(from); s <= Number(to); s++) out(JSON.stringify(await one(name!, shape as ShapeName, s)));
+if (flags['child']) {
+  const [name, shape, from, to] = flags['child'].split(':');
+  for (let seed = Number(from); seed <= Number(to); seed++)
+    print(JSON.stringify(await runScenario(name!, shape as ShapeName, seed)));
   process.exit(0);
 }
-if (given['seed']) {
-  let bad = 0;
-  for (const n of names)
-    for (const sh of shapes) {
-      const r = await one(n, sh, Number(given['seed']), given['log'] ? out : undefined);
-      bad += r.breaches.length;
-      out(`${r.breaches.length ? 'BREACH' : 'clean '} ${n} ${sh} seed ${r.seed} ${JSON.stringify(r.figures)}`);
-      for (const b of r.breaches) out(`  ${b}`);
+if (flags['seed']) {
+  let breachCount = 0;
+  for (const name of names)
+    for (const shape of shapes) {
+      const run = await runScenario(name, shape, Number(flags['seed']), flags['log'] ? print : undefined);
+      breachCount += run.breaches.length;
+      print(
+        `${run.breaches.length ? 'BREACH' : 'clean '} ${name} ${shape} seed ${run.seed} ${JSON.stringify(run.figures)}`,
+      );
+      for (const breach of run.breaches) print(`  ${breach}`);
     }
-  process.exit(bad ? 1 : 0);
+  process.exit(breachCount ? 1 : 0);
 }
-const seeds = Number(given['seeds'] || '20');
-const from = Number(given['from']);
+const seeds = Number(flags['seeds'] || '20');
+const from = Number(flags['from']);
+/** The jobs that child processes run, in the form of `--child`. */
 const jobs: string[] = [];
-const chunk = Math.max(1, Math.min(5, Math.ceil(seeds / 4)));
-for (let s = from; s < from + seeds; s += chunk)
-  for (const n of names)
-    for (const sh of shapes) jobs.push(`${n}:${sh}:${s}:${Math.min(s + chunk - 1, from + seeds - 1)}`);
-const lines: Line[] = [];
-const work = async (): Promise<void> => {
-  for (let j = jobs.shift(); j !== undefined; j = jobs.shift())
-    await new Promise<void>((fin) => {
-      const child = spawn(process.execPath, [fileURLToPath(import.meta.url), '--child', j], {
+const seedsPerJob = Math.max(1, Math.min(5, Math.ceil(seeds / 4)));
+for (let seed = from; seed < from + seeds; seed += seedsPerJob)
+  for (const name of names)
+    for (const shape of shapes)
+      jobs.push(`${name}:${shape}:${seed}:${Math.min(seed + seedsPerJob - 1, from + seeds - 1)}`);
+const results: RunResult[] = [];
+const runJobs = async (): Promise<void> => {
+  for (let job = jobs.shift(); job !== undefined; job = jobs.shift())
+    await new Promise<void>((resolve) => {
+      const child = spawn(process.execPath, [fileURLToPath(import.meta.url), '--child', job], {
         stdio: ['ignore', 'pipe', 'inherit'],
       });
       let rest = '';
-      child.stdout.on('data', (d: Buffer) => {
-        rest += d.toString();
+      child.stdout.on('data', (data: Buffer) => {
+        rest += data.toString();
         for (let i = rest.indexOf('\n'); i >= 0; i = rest.indexOf('\n')) {
-          const l = JSON.parse(rest.slice(0, i)) as Line;
+          const run = JSON.parse(rest.slice(0, i)) as RunResult;
           rest = rest.slice(i + 1);
-          lines.push(l);
-          if (l.breaches.length) {
-            out(`BREACH ${l.name} ${l.shape} seed ${l.seed}: ${l.breaches.length} (${l.breaches[0]!.slice(0, 300)})`);
+          results.push(run);
+          if (run.breaches.length) {
+            print(
+              `BREACH ${run.name} ${run.shape} seed ${run.seed}: ${run.breaches.length} ` +
+                `(${run.breaches[0]!.slice(0, 300)})`,
+            );
           }
         }
       });
       child.on('close', (code) => {
         if (code !== 0) {
-          lines.push({ name: j, shape: 'lautoka', seed: 0, breaches: ['the run died'], figures: {}, took: 0 });
-          out(`BREACH ${j}: the run died`);
+          results.push({ name: job, shape: 'lautoka', seed: 0, breaches: ['the run crashed'], figures: {}, took: 0 });
+          print(`BREACH ${job}: the run crashed`);
         }
-        fin();
+        resolve();
       });
     });
 };
 await Promise.all(
-  Array.from({ length: given['workers'] ? Number(given['workers']) : Math.max(1, availableParallelism() - 1) }, work),
+  Array.from(
+    { length: flags['workers'] ? Number(flags['workers']) : Math.max(1, availableParallelism() - 1) },
+    runJobs,
+  ),
 );
-for (const n of names)
-  for (const sh of shapes) {
-    const mine = lines.filter((l) => l.name === n && l.shape === sh);
-    const keys = [...new Set(mine.flatMap((l) => Object.keys(l.figures)))];
-    const fig = keys.map((k) => {
-      const v = mine.map((l) => l.figures[k] ?? 0);
-      return k.endsWith('_ms') ? `${k} max ${Math.max(...v)}` : `${k} ${v.reduce((a, b) => a + b, 0)}`;
+for (const name of names)
+  for (const shape of shapes) {
+    const runs = results.filter((run) => run.name === name && run.shape === shape);
+    const figureNames = [...new Set(runs.flatMap((run) => Object.keys(run.figures)))];
+    const figures = figureNames.map((figure) => {
+      const values = runs.map((run) => run.figures[figure] ?? 0);
+      return figure.endsWith('_ms')
+        ? `${figure} max ${Math.max(...values)}`
+        : `${figure} ${values.reduce((a, b) => a + b, 0)}`;
     });
-    out(
-      `${n} ${sh}: ${mine.length} seeds, ${mine.filter((l) => l.breaches.length).length} with a breach; ` +
-        fig.join(', '),
+    print(
+      `${name} ${shape}: ${runs.length} seeds, ${runs.filter((run) => run.breaches.length).length} with a breach; ` +
+        figures.join(', '),
     );
   }
-const bad = lines.filter((l) => l.breaches.length).length;
-out(`${lines.length} runs, ${bad} with a breach`);
-process.exit(bad ? 1 : 0);
+const breachedRuns = results.filter((run) => run.breaches.length).length;
+print(`${results.length} runs, ${breachedRuns} with a breach`);
+process.exit(breachedRuns ? 1 : 0);
--- a/tools/simulation/src/world/connection-server.ts
+++ b/tools/simulation/src/world/connection-server.ts
@@ -1,24 +1,39 @@
-// The server's end of a simulated connection: one exchange at a time, closed when it has been idle for long.
+// The server's end of a simulated connection: serves one exchange at a time and closes the connection after the idle
+// timeout.
 import type { Exchange, HttpRequest } from '@thornsail/runtime';
-import type { Lane } from './connection-lane.js';
-import { openReply, type Afterwards, type ClientEnd, type Reply } from './connection-reply.js';
+import type { OneWayChannel } from './one-way-channel.js';
+import {
+  openResponse,
+  type ConnectionDisposition,
+  type ClientEnd,
+  type ServerResponse,
+} from './connection-response.js';
 import type { Host, HttpListener } from './host.js';
 import { httpMessage } from './http-message.js';
 import type { Network } from './network.js';
 
-/** What the client puts on the wire, as the server takes it. `read`: the client has read so many bytes. */
+/**
+ * Handlers for what the client sends to the server. `closed`: the client closed the connection; `read`: it has read so
+ * many more bytes of the response; `reset` closes the connection with ECONNRESET.
+ */
 export type ServerEnd = {
   request: (exchange: Exchange) => void;
   closed: () => void;
   read: (bytes: number) => void;
   reset: () => void;
 };
-type ServerOptions = { network: Network; host: Host; toClient: Lane; client: ClientEnd; listener: HttpListener };
+type ServerOptions = {
+  network: Network;
+  host: Host;
+  toClient: OneWayChannel;
+  client: ClientEnd;
+  listener: HttpListener;
+};
 type ServerState = ServerOptions & {
   isOpen: boolean;
-  reply: Reply | undefined;
-  /** Counts the times of rest, so that the timer of an earlier one closes nothing. */
-  rests: number;
+  response: ServerResponse | undefined;
+  /** Number of the current idle period; an idle timer of an earlier period does nothing. */
+  idlePeriod: number;
   processEnded: (silent: boolean) => void;
 };
 
@@ -35,50 +50,51 @@
   });
 };
 
-const end = (state: ServerState): void => {
+/** Frees the server's end without notifying the client. */
+const release = (state: ServerState): void => {
   if (!state.isOpen) return;
   state.isOpen = false;
   state.host.connections.delete(state.processEnded);
   state.listener.admit(-1);
-  state.reply?.gone();
+  state.response?.closed();
 };
-const shut = (state: ServerState, code: string): void => {
+const close = (state: ServerState, code: string): void => {
   if (!state.isOpen) return;
-  end(state);
-  state.toClient.send(() => state.client.broke(code));
+  release(state);
+  state.toClient.send(() => state.client.failed(code));
 };
-/** Closes the connection unless a request comes in time. */
-const rest = (state: ServerState): void => {
+/** Closes the connection unless a request arrives within the idle timeout. */
+const startIdleTimer = (state: ServerState): void => {
   const { network, host, listener } = state;
-  const mine = ++state.rests;
-  network.loop.schedule(listener.idleFor(), host, () => {
-    if (state.rests === mine && !state.reply) shut(state, 'UND_ERR_SOCKET');
+  const idlePeriod = ++state.idlePeriod;
+  network.loop.schedule(listener.idleTimeout(), host, () => {
+    if (state.idlePeriod === idlePeriod && !state.response) close(state, 'UND_ERR_SOCKET');
   });
 };
-const complete = (state: ServerState, then: Afterwards): void => {
-  state.reply = undefined;
-  if (then === 'closed') shut(state, 'UND_ERR_SOCKET');
-  else if (then === 'forgotten') end(state);
-  else rest(state);
+const completeExchange = (state: ServerState, disposition: ConnectionDisposition): void => {
+  state.response = undefined;
+  if (disposition === 'closed') close(state, 'UND_ERR_SOCKET');
+  else if (disposition === 'forgotten') release(state);
+  else startIdleTimer(state);
 };
-const take = (state: ServerState, exchange: Exchange): void => {
+const handleExchange = (state: ServerState, exchange: Exchange): void => {
   const { network, host, toClient, client, listener } = state;
-  if (!state.isOpen) return toClient.send(() => client.broke('ECONNRESET'));
-  state.rests += 1;
-  const reply = openReply({
+  if (!state.isOpen) return toClient.send(() => client.failed('ECONNRESET'));
+  state.idlePeriod += 1;
+  const response = openResponse({
     network,
     host,
     toClient,
     client,
-    idleFor: listener.idleFor(),
+    idleTimeout: listener.idleTimeout(),
     isOpen: () => state.isOpen,
-    onComplete: (then) => complete(state, then),
-    onCut: (code) => shut(state, code),
+    onComplete: (disposition) => completeExchange(state, disposition),
+    onAborted: (code) => close(state, code),
   });
-  state.reply = reply;
+  state.response = response;
   Promise.resolve()
-    .then(() => listener.wire(toRequest(network, exchange), reply.writer))
-    .catch(() => reply.writer.abort());
+    .then(() => listener.wire(toRequest(network, exchange), response.writer))
+    .catch(() => response.writer.abort());
 };
 
 /** Opens the server's end. */
@@ -86,20 +102,20 @@
   const state: ServerState = {
     ...options,
     isOpen: true,
-    reply: undefined,
-    rests: 0,
-    // Its connections break, or fall silent with the machine.
+    response: undefined,
+    idlePeriod: 0,
+    // When the process ends, its connections are reset; when the machine loses power, the client is not notified.
     processEnded: (silent) => {
-      if (silent) options.toClient.lose();
-      else shut(state, 'ECONNRESET');
+      if (silent) options.toClient.discard();
+      else close(state, 'ECONNRESET');
     },
   };
   options.host.connections.add(state.processEnded);
-  rest(state);
+  startIdleTimer(state);
   return {
-    request: (exchange) => take(state, exchange),
-    closed: () => end(state),
-    read: (bytes) => state.reply?.read(bytes),
-    reset: () => shut(state, 'ECONNRESET'),
+    request: (exchange) => handleExchange(state, exchange),
+    closed: () => release(state),
+    read: (bytes) => state.response?.read(bytes),
+    reset: () => close(state, 'ECONNRESET'),
   };
 };
--- a/tools/simulation/src/world/disk.ts
+++ b/tools/simulation/src/world/disk.ts
@@ -1,4 +1,4 @@
-// The simulated disk (§9.2): file calls with unsynced names and bytes, and what is left of them after a loss of power.
+// The simulated disk (§9.2): file calls, unsynced directory entries and contents, and the state after a power loss.
 import {
   openDataFolder,
   duration,
@@ -9,43 +9,44 @@
 } from '@thornsail/runtime';
 import { promiseOf } from './promise-of.js';
 
-/** A file's text; undefined where there is no file of that name. */
+/** A file's text; undefined if there is no file of that name. */
 type Content = string | undefined;
-/** A small disk: one sync at a time, of one file or of the folder. */
+/** The state of a disk that performs one sync at a time, of one file or of the folder. */
 export type DiskState = {
-  /** Stretches the time of a sync. */
-  slow: number;
-  /** No call ends before this time. */
+  /** Multiplies the duration of a sync. */
+  syncTimeFactor: number;
+  /** No call completes before this time. */
   hangsUntil: Microseconds;
-  /** Takes no more bytes. */
+  /** Whether writes fail with ENOSPC. */
   full: boolean;
-  /** Chances that a step fails. */
+  /** Probability, 0 to 1, that a call of this kind fails with EIO. */
   fail: { write: number; sync: number; rename: number; read: number };
-  /** Names made, renamed or removed since a sync of the folder: what a loss of power may bring back in their place. */
+  /** Names created, renamed or removed since the last folder sync, with the contents that a power loss may restore. */
   unsyncedNames: Map<string, Content[]>;
-  /** The same changes of names by their numbers, in their order. */
+  /** The same name changes by sequence number, in order. */
   nameChanges: Map<number, string>;
+  /** Sequence number of the last name change. */
   changeCount: number;
-  /** Files written since their last sync: what that sync covered. */
+  /** Files written since their last sync, with the content at that sync. */
   unsyncedBytes: Map<string, Content>;
-  /** When the syncs that were asked for are over. */
+  /** Time at which all requested syncs are complete. */
   busyUntil: Microseconds;
 };
-/** What the disk needs of the process that it belongs to; `inc` counts the starts of this process. */
+/** The process that the disk belongs to; `incarnation` is the number of its current run. */
 export type DiskHost = { incarnation: number; files: Map<string, string>; disk: DiskState };
-/** What the disk needs of the simulated world; `syncTime` is the longest time of one sync. */
-export type DiskGround<H extends DiskHost> = {
+/** The disk's access to the simulated world; `syncTime` is the longest duration of one sync, `onSync` counts them. */
+export type DiskEnvironment<H extends DiskHost> = {
   rand: Random;
   now: () => Microseconds;
-  schedule: (after: Microseconds, host: H, fn: () => void) => unknown;
+  schedule: (after: Microseconds, host: H, run: () => void) => unknown;
   syncTime: Microseconds;
   onSync: () => void;
 };
-/** What ended: the process alone, the machine's power with it, or the disk with all that it held. */
-export type DiskEnd = 'process' | 'power' | 'disk';
+/** What a host loses: its process alone, the machine's power as well, or the disk with all its files. */
+export type HostFailure = 'process' | 'power' | 'disk';
 
 const state = (): DiskState => ({
-  slow: 1,
+  syncTimeFactor: 1,
   hangsUntil: 0,
   full: false,
   fail: { write: 0, sync: 0, rename: 0, read: 0 },
@@ -57,13 +58,13 @@
 });
 
 const root = '/simulated';
-const nameIn = (at: unknown): string => String(at).slice(root.length + 1);
+const nameIn = (path: unknown): string => String(path).slice(root.length + 1);
 const failure = (code: string): Error => Object.assign(new Error(`${code}: simulated`), { code });
 const setFile = (host: DiskHost, name: string, text: Content): void => {
   if (text === undefined) host.files.delete(name);
   else host.files.set(name, text);
 };
-/** Changes what a name stands for; until the folder is synced a loss of power may undo it. */
+/** Changes the file that a name refers to; a power loss may undo this until the folder is synced. */
 const changeName = (host: DiskHost, name: string, text: Content): void => {
   const former = host.disk.unsyncedNames.get(name) ?? [];
   former.push(host.files.get(name));
@@ -76,88 +77,99 @@
   host.files.set(name, text);
 };
 
-/** What a write without a sync may leave of a file: the bytes before it, none, a part, zeros at its end, or all. */
-const tornAt = (text: string, cut: number): string[] => [
+/** Contents that an unsynced write may leave after a power loss: none, a prefix, a prefix padded with zeros, or all. */
+const tornContents = (text: string, cutAt: number): string[] => [
   '',
-  text.slice(0, cut),
-  text.slice(0, cut) + '\0'.repeat(text.length - cut),
+  text.slice(0, cutAt),
+  text.slice(0, cutAt) + '\0'.repeat(text.length - cutAt),
   text,
 ];
-const bytesLeft = (host: DiskHost, name: string, cut: (length: number) => number): Content[] => {
+/** Contents that a file may have after a power loss, if the changes of its name are durable. */
+const possibleContents = (host: DiskHost, name: string, cutAt: (length: number) => number): Content[] => {
   const text = host.files.get(name);
   if (text === undefined || !host.disk.unsyncedBytes.has(name)) return [text];
-  return [host.disk.unsyncedBytes.get(name) ?? '', ...tornAt(text, cut(text.length))];
+  return [host.disk.unsyncedBytes.get(name) ?? '', ...tornContents(text, cutAt(text.length))];
 };
-/** For each name that a loss of power may change, what it may stand for afterwards. */
-const possible = (host: DiskHost, cut: (length: number) => number): Map<string, { kept: Content[]; lost: Content[] }> =>
+/**
+ * What each name with unsynced changes may refer to after a power loss: a `current` content if the changes of the name
+ * are durable, else a `former` one.
+ */
+const possibleOutcomes = (
+  host: DiskHost,
+  cutAt: (length: number) => number,
+): Map<string, { current: Content[]; former: Content[] }> =>
   new Map(
     [...new Set([...host.disk.unsyncedNames.keys(), ...host.disk.unsyncedBytes.keys()])].map((name) => [
       name,
-      { kept: bytesLeft(host, name, cut), lost: host.disk.unsyncedNames.get(name) ?? [] },
+      { current: possibleContents(host, name, cutAt), former: host.disk.unsyncedNames.get(name) ?? [] },
     ]),
   );
 
-/** Everything that a loss of power at this moment may leave in the folder; torn files are cut in the middle. */
+/** All folder states that a power loss at this moment may leave; torn files are cut in the middle. */
 const afterPowerLoss = function* (host: DiskHost): Generator<Map<string, string>> {
-  const all = [...possible(host, (length) => length >> 1)];
-  const walk = function* (i: number, left: Map<string, string>): Generator<Map<string, string>> {
-    if (i === all.length) {
-      yield new Map(left);
+  const outcomes = [...possibleOutcomes(host, (length) => length >> 1)];
+  const enumerate = function* (i: number, folder: Map<string, string>): Generator<Map<string, string>> {
+    if (i === outcomes.length) {
+      yield new Map(folder);
       return;
     }
-    const [name, { kept, lost }] = all[i]!;
-    for (const text of new Set([...kept, ...lost])) {
-      if (text === undefined) left.delete(name);
-      else left.set(name, text);
-      yield* walk(i + 1, left);
+    const [name, { current, former }] = outcomes[i]!;
+    for (const text of new Set([...current, ...former])) {
+      if (text === undefined) folder.delete(name);
+      else folder.set(name, text);
+      yield* enumerate(i + 1, folder);
     }
   };
-  yield* walk(0, new Map(host.files));
+  yield* enumerate(0, new Map(host.files));
 };
 const loseUnsynced = (rand: Random, host: DiskHost): void => {
-  // At some losses of power all that was not synced is gone.
-  const nothingKept = rand.int(4) === 0;
-  for (const [name, { kept, lost }] of possible(host, (length) => rand.int(length + 1))) {
-    const isLost = lost.length > 0 && (nothingKept || rand.int(2) === 0);
-    if (isLost) setFile(host, name, lost[nothingKept ? 0 : rand.int(lost.length)]);
-    else if (kept.length > 1) setFile(host, name, kept[nothingKept ? 0 : rand.int(kept.length)]);
+  // In one of four power losses all unsynced changes are lost.
+  const losesAll = rand.int(4) === 0;
+  for (const [name, { current, former }] of possibleOutcomes(host, (length) => rand.int(length + 1))) {
+    const isLost = former.length > 0 && (losesAll || rand.int(2) === 0);
+    if (isLost) setFile(host, name, former[losesAll ? 0 : rand.int(former.length)]);
+    else if (current.length > 1) setFile(host, name, current[losesAll ? 0 : rand.int(current.length)]);
   }
 };
-/** What the disk holds after its process ended, or the machine lost its power or the disk itself. */
-const end = (rand: Random, host: DiskHost, how: DiskEnd): void => {
+/** Applies a host failure to the disk's contents. */
+const applyFailure = (rand: Random, host: DiskHost, failure: HostFailure): void => {
   host.disk.busyUntil = 0;
-  if (how === 'process') return;
-  if (how === 'power') loseUnsynced(rand, host);
+  if (failure === 'process') return;
+  if (failure === 'power') loseUnsynced(rand, host);
   else host.files.clear();
   host.disk.unsyncedNames.clear();
   host.disk.nameChanges.clear();
   host.disk.unsyncedBytes.clear();
 };
 
-/** Waits for a call that takes `after` (microseconds), and for as long as the disk hangs. */
-type Takes = (after: Microseconds) => Promise<void>;
-const takesOf = <H extends DiskHost>({ now, schedule }: DiskGround<H>, host: H): Takes => {
+/** Waits for the duration of a call, in microseconds, and then for as long as the disk hangs. */
+type WaitForDisk = (time: Microseconds) => Promise<void>;
+const openWaitForDisk = <H extends DiskHost>({ now, schedule }: DiskEnvironment<H>, host: H): WaitForDisk => {
   const disk = host.disk;
-  const wait = (after: Microseconds): Promise<void> =>
+  const wait = (time: Microseconds): Promise<void> =>
     new Promise((done) => {
-      schedule(after, host, done);
+      schedule(time, host, done);
     });
-  return async (after) => {
-    await wait(after);
+  return async (time) => {
+    await wait(time);
     while (now() < disk.hangsUntil) await wait(disk.hangsUntil - now());
   };
 };
 
-type Syncs = { syncFolder: () => Promise<void>; syncFile: (name: string) => Promise<void> };
-/** Syncs of the folder and of single files, one after another as the disk takes them. */
-const syncsOf = <H extends DiskHost>(ground: DiskGround<H>, host: H, takes: Takes): Syncs => {
-  const { rand, now } = ground;
+type SyncCalls = { syncFolder: () => Promise<void>; syncFile: (name: string) => Promise<void> };
+/** Syncs of the folder and of single files, performed one after another. */
+const openSyncCalls = <H extends DiskHost>(
+  environment: DiskEnvironment<H>,
+  host: H,
+  waitForDisk: WaitForDisk,
+): SyncCalls => {
+  const { rand, now } = environment;
   const disk = host.disk;
   const sync = async (): Promise<void> => {
-    const time = (ground.syncTime * 0.2 + rand.int(Math.round(ground.syncTime * 0.8))) * disk.slow;
+    const time = (environment.syncTime * 0.2 + rand.int(Math.round(environment.syncTime * 0.8))) * disk.syncTimeFactor;
     disk.busyUntil = Math.max(now(), disk.busyUntil) + Math.round(time);
-    await takes(disk.busyUntil - now());
-    ground.onSync();
+    await waitForDisk(disk.busyUntil - now());
+    environment.onSync();
     if (rand.next() < disk.fail.sync) throw failure('EIO');
   };
   const syncFolder = async (): Promise<void> => {
@@ -176,8 +188,8 @@
     try {
       await sync();
     } catch (error) {
-      // Nobody knows what the disk holds then.
-      if (text !== undefined) host.files.set(name, tornAt(text, rand.int(text.length + 1))[rand.int(4)]!);
+      // After a failed sync the content on disk is undefined.
+      if (text !== undefined) host.files.set(name, tornContents(text, rand.int(text.length + 1))[rand.int(4)]!);
       throw error;
     }
     if (host.files.get(name) === text) disk.unsyncedBytes.delete(name);
@@ -185,28 +197,32 @@
   return { syncFolder, syncFile };
 };
 
-type NameCalls = { rename: (from: unknown, to: unknown) => Promise<void>; remove: (at: unknown) => Promise<void> };
-/** The calls that change what names stand for. */
-const nameCalls = <H extends DiskHost>({ rand }: DiskGround<H>, host: H, takes: Takes): NameCalls => {
+type NameCalls = { rename: (from: unknown, to: unknown) => Promise<void>; remove: (path: unknown) => Promise<void> };
+/** The calls that rename and remove files. */
+const openNameCalls = <H extends DiskHost>(
+  { rand }: DiskEnvironment<H>,
+  host: H,
+  waitForDisk: WaitForDisk,
+): NameCalls => {
   const disk = host.disk;
   const renameNow = (from: unknown, to: unknown): void => {
     const [source, target] = [nameIn(from), nameIn(to)];
     const fails = rand.next() < disk.fail.rename;
-    // A rename that fails may have happened all the same.
+    // A rename that fails may still have taken effect.
     if (!fails || rand.int(2) === 0) {
-      const bytes = disk.unsyncedBytes.has(source);
+      const hasUnsyncedBytes = disk.unsyncedBytes.has(source);
       changeName(host, target, host.files.get(source));
       changeName(host, source, undefined);
       disk.unsyncedBytes.delete(source);
       disk.unsyncedBytes.delete(target);
-      if (bytes) disk.unsyncedBytes.set(target, undefined);
+      if (hasUnsyncedBytes) disk.unsyncedBytes.set(target, undefined);
     }
     if (fails) throw failure('EIO');
   };
   const rename = (from: unknown, to: unknown): Promise<void> => promiseOf(() => renameNow(from, to));
-  const remove = async (at: unknown): Promise<void> => {
-    await takes(30);
-    const name = nameIn(at);
+  const remove = async (path: unknown): Promise<void> => {
+    await waitForDisk(30);
+    const name = nameIn(path);
     if (!host.files.has(name)) throw failure('ENOENT');
     changeName(host, name, undefined);
     disk.unsyncedBytes.delete(name);
@@ -214,23 +230,23 @@
   return { rename, remove };
 };
 
-/** The file calls of a data folder, over `host.files`. */
-const calls = <H extends DiskHost>(ground: DiskGround<H>, host: H): FileCalls => {
-  const { rand } = ground;
+/** The file calls of a data folder, on `host.files`. */
+const openFileCalls = <H extends DiskHost>(environment: DiskEnvironment<H>, host: H): FileCalls => {
+  const { rand } = environment;
   const disk = host.disk;
-  const takes = takesOf(ground, host);
-  const { syncFolder, syncFile } = syncsOf(ground, host, takes);
-  const { rename, remove } = nameCalls(ground, host, takes);
+  const waitForDisk = openWaitForDisk(environment, host);
+  const { syncFolder, syncFile } = openSyncCalls(environment, host, waitForDisk);
+  const { rename, remove } = openNameCalls(environment, host, waitForDisk);
   const writeFile = async (name: string, text: string): Promise<void> => {
     changeBytes(host, name, text.slice(0, rand.int(text.length)));
-    await takes(0);
+    await waitForDisk(0);
     if (disk.full) throw failure('ENOSPC');
     changeBytes(host, name, text);
   };
-  const open = async (at: unknown, flags: unknown): Promise<unknown> => {
-    const name = nameIn(at);
+  const open = async (path: unknown, flags: unknown): Promise<unknown> => {
+    const name = nameIn(path);
     if (flags === 'w') {
-      await takes(0);
+      await waitForDisk(0);
       if (rand.next() < disk.fail.write) throw failure('EIO');
       if (host.files.has(name)) changeBytes(host, name, '');
       else changeName(host, name, '');
@@ -242,16 +258,16 @@
       close: () => Promise.resolve(),
     };
   };
-  const readFile = async (at: unknown): Promise<string> => {
-    // Several at once do not end in the order in which they began.
-    await takes(10 + rand.int(40));
+  const readFile = async (path: unknown): Promise<string> => {
+    // A random duration, so that concurrent reads complete out of order.
+    await waitForDisk(10 + rand.int(40));
     if (rand.next() < disk.fail.read) throw failure('EIO');
-    const text = host.files.get(nameIn(at));
+    const text = host.files.get(nameIn(path));
     if (text === undefined) throw failure('ENOENT');
     return text;
   };
   const readdir = async (): Promise<string[]> => {
-    await takes(30);
+    await waitForDisk(30);
     return [...host.files.keys()].sort();
   };
   const simulated = {
@@ -260,19 +276,20 @@
     readFile,
     readdir,
     unlink: remove,
-    rm: (at: unknown) => remove(at).catch(() => undefined),
+    rm: (path: unknown) => remove(path).catch(() => undefined),
     mkdir: () => Promise.resolve(),
   };
   return simulated as unknown as FileCalls;
 };
 
-/** The simulated disk: its state, its calls, and what it holds after an end. */
+/** The simulated disk: its initial state, its file calls, and its contents after a failure of the host. */
 export const simulatedDisk = {
   state,
-  /** The longest time of a sync where a world says nothing else. */
-  usualSyncTime: duration.ms(1),
-  /** The data folder of one start of a process: what runs on real machines, over the calls of the simulated disk. */
-  of: <H extends DiskHost>(ground: DiskGround<H>, host: H): Disk => openDataFolder(root, calls(ground, host)),
-  end,
+  /** The longest duration of a sync unless the world's options set it. */
+  defaultSyncTime: duration.ms(1),
+  /** The data folder for one run of a process: the runtime's real file code on the calls of the simulated disk. */
+  of: <H extends DiskHost>(environment: DiskEnvironment<H>, host: H): Disk =>
+    openDataFolder(root, openFileCalls(environment, host)),
+  applyFailure,
   afterPowerLoss,
 };
--- a/tools/simulation/src/world/event-loop.ts
+++ b/tools/simulation/src/world/event-loop.ts
@@ -1,17 +1,20 @@
-// The order of all that happens in a simulated world: a queue by time, and a hash over what ran (§9.2).
+// The event loop of a simulated world: a priority queue of events by due time, and a hash over the trace (§9.2).
 import { seeded, type Microseconds, type Random } from '@thornsail/runtime';
 import type { Host, ScheduledEvent } from './host.js';
 
-/** Runs events in order of time. The same seed gives the same events, and so the same trace hash. */
+/** Runs events in order of due time. The same seed gives the same events and the same trace hash. */
 export type EventLoop = {
   rand: Random;
   now: () => Microseconds;
+  /** Schedules a callback on a host; null if it belongs to no host. */
   schedule: (after: Microseconds, host: Host | null, run: () => void) => void;
+  /** Runs all events up to a time. */
   run: (until: Microseconds) => Promise<void>;
-  /** How many events ran. */
+  /** Number of events that ran. */
   events: () => number;
   /** Adds a text to the trace hash. */
   trace: (text: string) => void;
+  /** The trace hash, in hexadecimal. */
   hash: () => string;
 };
 
@@ -54,13 +57,13 @@
   return top;
 };
 
-/** Lets all promises settle that can. */
+/** Waits until all pending promise callbacks have run. */
 const settlePromises = (): Promise<void> =>
   new Promise((resolve) => {
     setImmediate(resolve);
   });
 
-/** Whether the event's host is there to run it; a frozen one runs it when it thaws. */
+/** Whether the event's host still runs in the incarnation that scheduled it; a frozen host defers the event. */
 const isRunnable = (event: ScheduledEvent): boolean => {
   const { host } = event;
   if (!host) return true;
@@ -69,7 +72,7 @@
   return !host.frozen;
 };
 
-/** Opens a loop at time 0. */
+/** Creates a loop at time 0. */
 export const openEventLoop = (seed: number): EventLoop => {
   const heap: ScheduledEvent[] = [];
   let sequence = 0;
@@ -93,7 +96,7 @@
       push(heap, { at, sequence: sequence++, host, incarnation: host?.incarnation ?? 0, run });
     },
     run: async (until) => {
-      // What was started from outside the world runs up to its first wait.
+      // Code that was started outside the event loop runs up to its first wait.
       await settlePromises();
       while (heap.length && heap[0]!.at <= until) await runNext();
       now = until;
--- a/tools/simulation/src/world/faults.ts
+++ b/tools/simulation/src/world/faults.ts
@@ -1,31 +1,32 @@
-// What may happen to a simulated process: it ends, loses its machine's power or disk, freezes.
-import { simulatedDisk, type DiskEnd } from './disk.js';
+// Faults of a simulated process and its machine: the process ends or freezes, the machine loses power or its disk.
+import { simulatedDisk, type HostFailure } from './disk.js';
 import type { Host } from './host.js';
 import type { Network } from './network.js';
 
-/** Connections to a process that ended break; after a loss of power nobody is there to say so. */
-const breakFrames = (network: Network, host: Host): void => {
-  for (const at of host.frames.keys())
-    for (const other of network.hosts())
-      for (const listener of other.frames.values())
-        if (other !== host && listener.peers.has(at) && !network.isPartitioned(other, host))
-          network.loop.schedule(network.delay(host, other), other, () => listener.onDown(at));
+/** Reports the end of a process to its frame peers. After a power loss this is not called: peers get no notice. */
+const breakFrameConnections = (network: Network, host: Host): void => {
+  for (const address of host.frames.keys())
+    for (const peer of network.hosts())
+      for (const listener of peer.frames.values())
+        if (peer !== host && listener.peers.has(address) && !network.isPartitioned(peer, host))
+          network.loop.schedule(network.delay(host, peer), peer, () => listener.onDown(address));
 };
 
-const kill = (network: Network, host: Host, how: DiskEnd): void => {
-  if (how === 'process') breakFrames(network, host);
+const kill = (network: Network, host: Host, failure: HostFailure): void => {
+  if (failure === 'process') breakFrameConnections(network, host);
   host.alive = false;
-  host.poweredOff = how !== 'process';
+  host.poweredOff = failure !== 'process';
   host.incarnation += 1;
   host.frozen = false;
   host.deferred = [];
   host.frames.clear();
   host.http.clear();
-  // A process that ends breaks its connections; without power they fall silent, until somebody asks the machine again.
+  // A process that ends resets its connections. After a power loss they are silent until the machine is back and
+  // replies to the next packet with a reset.
   const connections = [...host.connections];
   host.connections.clear();
-  for (const ended of connections) ended(how !== 'process');
-  simulatedDisk.end(network.loop.rand, host, how);
+  for (const onEnded of connections) onEnded(failure !== 'process');
+  simulatedDisk.applyFailure(network.loop.rand, host, failure);
 };
 const start = (host: Host): void => {
   host.alive = true;
@@ -34,7 +35,7 @@
 const freeze = (host: Host): void => {
   host.frozen = true;
 };
-/** Ticks and messages that came due during the freeze all run now, in their order. */
+/** Runs the timers and messages that became due during the freeze, in order of their due time. */
 const thaw = (network: Network, host: Host): void => {
   host.frozen = false;
   const deferred = host.deferred.sort((a, b) => a.at - b.at || a.sequence - b.sequence);
--- a/tools/simulation/src/world/host.ts
+++ b/tools/simulation/src/world/host.ts
@@ -1,32 +1,36 @@
-// A simulated process with the machine it runs on: its disk, its clock's skew, and what listens at its addresses.
+// A simulated process and the machine it runs on: its disk, its clock skew, and its listeners by address.
 import { fault, type Address, type HttpHandler, type HttpServer, type Microseconds } from '@thornsail/runtime';
 import type { WireHandler } from '@thornsail/test-harness';
 import { simulatedDisk, type DiskState } from './disk.js';
 
-/** Something that is to run at a time; dropped when its host has ended or started again by then. */
+/** A callback scheduled for a time; dropped if its host has ended or restarted by then. */
 export type ScheduledEvent = {
   at: Microseconds;
-  /** Events of one time run in the order in which they were scheduled. */
+  /** Events due at the same time run in scheduling order. */
   sequence: number;
-  /** Null for what the test itself does to the world. */
+  /** Null for an event of the test itself, which belongs to no host. */
   host: Host | null;
+  /** The host's incarnation when the event was scheduled. */
   incarnation: number;
   run: () => void;
 };
 
-/** The frames that a process exchanges at one of its addresses. */
+/** The frame transport of a process at one of its addresses. */
 export type FrameListener = {
   receive: (from: Address, text: string) => boolean;
   onDown: (to: Address) => void;
-  /** Addresses that frames were sent to: connections to them may break. */
+  /** Addresses that frames were sent to; `onDown` reports broken connections to them. */
   peers: Set<Address>;
 };
 
-/** What listens for HTTP at an address. `admit`: counts a connection in or out; whether it is within the limit. */
+/**
+ * An HTTP listener at an address. `wire` serves persistent connections, `handler` single calls. `admit` adds an opened
+ * connection (1) or removes a closed one (-1), and returns whether the count is within the connection limit.
+ */
 export type HttpListener = {
   handler: HttpHandler;
   wire: WireHandler;
-  idleFor: () => Microseconds;
+  idleTimeout: () => Microseconds;
   admit: (change: 1 | -1) => boolean;
 };
 
@@ -35,19 +39,21 @@
   ip: string;
   zone: string;
   alive: boolean;
-  /** Without power nobody says that the process has ended. */
+  /** Whether the machine has no power: peers then get no reset and no refusal. */
   poweredOff: boolean;
-  /** Counts the starts of the process. */
+  /** Number of the process's current run; incremented when the process ends. */
   incarnation: number;
   frozen: boolean;
-  /** Events that came due while the process was frozen. */
+  /** Events that became due while the process was frozen. */
   deferred: ScheduledEvent[];
+  /** Contents of the data folder by file name. */
   files: Map<string, string>;
   disk: DiskState;
-  skew: Microseconds;
+  /** Added to the wall clock. */
+  clockSkew: Microseconds;
   frames: Map<Address, FrameListener>;
   http: Map<Address, HttpListener>;
-  /** Connections that this host has a part in; told when its process ends, or that it fell silent. */
+  /** Called when the process ends, one for each connection; `silent` if the machine lost power. */
   connections: Set<(silent: boolean) => void>;
 };
 
@@ -61,28 +67,28 @@
   deferred: [],
   files: new Map(),
   disk: simulatedDisk.state(),
-  skew: 0,
+  clockSkew: 0,
   frames: new Map(),
   http: new Map(),
   connections: new Set(),
 });
 
-/** Starts to listen at an address of the host; `mostConnections`: those beyond it are reset. */
+/** Starts to listen at an address of the host; connections beyond `maxConnections` are reset. */
 const listen = (
   host: Host,
-  at: Address,
+  address: Address,
   listener: Omit<HttpListener, 'admit'>,
-  mostConnections = Infinity,
+  maxConnections = Infinity,
 ): HttpServer => {
-  if (host.http.has(at)) throw fault.make({ step: 'http.bind', peer: at }, 'address in use');
+  if (host.http.has(address)) throw fault.make({ step: 'http.bind', peer: address }, 'address in use');
   let connections = 0;
-  const admit = (change: 1 | -1): boolean => (connections += change) <= mostConnections;
-  host.http.set(at, { ...listener, admit });
+  const admit = (change: 1 | -1): boolean => (connections += change) <= maxConnections;
+  host.http.set(address, { ...listener, admit });
   const { incarnation } = host;
   return {
-    at,
+    at: address,
     close: () => {
-      if (host.incarnation === incarnation) host.http.delete(at);
+      if (host.incarnation === incarnation) host.http.delete(address);
       return Promise.resolve();
     },
   };
--- a/tools/simulation/src/world/http-call-body.ts
+++ b/tools/simulation/src/world/http-call-body.ts
@@ -1,10 +1,10 @@
-// The client's side of a simulated response: its body, chunk by chunk, until it ends, breaks or falls silent.
+// The client's side of a simulated response: yields the body chunk by chunk until it ends, breaks off or times out.
 import { duration, fault, type Microseconds } from '@thornsail/runtime';
 import { httpCallState, type HttpCall } from './http-call-state.js';
 import { responseBuffer } from './response-buffer.js';
 
-/** How long a body may be silent when the request says nothing of it. */
-const usualSilence: Microseconds = duration.s(30);
+/** Time without data after which a body fails, unless the request sets `bodyTimeout`. */
+const defaultBodyTimeout: Microseconds = duration.s(30);
 
 const takeChunk = (call: HttpCall): Uint8Array => {
   const { network, client, server } = call;
@@ -17,23 +17,23 @@
   return chunk;
 };
 
-/** Waits for a chunk or the end; true when none came within the time of silence. */
-const isSilent = (call: HttpCall): Promise<boolean> =>
+/** Waits for a chunk or the end of the body; true if neither came within the body timeout. */
+const hasTimedOut = (call: HttpCall): Promise<boolean> =>
   new Promise((resolve) => {
     let isWoken = false;
     call.wakeReader = (): void => {
       isWoken = true;
       resolve(false);
     };
-    call.network.loop.schedule(call.request.bodyTimeout ?? usualSilence, call.client, () => {
+    call.network.loop.schedule(call.request.bodyTimeout ?? defaultBodyTimeout, call.client, () => {
       if (!isWoken) resolve(true);
     });
   });
 
-const bodyFailure = (call: HttpCall, why: string): Error =>
-  fault.make({ step: 'http.body', peer: call.request.at, sent: true }, why);
+const bodyFailure = (call: HttpCall, message: string): Error =>
+  fault.make({ step: 'http.body', peer: call.request.at, sent: true }, message);
 
-/** The body of the response; one that is not read to its end gives the call up. */
+/** The body of the response; a reader that stops before the end cancels the call. */
 export const readBody = async function* (call: HttpCall): AsyncIterable<Uint8Array> {
   try {
     for (;;) {
@@ -41,17 +41,17 @@
         yield takeChunk(call);
         continue;
       }
-      if (call.bodyEnd === 'complete') {
+      if (call.bodyOutcome === 'complete') {
         call.phase = 'ended';
         return;
       }
-      if (call.bodyEnd === 'broken') throw bodyFailure(call, 'broken off');
-      if (await isSilent(call)) throw bodyFailure(call, 'silence');
+      if (call.bodyOutcome === 'broken') throw bodyFailure(call, 'connection broken off');
+      if (await hasTimedOut(call)) throw bodyFailure(call, 'no data within the body timeout');
     }
   } finally {
     if (call.phase !== 'ended') {
       call.phase = 'ended';
-      httpCallState.leave(call);
+      httpCallState.cancel(call);
     }
     call.client.connections.delete(call.clientEnded);
   }
--- a/tools/simulation/src/world/http-call-state.ts
+++ b/tools/simulation/src/world/http-call-state.ts
@@ -1,13 +1,13 @@
-// One HTTP call of the simulated network: its state, and how each side learns that the other is gone.
+// The state of one HTTP call on the simulated network, and how each side detects that the other has ended.
 import { duration, fault, type HttpClientResponse, type Microseconds } from '@thornsail/runtime';
 import type { Host } from './host.js';
 import type { BytesRequest } from './http-message.js';
 import type { Network } from './network.js';
 
-/** A response whose body comes as bytes. */
+/** A response with its body as bytes. */
 export type BytesResponse = Omit<HttpClientResponse, 'body'> & { body: AsyncIterable<Uint8Array> };
 
-/** A call between two processes; each is meant as it was when the call began, and not after a restart. */
+/** A call between two processes in the incarnations that they had when the call began, not after a restart. */
 export type HttpCall = {
   network: Network;
   request: BytesRequest;
@@ -16,25 +16,25 @@
   clientIncarnation: number;
   serverIncarnation: number;
   phase: 'connecting' | 'sent' | 'streaming' | 'ended';
-  /** Chunks of the body that have arrived and are not yet read. */
+  /** Chunks of the body that have arrived and were not yet read. */
   chunks: Uint8Array[];
-  bodyEnd: 'complete' | 'broken' | null;
-  /** Wakes a reader that waits for a chunk or the end. */
+  bodyOutcome: 'complete' | 'broken' | null;
+  /** Wakes a reader that waits for a chunk or the end of the body. */
   wakeReader: (() => void) | null;
-  /** Bytes that were written and are not yet read. */
+  /** Bytes that were written and not yet read. */
   buffered: number;
   isClientGone: boolean;
   onClientGone: (() => void)[];
   onDrained: (() => void)[];
   serverLostPower: boolean;
-  /** What the hosts call when their process ends. */
+  /** Called by the hosts when their process ends; `silent` if the machine lost power. */
   clientEnded: (silent: boolean) => void;
   serverEnded: (silent: boolean) => void;
   resolve: (response: BytesResponse) => void;
   reject: (error: Error) => void;
 };
 
-/** Time for a connection to come up. */
+/** Time in which a connection has to be established. */
 export const connectTimeout: Microseconds = duration.ms(800);
 
 const runAll = (listeners: (() => void)[]): void => {
@@ -47,13 +47,13 @@
 const isSamePair = (call: HttpCall): boolean =>
   isSameClient(call) && call.server.incarnation === call.serverIncarnation;
 
-/** What the server puts on the wire, run where the client is. */
+/** Sends from the server: runs a callback at the client after the network delay. */
 const toClient = (call: HttpCall, run: () => void): void => {
   const { network, client, server } = call;
-  // A connection belongs to two processes: what either host runs after a restart is not its end any more.
+  // A connection belongs to two processes: after a restart of either host it no longer exists.
   if (network.isPartitioned(server, client) || !isSamePair(call)) return;
   network.deliver(server, client, () => {
-    // The system still sends what a process wrote before it ended.
+    // The operating system still sends what a process wrote before it ended.
     if (!network.isPartitioned(server, client) && isSameClient(call) && !call.serverLostPower) run();
   });
 };
@@ -75,8 +75,8 @@
   runAll(listeners);
 };
 
-/** The client gives the call up: the server hears of it, and whoever waits to write goes on. */
-const leave = (call: HttpCall): void => {
+/** Cancels the call on behalf of the client: notifies the server and resumes writers that wait for buffer space. */
+const cancel = (call: HttpCall): void => {
   const { network, client, server } = call;
   client.connections.delete(call.clientEnded);
   if (call.isClientGone || network.isPartitioned(client, server)) return;
@@ -86,7 +86,7 @@
   });
 };
 
-/** Ends a call that has got no further than connecting. */
+/** Fails a call whose connection is not established yet. */
 const failConnect = (call: HttpCall, code: string): void => {
   if (call.phase !== 'connecting') return;
   call.phase = 'ended';
@@ -94,16 +94,16 @@
 };
 const refuse = (call: HttpCall): void => failConnect(call, 'ECONNREFUSED');
 
-/** Ends a call whose time is up before its response began. */
+/** Fails a call whose response did not begin within the headers timeout. */
 const expire = (call: HttpCall): void => {
   const { phase } = call;
   if (phase !== 'connecting' && phase !== 'sent') return;
   call.phase = 'ended';
-  leave(call);
+  cancel(call);
   call.reject(failure(call, phase === 'sent', 'late'));
 };
 
-/** The connection broke. */
+/** Handles a broken connection. */
 const breakOff = (call: HttpCall): void => {
   if (call.phase === 'ended') return;
   if (call.phase === 'sent') {
@@ -111,13 +111,13 @@
     call.reject(failure(call, true, 'ECONNRESET'));
   } else if (call.phase === 'connecting') {
     refuse(call);
-  } else if (call.bodyEnd === null) {
-    call.bodyEnd = 'broken';
+  } else if (call.bodyOutcome === null) {
+    call.bodyOutcome = 'broken';
     wakeReader(call);
   }
 };
 
-/** The server's process ended: the connection breaks behind what it wrote; with its power that is lost too. */
+/** The server's process has ended: the connection breaks behind the data written; a power loss drops that as well. */
 const serverEnded = (call: HttpCall, silent: boolean): void => {
   const { network, client, server } = call;
   if (silent) call.serverLostPower = true;
@@ -126,7 +126,7 @@
       if (isSameClient(call)) breakOff(call);
     });
 };
-/** The client's process ended. */
+/** The client's process has ended. */
 const clientEnded = (call: HttpCall, silent: boolean): void => {
   const { network, client, server } = call;
   call.phase = 'ended';
@@ -142,7 +142,7 @@
     serverIncarnation: options.server.incarnation,
     phase: 'connecting',
     chunks: [],
-    bodyEnd: null,
+    bodyOutcome: null,
     wakeReader: null,
     buffered: 0,
     isClientGone: false,
@@ -155,13 +155,13 @@
   return call;
 };
 
-/** Steps of a call. */
+/** State transitions of a call. */
 export const httpCallState = {
   create,
   breakOff,
+  cancel,
   expire,
   failConnect,
-  leave,
   refuse,
   runAll,
   takeDrained,
--- a/tools/simulation/src/world/http-call.ts
+++ b/tools/simulation/src/world/http-call.ts
@@ -1,4 +1,4 @@
-// HTTP calls between simulated processes, each over a connection of its own.
+// HTTP calls between simulated processes, each on its own connection.
 import { duration, type HttpResponseWriter } from '@thornsail/runtime';
 import { readBody } from './http-call-body.js';
 import { connectTimeout, httpCallState, type BytesResponse, type HttpCall } from './http-call-state.js';
@@ -9,34 +9,34 @@
 
 const { toClient } = httpCallState;
 
-/** The client cuts a response off. */
-const cutByClient = (call: HttpCall): void => {
+/** The client aborts the response. */
+const abortByClient = (call: HttpCall): void => {
   if (call.phase === 'ended') return;
   call.phase = 'ended';
-  call.bodyEnd ??= 'broken';
-  httpCallState.leave(call);
+  call.bodyOutcome ??= 'broken';
+  httpCallState.cancel(call);
   httpCallState.wakeReader(call);
 };
-const begin = (call: HttpCall, ...[status, headers]: Parameters<HttpResponseWriter['writeHead']>): void => {
+const beginResponse = (call: HttpCall, ...[status, headers]: Parameters<HttpResponseWriter['writeHead']>): void => {
   if (call.phase !== 'sent') return;
   call.phase = 'streaming';
   call.resolve({
     status,
     headers: httpMessage.headerTable(headers),
     body: readBody(call),
-    abort: () => cutByClient(call),
+    abort: () => abortByClient(call),
   });
 };
-const complete = (call: HttpCall): void => {
+const completeResponse = (call: HttpCall): void => {
   call.server.connections.delete(call.serverEnded);
-  if (call.bodyEnd !== null) return;
-  call.bodyEnd = 'complete';
+  if (call.bodyOutcome !== null) return;
+  call.bodyOutcome = 'complete';
   httpCallState.wakeReader(call);
 };
 
-/** What the server's handler writes its response with. */
+/** The writer that the server's handler gets for its response. */
 const responseWriter = (call: HttpCall): HttpResponseWriter => ({
-  writeHead: (status, headers) => toClient(call, () => begin(call, status, headers)),
+  writeHead: (status, headers) => toClient(call, () => beginResponse(call, status, headers)),
   write: (chunk) => {
     const bytes = httpMessage.toBytes(chunk);
     call.buffered += bytes.length;
@@ -53,7 +53,7 @@
     }),
   end: (chunk) => {
     if (chunk !== undefined) toClient(call, () => void call.chunks.push(httpMessage.toBytes(chunk)));
-    toClient(call, () => complete(call));
+    toClient(call, () => completeResponse(call));
   },
   abort: () => {
     call.isClientGone = true;
@@ -69,13 +69,13 @@
   },
 });
 
-/** The request has reached the server's machine. */
-const arrive = (call: HttpCall): void => {
+/** Handles the arrival of the request at the server's machine. */
+const handleArrival = (call: HttpCall): void => {
   const { network, request, client, server } = call;
   if (network.isPartitioned(client, server)) return;
   const handler = server.http.get(request.at)?.handler;
   if (!handler) return toClient(call, () => httpCallState.refuse(call));
-  // The connection is open; the request itself follows.
+  // The connection is established and the request sent, unless the client has given up.
   if (call.phase !== 'connecting') return;
   call.phase = 'sent';
   server.connections.add(call.serverEnded);
@@ -93,17 +93,17 @@
   schedule(request.headersTimeout, client, () => httpCallState.expire(call));
   client.connections.add(call.clientEnded);
   if (network.isPartitioned(client, server)) return;
-  network.deliver(client, server, () => arrive(call));
+  network.deliver(client, server, () => handleArrival(call));
   if (!server.alive && !server.poweredOff)
     schedule(network.delay(client, server) * 2, client, () => httpCallState.refuse(call));
 };
 
-/** Sends a request from a host; the promise fails as the runtime's client does. */
+/** Sends a request from a host; the promise rejects with the errors of the runtime's HTTP client. */
 export const callHttp = (network: Network, client: Host, request: BytesRequest): Promise<BytesResponse> =>
   new Promise((resolve, reject) => {
     network.counters.httpCalls += 1;
     const server = network.hostAt(request.at);
-    // Nobody has this address: refused at once.
+    // No host has this address: the connection is refused.
     const call = httpCallState.create({ network, request, client, server: server ?? client, resolve, reject });
     if (server) start(call);
     else network.loop.schedule(duration.ms(1), client, () => httpCallState.refuse(call));
--- a/tools/simulation/src/world/http-message.ts
+++ b/tools/simulation/src/world/http-message.ts
@@ -1,7 +1,7 @@
-// Requests and bodies as bytes on the simulated network, and as the runtime hands them over.
+// Converts requests, headers and bodies between their form on the simulated network and that of the runtime.
 import type { Address, HttpClientRequest, HttpRequest } from '@thornsail/runtime';
 
-/** A request, its body as bytes. */
+/** A request for an address, its body as text or bytes; `rawHeaders` take precedence over `headers`. */
 export type BytesRequest = Omit<HttpClientRequest, 'body' | 'headers'> & {
   at: Address;
   body?: string | Uint8Array;
@@ -24,17 +24,17 @@
 const pairsOf = (raw: readonly string[]): [string, string][] =>
   Array.from({ length: raw.length / 2 }, (_, i) => [raw[2 * i]!, raw[2 * i + 1]!]);
 
-/** Name, value, name, value. */
+/** Headers as a flat list: name, value, name, value. */
 const toRawHeaders = (headers: Headers): readonly string[] =>
   isRaw(headers) ? headers : Object.entries(headers).flat();
 
-/** Headers by their names in small letters. */
+/** Header values by lower-case name. */
 const headerTable = (headers: Headers): Record<string, string> =>
   Object.fromEntries(
     (isRaw(headers) ? pairsOf(headers) : Object.entries(headers)).map(([name, value]) => [name.toLowerCase(), value]),
   );
 
-/** A request as its server's handler takes it. */
+/** A request in the form that a server's handler takes. */
 const toServerRequest = (request: BytesRequest): HttpRequest => {
   const url = new URL(request.path, 'http://x');
   const bytes = toBytes(request.body ?? '');
--- a/tools/simulation/src/world/network.ts
+++ b/tools/simulation/src/world/network.ts
@@ -1,20 +1,20 @@
-// The simulated network: who stands at an address, how long a message takes, and which hosts are partitioned.
+// The simulated network: which host listens at an address, message delays, and partitions between hosts.
 import { address, type Address, type Microseconds } from '@thornsail/runtime';
 import type { EventLoop } from './event-loop.js';
 import type { Host } from './host.js';
 
-/** Delays, one way. `clientIp` is the machine of the callers, which stands outside the zones. */
+/** One-way delays between zones and to the callers. `clientIp` is the callers' machine, which is outside all zones. */
 export type NetworkOptions = { zoneDelay: Microseconds; clientDelay: Microseconds; clientIp: string };
 
-/** What happens to frames and to all traffic, set by a scenario. */
+/** Network faults, set by a scenario. `extraDelay` affects all traffic, the other fields affect frames alone. */
 export type NetworkFaults = {
   extraDelay: Microseconds;
-  /** The chance that a frame gets lost; half of it: that it comes twice. */
+  /** Probability that a frame is lost; the probability that it is duplicated is half of it. */
   loss: number;
-  /** Frames overtake one another by up to this. */
-  jumble: Microseconds;
-  /** Whether frames that a partition holds up arrive once it is healed, as TCP sends them again. */
-  holdFrames: boolean;
+  /** Upper bound of a random extra delay of each frame, which reorders frames. */
+  reorderWithin: Microseconds;
+  /** Whether frames that a partition blocked are retransmitted when it heals, as TCP does; else they are lost. */
+  retransmitFrames: boolean;
 };
 
 /** The network between all hosts of a world. */
@@ -24,23 +24,26 @@
   counters: { frames: number; zoneBytes: number; httpCalls: number };
   addHost: (host: Host) => void;
   hosts: () => Iterable<Host>;
-  /** From now on this host is the one that listens at the address. */
-  bind: (at: Address, host: Host) => void;
-  hostAt: (at: Address) => Host | undefined;
+  /** Routes an address to the host from now on. */
+  bind: (address: Address, host: Host) => void;
+  /** The host bound to the address, else the one with its IP; undefined if there is none. */
+  hostAt: (address: Address) => Host | undefined;
+  /** One-way delay of a message, with a random part. */
   delay: (from: Host, to: Host) => Microseconds;
-  /** Runs at `to` after the delay; in order between two hosts, as over one TCP connection. */
+  /** Runs a callback at `to` after the delay; in order between two hosts, as over one TCP connection. */
   deliver: (from: Host, to: Host, run: () => void) => void;
-  /** Whether what goes from one host to another is held up. */
+  /** Whether a partition blocks messages from one host to another. */
   isPartitioned: (from: Host, to: Host) => boolean;
-  /** Returns how to heal it. */
+  /** Blocks messages between two sets of hosts, or only in one direction; returns how to heal the partition. */
   partition: (from: Host[], to: Host[], oneWay: boolean) => () => void;
-  /** Called once, when a partition is healed. */
+  /** Runs a callback once, when the next partition heals. */
   onHeal: (run: () => void) => void;
 };
 
 type Partition = { from: Set<Host>; to: Set<Host>; oneWay: boolean };
-const withinProcess: Microseconds = 20;
-const withinZone: Microseconds = 120;
+const sameHostDelay: Microseconds = 20;
+const sameZoneDelay: Microseconds = 120;
+/** The random part of a delay, as a share of the base delay. */
 const delayVariation = 0.3;
 
 type Partitions = Pick<Network, 'isPartitioned' | 'partition' | 'onHeal'>;
@@ -54,36 +57,36 @@
       return false;
     },
     partition: (from, to, oneWay) => {
-      const one = { from: new Set(from), to: new Set(to), oneWay };
-      partitions.add(one);
+      const partition = { from: new Set(from), to: new Set(to), oneWay };
+      partitions.add(partition);
       return () => {
-        partitions.delete(one);
-        const all = onHealed;
+        partitions.delete(partition);
+        const listeners = onHealed;
         onHealed = [];
-        for (const run of all) run();
+        for (const run of listeners) run();
       };
     },
     onHeal: (run) => void onHealed.push(run),
   };
 };
 
-/** Opens a network without hosts and without faults. */
+/** Creates a network without hosts and without faults. */
 export const openNetwork = (loop: EventLoop, options: NetworkOptions): Network => {
   const { rand, now, schedule } = loop;
-  const faults: NetworkFaults = { extraDelay: 0, loss: 0, jumble: 0, holdFrames: false };
+  const faults: NetworkFaults = { extraDelay: 0, loss: 0, reorderWithin: 0, retransmitFrames: false };
   const hostsByIp = new Map<string, Host>();
   const hosts = new Set<Host>();
-  /** By address, once something has listened there. */
-  const bound = new Map<Address, Host>();
+  /** The host that listened last at an address. */
+  const hostsByAddress = new Map<Address, Host>();
   const lastDelivery = new Map<string, Microseconds>();
-  const usualDelay = (from: Host, to: Host): Microseconds => {
+  const baseDelay = (from: Host, to: Host): Microseconds => {
     if (from.ip === options.clientIp || to.ip === options.clientIp) return options.clientDelay;
-    return from.zone === to.zone ? withinZone : options.zoneDelay;
+    return from.zone === to.zone ? sameZoneDelay : options.zoneDelay;
   };
   const delay = (from: Host, to: Host): Microseconds => {
-    if (from === to) return withinProcess;
-    const usual = usualDelay(from, to);
-    return usual + rand.int(Math.max(1, Math.round(usual * delayVariation))) + faults.extraDelay;
+    if (from === to) return sameHostDelay;
+    const base = baseDelay(from, to);
+    return base + rand.int(Math.max(1, Math.round(base * delayVariation))) + faults.extraDelay;
   };
   return {
     loop,
@@ -94,14 +97,14 @@
       hosts.add(host);
     },
     hosts: () => hosts,
-    bind: (at, host) => void bound.set(at, host),
-    hostAt: (at) => bound.get(at) ?? hostsByIp.get(address.host(at)),
+    bind: (target, host) => void hostsByAddress.set(target, host),
+    hostAt: (target) => hostsByAddress.get(target) ?? hostsByIp.get(address.host(target)),
     delay,
     deliver: (from, to, run) => {
       const key = `${from.ip}>${to.ip}`;
-      const at = Math.max(now() + delay(from, to), (lastDelivery.get(key) ?? 0) + 1);
-      lastDelivery.set(key, at);
-      schedule(at - now(), to, run);
+      const deliverAt = Math.max(now() + delay(from, to), (lastDelivery.get(key) ?? 0) + 1);
+      lastDelivery.set(key, deliverAt);
+      schedule(deliverAt - now(), to, run);
     },
     ...openPartitions(),
   };
--- a/tools/simulation/src/world/response-buffer.ts
+++ b/tools/simulation/src/world/response-buffer.ts
@@ -1,4 +1,4 @@
-// How much of a response may be on its way before its writer has to wait.
+// The limit of unread response data at which a writer has to wait (flow control).
 
-/** In bytes: a writer waits at `size`, and goes on once less than `resumeBelow` is unread. */
+/** In bytes: a writer waits once `size` is unread, and resumes when less than `resumeBelow` is. */
 export const responseBuffer = { size: 65_536, resumeBelow: 32_768 } as const;
--- a/tools/simulation/src/world/world.ts
+++ b/tools/simulation/src/world/world.ts
@@ -1,5 +1,5 @@
-// The simulator: one process, injected clock, network, disk and random source; the real role code runs on top (§9.2).
-// The same seed gives the same events in the same order, folded into a trace hash.
+// The simulator: runs the real code of the roles in one process on a simulated clock, network, disk and random source
+// (§9.2). The same seed gives the same events in the same order, and so the same trace hash.
 import {
   duration,
   seeded,
@@ -12,7 +12,7 @@
 } from '@thornsail/runtime';
 import type { Wire, WireHandler } from '@thornsail/test-harness';
 import { connect } from './connection.js';
-import { simulatedDisk, type DiskEnd, type DiskGround } from './disk.js';
+import { simulatedDisk, type HostFailure, type DiskEnvironment } from './disk.js';
 import { openEventLoop } from './event-loop.js';
 import { hostFaults } from './faults.js';
 import { openFrames } from './frames.js';
@@ -22,65 +22,71 @@
 import { openNetwork, type Network, type NetworkOptions } from './network.js';
 import { promiseOf } from './promise-of.js';
 
-/** Hears each line that a node logs. */
+/** Receives each line that a node logs: simulated time, IP of the host, part label and text. */
 export type LogListener = (at: Microseconds, ip: string, part: string, text: string) => void;
-/** A simulated world and what a scenario may do to it. */
+/** A simulated environment, its counters, and the faults that a scenario can inject. */
 export type World = {
   rand: Random;
   now: () => Microseconds;
+  /** The trace hash, in hexadecimal. */
   hash: () => string;
+  /** Number of events that ran. */
   events: () => number;
+  /** Number of completed disk syncs. */
   syncs: () => number;
+  /** Number of frames sent. */
   frames: () => number;
-  /** Bytes of frames between zones. */
+  /** Bytes of the frames sent between zones. */
   zoneBytes: () => number;
   httpCalls: () => number;
-  /** A process of its own; several may share a machine's address. */
+  /** Adds a host with one process; several hosts may share an IP. */
   host: (ip: string, zone: string) => Host;
   runtime: (host: Host) => Runtime;
-  /** Servers on this host that may misbehave. */
+  /** Serves HTTP on this host by handlers that may violate HTTP. */
   wire: (host: Host) => Wire;
+  /** Runs all events up to a time. */
   run: (until: Microseconds) => Promise<void>;
   scheduleAt: (at: Microseconds, run: () => void) => void;
-  kill: (host: Host, how: DiskEnd) => void;
+  kill: (host: Host, failure: HostFailure) => void;
   start: (host: Host) => void;
+  /** Pauses the process; its events are deferred until `thaw`. */
   freeze: (host: Host) => void;
   thaw: (host: Host) => void;
-  /** Cuts all traffic between two sets of hosts; returns how to heal it. */
+  /** Blocks all traffic between two sets of hosts; returns a function that heals the partition. */
   partition: (a: Host[], b: Host[]) => () => void;
-  /** Cuts what goes from one set of hosts to another, and not what comes back. */
+  /** Blocks traffic from one set of hosts to another, but not in the other direction. */
   partitionOneWay: (from: Host[], to: Host[]) => () => void;
-  /** Adds a delay to every message. */
-  slow: (by: Microseconds) => void;
-  /** Frames get lost with this chance, come twice with half of it, and overtake one another by up to `jumble`. */
-  rough: (loss: number, jumble: Microseconds) => void;
-  /** Whether frames that a partition holds up arrive once it is over, as TCP sends them again, or are lost. */
-  holdFrames: (on: boolean) => void;
+  /** Sets a delay that is added to every message. */
+  setExtraDelay: (extraDelay: Microseconds) => void;
+  /** Sets the probability of a frame's loss, half of which is that of a duplicate, and the largest reordering delay. */
+  setFrameFaults: (loss: number, reorderWithin: Microseconds) => void;
+  /** Sets whether frames that a partition blocked are retransmitted when it heals, as TCP does, or are lost. */
+  setFrameRetransmission: (isEnabled: boolean) => void;
   onLog: (listener: LogListener) => void;
 };
-/** The network's delays; `diskTime` is the longest time of one sync. */
+/** The network's delays, the random seed, and `diskTime`, the longest duration of one disk sync. */
 export type WorldOptions = NetworkOptions & { seed: number; diskTime?: Microseconds };
 
 /** Wall-clock time at the start of a world, in microseconds since 1970. */
 const wallClockStart: Microseconds = 1_790_000_000_000_000;
-const usualIdleTimeout: Microseconds = duration.s(5);
+const defaultIdleTimeout: Microseconds = duration.s(5);
 const seedRange = 2 ** 31;
 
 const listen = (
   network: Network,
   host: Host,
-  at: Address,
+  address: Address,
   listener: Omit<HttpListener, 'admit'>,
-  mostConnections?: number,
+  maxConnections?: number,
 ): ReturnType<typeof simulatedHost.listen> => {
-  const server = simulatedHost.listen(host, at, listener, mostConnections);
-  network.bind(at, host);
+  const server = simulatedHost.listen(host, address, listener, maxConnections);
+  network.bind(address, host);
   return server;
 };
 
 const clockOf = ({ loop }: Network, host: Host): Clock => ({
   now: loop.now,
-  wallTime: () => wallClockStart + loop.now() + host.skew,
+  wallTime: () => wallClockStart + loop.now() + host.clockSkew,
   schedule: (after, run) => {
     let isCancelled = false;
     loop.schedule(after, host, () => {
@@ -94,20 +100,20 @@
 
 const netOf = (network: Network, host: Host): Net => ({
   openFrameTransport: (...args) => openFrames(network, host, ...args),
-  serveHttp: (at, handler, limits) => {
-    const idleFor = (): Microseconds =>
-      (typeof limits === 'number' ? undefined : limits.keepAliveTimeout?.()) ?? usualIdleTimeout;
-    return promiseOf(() => listen(network, host, at, { handler, wire: handler, idleFor }));
+  serveHttp: (address, handler, limits) => {
+    const idleTimeout = (): Microseconds =>
+      (typeof limits === 'number' ? undefined : limits.keepAliveTimeout?.()) ?? defaultIdleTimeout;
+    return promiseOf(() => listen(network, host, address, { handler, wire: handler, idleTimeout }));
   },
   request: async (request) => {
     const response = await callHttp(network, host, request);
     return { ...response, body: httpMessage.toText(response.body) };
   },
-  connectHttp: (at, options) => connect(network, host, at, options),
+  connectHttp: (address, options) => connect(network, host, address, options),
 });
 
-/** Over a connection of one's own a server can misbehave; over a plain call it can only break off. */
-const plainHandler =
+/** Adapts a handler for single calls, on which a protocol violation is not possible and aborts the response instead. */
+const singleCallHandler =
   (handler: WireHandler): HttpListener['handler'] =>
   (request, writer) =>
     handler(request, {
@@ -119,29 +125,43 @@
       forget: () => undefined,
     });
 const wireOf = (network: Network, host: Host): Wire => ({
-  serve: (at, handler, { idleFor, connections }) =>
+  serve: (address, handler, { idleFor, connections }) =>
     promiseOf(() =>
-      listen(network, host, at, { handler: plainHandler(handler), wire: handler, idleFor: () => idleFor }, connections),
+      listen(
+        network,
+        host,
+        address,
+        { handler: singleCallHandler(handler), wire: handler, idleTimeout: () => idleFor },
+        connections,
+      ),
     ),
 });
 
 type Faults = Pick<
   World,
-  'kill' | 'start' | 'freeze' | 'thaw' | 'partition' | 'partitionOneWay' | 'slow' | 'rough' | 'holdFrames'
+  | 'kill'
+  | 'start'
+  | 'freeze'
+  | 'thaw'
+  | 'partition'
+  | 'partitionOneWay'
+  | 'setExtraDelay'
+  | 'setFrameFaults'
+  | 'setFrameRetransmission'
 >;
 const faultsOf = (network: Network): Faults => ({
-  kill: (host, how) => hostFaults.kill(network, host, how),
+  kill: (host, failure) => hostFaults.kill(network, host, failure),
   start: hostFaults.start,
   freeze: hostFaults.freeze,
   thaw: (host) => hostFaults.thaw(network, host),
   partition: (a, b) => network.partition(a, b, false),
   partitionOneWay: (from, to) => network.partition(from, to, true),
-  slow: (by) => {
-    network.faults.extraDelay = by;
+  setExtraDelay: (extraDelay) => {
+    network.faults.extraDelay = extraDelay;
   },
-  rough: (loss, jumble) => void Object.assign(network.faults, { loss, jumble }),
-  holdFrames: (on) => {
-    network.faults.holdFrames = on;
+  setFrameFaults: (loss, reorderWithin) => void Object.assign(network.faults, { loss, reorderWithin }),
+  setFrameRetransmission: (isEnabled) => {
+    network.faults.retransmitFrames = isEnabled;
   },
 });
 
@@ -150,11 +170,11 @@
   const network = openNetwork(loop, options);
   let syncs = 0;
   let onLog: LogListener | null = null;
-  const diskGround: DiskGround<Host> = {
+  const diskEnvironment: DiskEnvironment<Host> = {
     rand: loop.rand,
     now: loop.now,
     schedule: loop.schedule,
-    syncTime: options.diskTime ?? simulatedDisk.usualSyncTime,
+    syncTime: options.diskTime ?? simulatedDisk.defaultSyncTime,
     onSync: () => void (syncs += 1),
   };
   return {
@@ -174,7 +194,7 @@
     runtime: (host) => ({
       rand: seeded(loop.rand.int(seedRange)),
       clock: clockOf(network, host),
-      disk: simulatedDisk.of(diskGround, host),
+      disk: simulatedDisk.of(diskEnvironment, host),
       net: netOf(network, host),
       log: (part) => (text) => onLog?.(loop.now(), host.ip, part, typeof text === 'string' ? text : text()),
     }),
@@ -188,5 +208,5 @@
   };
 };
 
-/** Simulated worlds. */
+/** Creates simulated worlds. */
 export const world = { open };
--- a/tools/simulation/test/disk-trouble.test.ts
+++ b/tools/simulation/test/disk-trouble.test.ts
@@ -101,7 +101,7 @@
 test('disks that are all thirty times slower go on acknowledging', async () => {
   for (let seed = 1; seed <= 20; seed++) {
     const g = await group(seed, duration.ms(seed % 2 ? 12 : 2));
-    for (const m of g.members) m.host.disk.slow = 30;
+    for (const m of g.members) m.host.disk.syncTimeFactor = 30;
     const from = g.world.now();
     const made = calls(g, from + duration.s(30));
     await g.world.run(from + duration.s(30));
--- a/tools/simulation/test/guards.test.ts
+++ b/tools/simulation/test/guards.test.ts
@@ -4,9 +4,9 @@
 import { guardRunner, guards } from '../src/guards.js';
 
 test('each guard taken out is noticed', async () => {
-  const verdicts = await guardRunner.takeOutAll(guards, () => undefined);
+  const verdicts = await guardRunner.runAll(guards, () => undefined);
   assert.equal(
-    verdicts.filter(({ noticed }) => !noticed).map((v) => `${v.rule}: ${v.guard} (${v.how})`),
+    verdicts.filter(({ noticed }) => !noticed).map((v) => `${v.rule}: ${v.guard} (${v.evidence})`),
     [],
   );
   assert.is(verdicts.length, guards.length);
--- a/tools/simulation/test/late.test.ts
+++ b/tools/simulation/test/late.test.ts
@@ -14,7 +14,7 @@
 
 test('a request that was given up is carried out when the cut is over, and its answer goes to nobody', async () => {
   const w = open(1);
-  w.holdFrames(true);
+  w.setFrameRetransmission(true);
   const [client, server] = [w.host('127.0.1.1', 'a'), w.host('127.0.1.2', 'b')];
   const at = '127.0.1.2:1';
   const served: number[] = [];
@@ -60,8 +60,8 @@
 test('duties: one holder at a time though ballots and leaves arrive late and overtake one another', async () => {
   for (let seed = 1; seed <= 30; seed++) {
     const w = open(seed);
-    w.holdFrames(true);
-    w.rough(0.02, duration.ms(350));
+    w.setFrameRetransmission(true);
+    w.setFrameFaults(0.02, duration.ms(350));
     const voterHosts = Array.from({ length: voters }, (_, i) => w.host(`127.0.3.${i + 1}`, `z${i}`));
     const places = voterHosts.map((_, i) => `127.0.3.${i + 1}:1`);
     for (const [i, host] of voterHosts.entries())
--- a/tools/simulation/test/path.test.ts
+++ b/tools/simulation/test/path.test.ts
@@ -8,7 +8,7 @@
   shape: 'lautoka' | 'granite',
 ): Promise<{ hash: string; breaches: string[]; results: number; ready: number }> => {
   const f = await fleet.open({ seed, shape });
-  const l = f.load({ chats: 20, kept: 3, jobs: 30, over: duration.s(4) });
+  const l = f.load({ chats: 20, kept: 3, jobs: 30, spreadOver: duration.s(4) });
   await f.until('the load', l.done, duration.s(60));
   return { hash: f.world.hash(), breaches: f.breaches(), results: f.callers.summary.results, ready: f.ready() };
 };
--- a/tools/simulation/test/registers.test.ts
+++ b/tools/simulation/test/registers.test.ts
@@ -198,8 +198,8 @@
     }
   // Every other history has a network that loses, doubles and reorders.
   if (o.faults && seed % 2 === 0) {
-    w.rough(0.05, duration.ms(10));
-    w.scheduleAt(span + duration.s(2), () => w.rough(0, 0));
+    w.setFrameFaults(0.05, duration.ms(10));
+    w.scheduleAt(span + duration.s(2), () => w.setFrameFaults(0, 0));
   }
   if (o.faults)
     for (let i = 0; i < 5; i++)
@@ -251,8 +251,8 @@
       }
     };
     w.scheduleAt(duration.ms(100), () => void sweeps());
-    if (o.regroup && seed % 3 > 0) w.rough(0.03, duration.ms(8));
-    w.scheduleAt(span + duration.s(2), () => w.rough(0, 0));
+    if (o.regroup && seed % 3 > 0) w.setFrameFaults(0.03, duration.ms(8));
+    w.scheduleAt(span + duration.s(2), () => w.setFrameFaults(0, 0));
   } else if (o.regroup) {
     // Add k4, settle every key under the new mark, take k1 out, settle again.
     const step = async (): Promise<void> => {
--- a/tools/simulation/test/rules-a.test.ts
+++ b/tools/simulation/test/rules-a.test.ts
@@ -1,3 +1,3 @@
-import { rules } from '@thornsail/simulation';
+import { scenarioTests } from '@thornsail/simulation';
 
-rules.test('budget,hold,uncut'.split(','), [1, 2, 3]);
+scenarioTests.run('budget,hold,uncut'.split(','), [1, 2, 3]);
--- a/tools/simulation/test/rules-b.test.ts
+++ b/tools/simulation/test/rules-b.test.ts
@@ -1,3 +1,3 @@
-import { rules } from '@thornsail/simulation';
+import { scenarioTests } from '@thornsail/simulation';
 
-rules.test('once,notrun,kept'.split(','), [1, 2, 3]);
+scenarioTests.run('once,notrun,kept'.split(','), [1, 2, 3]);
--- a/tools/simulation/test/rules-c.test.ts
+++ b/tools/simulation/test/rules-c.test.ts
@@ -1,3 +1,3 @@
-import { rules } from '@thornsail/simulation';
+import { scenarioTests } from '@thornsail/simulation';
 
-rules.test('leaving,config,durable'.split(','), [1, 2, 3]);
+scenarioTests.run('leaving,config,durable'.split(','), [1, 2, 3]);
--- a/tools/simulation/test/rules-e.test.ts
+++ b/tools/simulation/test/rules-e.test.ts
@@ -1,3 +1,3 @@
-import { rules } from '@thornsail/simulation';
+import { scenarioTests } from '@thornsail/simulation';
 
-rules.test('rolling,random'.split(','), [1, 2, 3]);
+scenarioTests.run('rolling,random'.split(','), [1, 2, 3]);
--- a/tools/simulation/test/rules-g.test.ts
+++ b/tools/simulation/test/rules-g.test.ts
@@ -1,3 +1,3 @@
-import { rules } from '@thornsail/simulation';
+import { scenarioTests } from '@thornsail/simulation';
 
-rules.test('disk,clocks,workers'.split(','), [1, 2]);
+scenarioTests.run('disk,clocks,workers'.split(','), [1, 2]);
--- a/tools/simulation/test/rules-h.test.ts
+++ b/tools/simulation/test/rules-h.test.ts
@@ -1,3 +1,3 @@
-import { rules } from '@thornsail/simulation';
+import { scenarioTests } from '@thornsail/simulation';
 
-rules.test('split,burst'.split(','), [1, 2]);
+scenarioTests.run('split,burst'.split(','), [1, 2]);
--- a/tools/simulation/test/upgrade-disks.test.ts
+++ b/tools/simulation/test/upgrade-disks.test.ts
@@ -34,7 +34,7 @@
   for (const machine of machines) {
     const host = simulated.host(machine.host, machine.zone);
     const runtime = simulated.runtime(host);
-    host.skew += recordedAt + duration.s(5) - runtime.clock.wallTime();
+    host.clockSkew += recordedAt + duration.s(5) - runtime.clock.wallTime();
     for (const [file, text] of Object.entries(recorded.disks[machine.name]!)) host.files.set(file, text);
     const options = {
       name: machine.name,
--- a/tools/simulation/test/views.test.ts
+++ b/tools/simulation/test/views.test.ts
@@ -73,8 +73,8 @@
         );
     });
   if (faults === 'any' && seed % 2 === 0) {
-    w.scheduleAt(duration.s(3), () => w.rough(0.05, duration.ms(10)));
-    w.scheduleAt(duration.s(16), () => w.rough(0, 0));
+    w.scheduleAt(duration.s(3), () => w.setFrameFaults(0.05, duration.ms(10)));
+    w.scheduleAt(duration.s(16), () => w.setFrameFaults(0, 0));
   }
   if (faults === 'any')
     for (let i = 0; i < 6; i++)
@@ -261,7 +261,7 @@
     const { w } = x;
     const stalled = x.head();
     // A write takes 2.4 to 12 s.
-    x.hosts[stalled]!.disk.slow = 12_000;
+    x.hosts[stalled]!.disk.syncTimeFactor = 12_000;
     const outcomes: string[] = [];
     const propose = (at: number, text: string): void =>
       void x.all[at]!.propose((s) => ({ state: { list: [...s.list, text] }, result: 0 })).then(
@@ -275,7 +275,7 @@
     assert.ok(next >= 0, `seed ${seed}: no other leader within two seconds`);
     propose(next, 'next');
     await w.run(w.now() + duration.s(3));
-    x.hosts[stalled]!.disk.slow = 1;
+    x.hosts[stalled]!.disk.syncTimeFactor = 1;
     await w.run(w.now() + duration.s(30));
     assert.equal(outcomes, ['stalled outcome-unknown', 'next confirmed'], `seed ${seed}`);
     assert.equal(
