--- a/tools/simulation/src/guards/consensus.ts
+++ b/tools/simulation/src/guards/consensus.ts
@@ -91,7 +91,7 @@
     file: 'consensus/src/quorum.js',
     find: 'const majority = (size) => Math.floor(size / 2) + 1',
     replacement: 'const majority = (size) => 1',
-    noticedBy: { test: 'simulation/test/views.test.js' },
+    noticedBy: { test: 'simulation/test/consensus.test.js' },
   }),
   guard({
     name: 'a leader whose disk stalls resigns',
@@ -99,7 +99,7 @@
     file: 'consensus/src/leader.js',
     find: "resign(step, 'its disk is not responding');",
     replacement: '',
-    noticedBy: { test: 'simulation/test/disk-trouble.test.js' },
+    noticedBy: { test: 'simulation/test/disk-faults.test.js' },
   }),
   guard({
     name: 'a new member whose leader was lost gets its version from another member',
@@ -107,7 +107,7 @@
     file: 'consensus/src/election.js',
     find: 'if (reply?.unformed)',
     replacement: 'if (false)',
-    noticedBy: { test: 'simulation/test/views.test.js' },
+    noticedBy: { test: 'simulation/test/consensus.test.js' },
   }),
   guard({
     name: 'a silent leader is replaced',
--- a/tools/simulation/src/guards/data-plane.ts
+++ b/tools/simulation/src/guards/data-plane.ts
@@ -50,7 +50,7 @@
     file: 'data-plane/src/answer-duplicate.js',
     find: 'claim.sum !== undefined && claim.sum !== plan.sum',
     replacement: 'false',
-    noticedBy: { test: 'simulation/test/keep.test.js' },
+    noticedBy: { test: 'simulation/test/stored-conversations.test.js' },
   }),
   guard({
     name: 'the key of a rejected request is freed after a delay',
@@ -66,7 +66,7 @@
     file: 'data-plane/src/records/conversations.js',
     find: 'if (current.marks.includes(turnId)) return',
     replacement: 'if (false) return',
-    noticedBy: { test: 'simulation/test/keep.test.js' },
+    noticedBy: { test: 'simulation/test/stored-conversations.test.js' },
     otherReplacements: [
       {
         file: 'data-plane/src/answer-duplicate.js',
@@ -91,7 +91,7 @@
     file: 'data-plane/src/records/conversations.js',
     find: 'if (current.fenced?.includes(turnId))',
     replacement: 'if (false)',
-    noticedBy: { test: 'simulation/test/keep.test.js' },
+    noticedBy: { test: 'simulation/test/stored-conversations.test.js' },
   }),
   guard({
     name: 'a promised retention is not shortened',
@@ -99,7 +99,7 @@
     file: 'data-plane/src/records/retention.js',
     find: 'Math.max(promised, wall.max + duration.s(seconds))',
     replacement: 'wall.max + duration.s(seconds)',
-    noticedBy: { test: 'simulation/test/keep.test.js' },
+    noticedBy: { test: 'simulation/test/stored-conversations.test.js' },
   }),
   guard({
     name: 'a gateway that resumes after a pause refreshes its membership before it sends',
@@ -143,7 +143,7 @@
     file: 'data-plane/src/load-exchange.js',
     find: 'forwardToOtherRows(message);\n            options.onReceived();',
     replacement: 'options.onReceived();',
-    noticedBy: { test: 'simulation/test/load.test.js' },
+    noticedBy: { test: 'simulation/test/load-dissemination.test.js' },
   }),
   guard({
     name: 'a connection is not reused for a worker that left the list',
--- a/tools/simulation/src/guards/dissemination.ts
+++ b/tools/simulation/src/guards/dissemination.ts
@@ -9,7 +9,7 @@
     file: 'dissemination/src/item-store.js',
     find: 'if ((current && current.version >= version) || !admits(name))',
     replacement: 'if (!admits(name) || current?.version === version)',
-    noticedBy: { test: 'simulation/test/parts.test.js' },
+    noticedBy: { test: 'simulation/test/components.test.js' },
   }),
   guard({
     name: 'updates about a dead node are not stored again',
@@ -18,7 +18,7 @@
     find: '|| !admits(name)',
     replacement: '',
     noticedBy: {
-      test: 'simulation/test/parts.test.js',
+      test: 'simulation/test/components.test.js',
     },
   }),
 ];
--- a/tools/simulation/src/guards/durable-files.ts
+++ b/tools/simulation/src/guards/durable-files.ts
@@ -115,6 +115,6 @@
     file: 'durable-files/src/durable-store.js',
     find: 'if (text !== undefined)',
     replacement: 'if (raw !== undefined)',
-    noticedBy: { test: 'simulation/test/parts.test.js' },
+    noticedBy: { test: 'simulation/test/components.test.js' },
   }),
 ];
--- a/tools/simulation/src/guards/leases.ts
+++ b/tools/simulation/src/guards/leases.ts
@@ -10,7 +10,7 @@
     find: 'if (isHeld && grant.holder !== holder)',
     replacement: 'if (false)',
     noticedBy: {
-      test: 'simulation/test/parts.test.js',
+      test: 'simulation/test/components.test.js',
     },
   }),
   guard({
--- a/tools/simulation/src/guards/membership.ts
+++ b/tools/simulation/src/guards/membership.ts
@@ -9,6 +9,6 @@
     file: 'membership/src/membership.js',
     find: "isBatched: (name) => name.startsWith('load/')",
     replacement: 'isBatched: () => false',
-    noticedBy: { test: 'simulation/test/load.test.js' },
+    noticedBy: { test: 'simulation/test/load-dissemination.test.js' },
   }),
 ];
--- a/tools/simulation/src/guards/simulation.ts
+++ b/tools/simulation/src/guards/simulation.ts
@@ -9,6 +9,6 @@
     file: 'simulation/src/world/http-call-state.js',
     find: 'isSameClient(call) && !call.serverLostPower',
     replacement: 'isSamePair(call) && !call.serverLostPower',
-    noticedBy: { test: 'simulation/test/link.test.js' },
+    noticedBy: { test: 'simulation/test/connections.test.js' },
   }),
 ];
--- a/tools/simulation/src/world/http-call-body.ts
+++ b/tools/simulation/src/world/http-call-body.ts
@@ -46,7 +46,7 @@
         return;
       }
       if (call.bodyOutcome === 'broken') throw bodyFailure(call, 'connection broken off');
-      if (await hasTimedOut(call)) throw bodyFailure(call, 'no data within the body timeout');
+      if (await hasTimedOut(call)) throw bodyFailure(call, 'silence');
     }
   } finally {
     if (call.phase !== 'ended') {
--- a/tools/simulation/test/capacity.test.ts
+++ b/tools/simulation/test/capacity.test.ts
@@ -1,4 +1,4 @@
-// The measuring code of docs/CAPACITY.md at small sizes, and that the page has the form of what it gives.
+// Runs the measurements of docs/CAPACITY.md at small sizes, and checks that the page has the tables that they print.
 import { readFileSync } from 'node:fs';
 import { fileURLToPath } from 'node:url';
 import { duration } from '@thornsail/runtime';
@@ -14,40 +14,40 @@
 import { hollow, kindOf, total } from '../src/measurement/hollow.js';
 
 const page = readFileSync(fileURLToPath(new URL('../../../docs/CAPACITY.md', import.meta.url)), 'utf8');
-/** The cells of the tables of the page, by their row. */
+/** The cells of each table row of the page. */
 const rows = page
   .split('\n')
-  .filter((l) => l.startsWith('| '))
-  .map((l) => l.slice(2, -2).split(' | '));
-const small = measure('small');
+  .filter((line) => line.startsWith('| '))
+  .map((line) => line.slice(2, -2).split(' | '));
+const smallMeasurement = measure('small');
 
-test('fits find the law that made the points, and where it reaches a value', () => {
-  const xs = [1, 2, 4, 8, 16];
-  const laws = {
-    line: (x: number) => 7 + 3 * x,
-    power: (x: number) => 5 * x ** 2.1,
-    log: (x: number) => 2 + Math.log(x),
+test('a fit recovers the function that generated its points, and the input at which it reaches a value', () => {
+  const inputs = [1, 2, 4, 8, 16];
+  const functions = {
+    line: (input: number) => 7 + 3 * input,
+    power: (input: number) => 5 * input ** 2.1,
+    log: (input: number) => 2 + Math.log(input),
   };
   for (const shape of ['line', 'power', 'log'] as const) {
-    const f = fit.of(
-      xs.map((x): Point => [x, laws[shape](x)]),
+    const fitted = fit.of(
+      inputs.map((input): Point => [input, functions[shape](input)]),
       shape,
     );
-    assert.ok(Math.abs(fit.at(f, 100) / laws[shape](100) - 1) < 1e-9, shape);
-    assert.ok(Math.abs(fit.reaches(f, laws[shape](50)) / 50 - 1) < 1e-9, shape);
-    assert.ok(f.r2 > 0.999999, shape);
+    assert.ok(Math.abs(fit.at(fitted, 100) / functions[shape](100) - 1) < 1e-9, shape);
+    assert.ok(Math.abs(fit.reaches(fitted, functions[shape](50)) / 50 - 1) < 1e-9, shape);
+    assert.ok(fitted.r2 > 0.999999, shape);
   }
   const flat = fit.of(
-    [1, 2, 3, 4].map((x): Point => [x, x % 2 ? 9 : 11]),
+    [1, 2, 3, 4].map((input): Point => [input, input % 2 ? 9 : 11]),
     'flat',
   );
   assert.equal([fit.at(flat, 1), fit.at(flat, 1e6), fit.reaches(flat, 20)], [10, 10, Infinity]);
-  const falling: Point[] = [1, 2, 3, 4].map((x) => [x, 10 - x]);
+  const falling: Point[] = [1, 2, 3, 4].map((input) => [input, 10 - input]);
   assert.is(fit.reaches(fit.of(falling, 'line'), 20), Infinity);
-  const spread: Point[] = [1, 2, 3, 4].map((x) => [x, x % 2 ? 10 : 1]);
-  assert.ok(fit.of(spread, 'line').r2 < 0.5, 'a fit that explains nothing says so');
+  const scattered: Point[] = [1, 2, 3, 4].map((input) => [input, input % 2 ? 10 : 1]);
+  assert.ok(fit.of(scattered, 'line').r2 < 0.5, 'a line through scattered points has a low r²');
 });
-test('figures are short, and say their thousands', () => {
+test('figures have at most three significant digits and a unit prefix', () => {
   assert.equal([0.5, 12, 5_772, 48_211, 2.5e6, 3.1e9, Infinity].map(figure), [
     '0.5',
     '12',
@@ -58,65 +58,75 @@
     'never',
   ]);
 });
-test('a frame is counted under its kind, and news under the first word of its name', async () => {
+test('a frame is counted under its kind, and a disseminated update under the first word of its name', async () => {
   assert.is(kindOf('[{"p":1,"k":2,"t":3,"n":4,"b":5},1,"tell","beat","",{"id":6,"inc":7},"beat-1",1]'), 'beat');
-  const h = await hollow.open({ edges: 2 });
-  // They may be up before the first heartbeat is due.
-  await h!.run(duration.s(1));
-  const kinds = new Set(h!.nodes.flatMap((n) => [...n.tally.sent.keys()]));
-  for (const k of ['beat', 'beam.sum', 'news.order', 'news.workers', 'news.uses', 'load', 'view.order', 'core'])
-    assert.ok(kinds.has(k), `no ${k}`);
+  const cluster = await hollow.open({ edges: 2 });
+  // The nodes may be up before the first heartbeat is due.
+  await cluster!.run(duration.s(1));
+  const kinds = new Set(cluster!.nodes.flatMap((node) => [...node.tally.sent.keys()]));
+  for (const kind of ['beat', 'beam.sum', 'news.order', 'news.workers', 'news.uses', 'load', 'view.order', 'core'])
+    assert.ok(kinds.has(kind), `no ${kind}`);
   assert.not(kinds.has('other'));
-  const sent = h!.nodes.reduce((a, n) => a + total(n.tally.sent).messages, 0);
-  assert.is(sent, h!.w.frames(), 'what goes over the net is what was counted');
-  assert.is(await hollow.open({ edges: 2, within: 1 }), undefined, 'one that takes too long is given up');
+  const sent = cluster!.nodes.reduce((count, node) => count + total(node.tally.sent).messages, 0);
+  assert.is(sent, cluster!.w.frames(), 'the frames on the network are those that were counted');
+  assert.is(
+    await hollow.open({ edges: 2, within: 1 }),
+    undefined,
+    'a cluster that takes too long to start is given up',
+  );
 });
-test('every slope has four sizes, a mark, and figures', async () => {
-  const m = await small;
-  assert.is(m.slopes.length, new Set(m.slopes.map((s) => s.name)).size);
-  for (const s of m.slopes) {
-    assert.ok(s.points.length >= 4, s.name);
-    assert.is(new Set(s.points.map(([x]) => x)).size, s.points.length, s.name);
-    assert.ok(['measured', 'simulated'].includes(s.mark), s.name);
-    assert.ok([...s.points.flat(), s.fit.slope, s.fit.base, s.fit.r2].every(Number.isFinite), s.name);
+test('every slope has at least four sizes, a mark and finite figures', async () => {
+  const measurement = await smallMeasurement;
+  assert.is(measurement.slopes.length, new Set(measurement.slopes.map((slope) => slope.name)).size);
+  for (const slope of measurement.slopes) {
+    assert.ok(slope.points.length >= 4, slope.name);
+    assert.is(new Set(slope.points.map(([input]) => input)).size, slope.points.length, slope.name);
+    assert.ok(['measured', 'simulated'].includes(slope.mark), slope.name);
+    assert.ok(
+      [...slope.points.flat(), slope.fit.slope, slope.fit.base, slope.fit.r2].every(Number.isFinite),
+      slope.name,
+    );
   }
-  // What counts bytes or messages of the protocol is exact: these are straight lines at any size.
+  // Counts of protocol bytes and messages are exact, so these are straight lines at any size.
   for (const name of ['a version, by roster', 'the list of workers', 'load while turns change'])
-    assert.ok(m.slopes.find((s) => s.name === name)!.fit.r2 > 0.99, name);
+    assert.ok(measurement.slopes.find((slope) => slope.name === name)!.fit.r2 > 0.99, name);
   assert.equal(
-    m.found[0]!.points.map(([, t]) => t).every((t) => t === 'acknowledged' || t === 'unconfirmed'),
+    measurement.found[0]!.points.map(([, outcome]) => outcome).every(
+      (outcome) => outcome === 'acknowledged' || outcome === 'unconfirmed',
+    ),
     true,
   );
 });
-test('the page has the slopes, needs and failures that the command gives, and in its form', async () => {
-  const m = await small;
-  assert.ok(rows.some((r) => r.join() === slopeHead.join()));
-  const first = (r: string[]): string => r.slice(0, 2).join(' | ');
-  const have = new Map(rows.map((r) => [first(r), r]));
-  for (const want of slopeRows(m.slopes)) {
-    const got = have.get(first(want));
-    assert.ok(got, `the page lacks ${first(want)}`);
-    assert.is(got.length, want.length, first(want));
-    assert.is(got[2], want[2], `${first(want)}: another mark`);
-    assert.ok(got[3]!.split('; ').length >= 4, `${first(want)}: too few points`);
-    assert.is(got[4]!.includes('·x'), want[4]!.includes('·x'), `${first(want)}: another fit`);
+test('the page has the slopes, needs and failures that the command prints, in the same form', async () => {
+  const measurement = await smallMeasurement;
+  assert.ok(rows.some((row) => row.join() === slopeHead.join()));
+  const rowKey = (row: string[]): string => row.slice(0, 2).join(' | ');
+  const rowsByKey = new Map(rows.map((row) => [rowKey(row), row]));
+  for (const expected of slopeRows(measurement.slopes)) {
+    const actual = rowsByKey.get(rowKey(expected));
+    assert.ok(actual, `the page lacks ${rowKey(expected)}`);
+    assert.is(actual.length, expected.length, rowKey(expected));
+    assert.is(actual[2], expected[2], `${rowKey(expected)}: different mark`);
+    assert.ok(actual[3]!.split('; ').length >= 4, `${rowKey(expected)}: too few points`);
+    assert.is(actual[4]!.includes('·x'), expected[4]!.includes('·x'), `${rowKey(expected)}: different fit`);
   }
-  for (const want of needRows(m.slopes)) {
-    assert.not(want.join().includes('NaN'), first(want));
-    assert.is(have.get(first(want))?.length, want.length, `the page lacks ${first(want)}`);
+  for (const expected of needRows(measurement.slopes)) {
+    assert.not(expected.join().includes('NaN'), rowKey(expected));
+    assert.is(rowsByKey.get(rowKey(expected))?.length, expected.length, `the page lacks ${rowKey(expected)}`);
   }
-  for (const [piece, way] of ways(m.slopes))
-    assert.ok(have.has(`${piece} | ${way}`), `the page lacks ${piece} | ${way}`);
-  const named = new Set(rows.map((r) => r[0]));
-  for (const [what] of failures(m.slopes)) assert.ok(named.has(what), `the page lacks ${what}`);
-  for (const f of m.found) assert.ok(named.has(f.what), `the page lacks ${f.what}`);
+  for (const [piece, way] of ways(measurement.slopes))
+    assert.ok(rowsByKey.has(`${piece} | ${way}`), `the page lacks ${piece} | ${way}`);
+  const firstCells = new Set(rows.map((row) => row[0]));
+  for (const [failureName] of failures(measurement.slopes))
+    assert.ok(firstCells.has(failureName), `the page lacks ${failureName}`);
+  for (const finding of measurement.found) assert.ok(firstCells.has(finding.what), `the page lacks ${finding.what}`);
   const lines: string[] = [];
-  capacity.print(m, (l) => lines.push(l));
-  assert.ok(lines.length > m.slopes.length + needRows(m.slopes).length);
+  capacity.print(measurement, (line) => lines.push(line));
+  assert.ok(lines.length > measurement.slopes.length + needRows(measurement.slopes).length);
   assert.not(lines.join('\n').includes('undefined'));
 });
-test('what was started has ended', async () => {
-  await small;
+test('no child process is left running', async () => {
+  await smallMeasurement;
   assert.not(process.getActiveResourcesInfo().includes('ProcessWrap'));
 });
 test.run();
--- a/tools/simulation/test/docs.test.ts
+++ b/tools/simulation/test/docs.test.ts
@@ -1,3 +1,4 @@
+// The pages of documentation agree with the code: sections, options, error codes, commands, log lines and file names.
 import { execFile, spawnSync } from 'node:child_process';
 import { readFileSync, readdirSync, existsSync } from 'node:fs';
 import { createServer } from 'node:http';
@@ -12,7 +13,7 @@
 import { guards } from '../src/guards.js';
 
 const root = fileURLToPath(new URL('../../../', import.meta.url));
-const read = (f: string): string => readFileSync(path.join(root, f), 'utf8');
+const read = (file: string): string => readFileSync(path.join(root, file), 'utf8');
 /** TypeScript files of a folder and of those below it, relative to the root. */
 const filesBelow = (folder: string): string[] =>
   existsSync(path.join(root, folder))
@@ -37,24 +38,27 @@
     .filter((line) => line.startsWith('| ') && !line.startsWith('| ---'))
     .slice(1)
     .map((line) => line.slice(2, -2).split(' | '));
-/** A section of DESIGN.md; one that follows the number of an RFC is a section of that RFC. */
+/** Matches a reference to a section of DESIGN.md; a section number after an RFC number belongs to that RFC. */
 const sectionReference = /(?<!RFC \d+ )§(\d+(?:\.\d+)?)/g;
 
 test('every section that a comment or page refers to exists', () => {
-  const have = new Set([...read('docs/DESIGN.md').matchAll(/^#{2,3} (\d+(?:\.\d+)?)[. ]/gm)].map((m) => m[1]!));
-  for (const f of [...sources(), ...readdirSync(path.join(root, 'docs')).map((d) => `docs/${d}`)])
-    for (const m of read(f).matchAll(sectionReference)) assert.ok(have.has(m[1]!), `${f} refers to §${m[1]}`);
+  const sections = new Set(
+    [...read('docs/DESIGN.md').matchAll(/^#{2,3} (\d+(?:\.\d+)?)[. ]/gm)].map((match) => match[1]!),
+  );
+  for (const file of [...sources(), ...readdirSync(path.join(root, 'docs')).map((page) => `docs/${page}`)])
+    for (const match of read(file).matchAll(sectionReference))
+      assert.ok(sections.has(match[1]!), `${file} refers to §${match[1]}`);
 });
-test('every option is in CONFIG.md', () => {
-  const doc = read('docs/CONFIG.md');
-  const c = configSchema.check({ classes: { a: { kind: 'model', weight: 1 } } });
-  assert.ok(c.ok);
-  for (const group of [c.value.classes['a']!, c.value.scheduler, c.value.slots, c.value.limits])
-    for (const k of Object.keys(group)) assert.ok(doc.includes(`\`${k}\``), `${k} is not in CONFIG.md`);
+test('every configuration key and option is in CONFIG.md', () => {
+  const page = read('docs/CONFIG.md');
+  const checked = configSchema.check({ classes: { a: { kind: 'model', weight: 1 } } });
+  assert.ok(checked.ok);
+  for (const group of [checked.value.classes['a']!, checked.value.scheduler, checked.value.slots, checked.value.limits])
+    for (const key of Object.keys(group)) assert.ok(page.includes(`\`${key}\``), `${key} is not in CONFIG.md`);
   for (const role of ['coordinator', 'store', 'agent', 'gateway'] as const)
-    for (const k of configSchema.keys(role)) assert.ok(doc.includes(`\`${k}\``), `${k} is not in CONFIG.md`);
+    for (const key of configSchema.keys(role)) assert.ok(page.includes(`\`${key}\``), `${key} is not in CONFIG.md`);
 });
-test('every package has its term in GLOSSARY.md, and a README with its name, what it is, and its design', () => {
+test('every package has a term in GLOSSARY.md, and a README with its name, a description and its design', () => {
   const terms = new Map(rowsOf(sectionOf(read('docs/GLOSSARY.md'), 'Packages')).map((row) => [row[2]!, row]));
   for (const workspace of workspacesOf(root).filter((name) => name !== 'platform')) {
     const name = path.basename(workspace);
@@ -66,9 +70,9 @@
   }
 });
 test('FAILURES.md has a row for every scenario and guard', () => {
-  const doc = read('docs/FAILURES.md');
-  for (const s of Object.keys(scenarios)) assert.ok(doc.includes(`\`${s}\``), `scenario ${s}`);
-  for (const { name } of guards) assert.ok(doc.includes(name), `guard ${name}`);
+  const page = read('docs/FAILURES.md');
+  for (const scenario of Object.keys(scenarios)) assert.ok(page.includes(`\`${scenario}\``), `scenario ${scenario}`);
+  for (const { name } of guards) assert.ok(page.includes(name), `guard ${name}`);
 });
 test('FAILURES.md names scenarios of the platform that exist', () => {
   const text = filesBelow('platform/test')
@@ -84,24 +88,25 @@
 test('BRIEF.md names only checks that exist, and every proved row names one', () => {
   const rows = read('docs/BRIEF.md')
     .split('\n')
-    .filter((l) => /^\| (?!asked|rule|brought|---)/.test(l));
+    .filter((line) => /^\| (?!asked|rule|brought|---)/.test(line));
   assert.ok(rows.length > 50);
   for (const row of rows) {
-    const files = [...row.matchAll(/`([a-z-]+\/test\/[a-z-]+\.test\.ts)`/g)].map((m) => m[1]!);
-    const named = [...row.matchAll(/scenario `([a-z]+)`/g)].map((m) => m[1]!);
-    for (const f of files) assert.ok(existsSync(fileOfWorkspace(root, f)), `${f} does not exist: ${row}`);
-    for (const n of named) assert.ok(Object.hasOwn(scenarios, n), `there is no scenario ${n}: ${row}`);
-    const said = files.length + named.length > 0 || row.includes('the lint');
-    assert.ok(said || !row.endsWith('| proved |'), `proved by nothing: ${row}`);
+    const files = [...row.matchAll(/`([a-z-]+\/test\/[a-z-]+\.test\.ts)`/g)].map((match) => match[1]!);
+    const scenarioNames = [...row.matchAll(/scenario `([a-z]+)`/g)].map((match) => match[1]!);
+    for (const file of files) assert.ok(existsSync(fileOfWorkspace(root, file)), `${file} does not exist: ${row}`);
+    for (const scenario of scenarioNames)
+      assert.ok(Object.hasOwn(scenarios, scenario), `there is no scenario ${scenario}: ${row}`);
+    const hasProof = files.length + scenarioNames.length > 0 || row.includes('the lint');
+    assert.ok(hasProof || !row.endsWith('| proved |'), `no test, scenario or lint rule proves this row: ${row}`);
     assert.match(row, /\| (proved|built|missing[^|]*) \|$/);
   }
 });
 
-/** What is compared of `errors` of the data plane. */
+/** The parts of `errors` of the data plane that are compared with the page. */
 type ClientErrors = {
   codes: string[];
   name: (code: string) => string;
-  status: (at: 'chat' | 'unread', code: string) => number;
+  status: (callKind: 'chat' | 'unread', code: string) => number;
 };
 type Catalogue = { codeOf: unknown; entries: Record<string, { message: string; retryable: boolean }> };
 const moduleOf = async (file: string): Promise<Record<string, unknown>> =>
@@ -161,9 +166,9 @@
     response.writeHead(status).end('{"error":"any","mark":1,"classes":{}}'),
   );
   await new Promise<void>((listening) => server.listen(0, '127.0.0.1', listening));
-  const at = `127.0.0.1:${(server.address() as AddressInfo).port}`;
+  const address = `127.0.0.1:${(server.address() as AddressInfo).port}`;
   const code = await new Promise<number>((ended) => {
-    const child = execFile(process.execPath, [commandLine, 'classes', '--at', at]);
+    const child = execFile(process.execPath, [commandLine, 'classes', '--at', address]);
     child.on('exit', (exitCode) => ended(exitCode ?? -1));
   });
   server.close();
@@ -184,19 +189,20 @@
 });
 
 const pagesWithCommands = ['README.md', 'docs/OPERATING.md', 'docs/RUNBOOK.md', 'docs/CONFIG.md'];
-test('every command of the pages for operators is one of the program', () => {
+test('every command on the pages for operators exists', () => {
   const { stdout } = spawnSync(process.execPath, [commandLine, '--help'], {
     encoding: 'utf8',
   });
-  const known = new Set([...stdout.matchAll(/^\s+`?([a-z]+)`?\s{2,}/gm)].map((match) => match[1]!));
-  assert.ok(known.size > 10, stdout);
+  const knownCommands = new Set([...stdout.matchAll(/^\s+`?([a-z]+)`?\s{2,}/gm)].map((match) => match[1]!));
+  assert.ok(knownCommands.size > 10, stdout);
   for (const page of pagesWithCommands)
     for (const match of read(page).matchAll(/(?:`|\| |^ {4}|run -s )thornsail (?:-- )?([a-z|]+)/gm))
-      for (const command of match[1]!.split('|')) assert.ok(known.has(command), `${page}: thornsail ${command}`);
+      for (const command of match[1]!.split('|'))
+        assert.ok(knownCommands.has(command), `${page}: thornsail ${command}`);
 });
-/** The part of the log and the text of a line of the log that a page quotes: `part: text`, with … for what varies. */
+/** Matches a log line as pages quote it: `part: text`, the part being the log's label, with … for what varies. */
 const logLine = /`([a-z][a-z -]*): ([^`]+)`/g;
-test('every symptom of RUNBOOK.md names what brings it about, and log lines that the code has', () => {
+test('every symptom of RUNBOOK.md names a test that causes it, and log lines that the code has', () => {
   const code = workspacesOf(root)
     .filter((workspace) => !workspace.startsWith('tools'))
     .flatMap((workspace) => filesBelow(path.join(workspace, 'src')))
@@ -211,29 +217,30 @@
       assert.ok(symptom.includes(`**${part}**`), `${title}: no "${part}"`);
     const proof = symptom.slice(symptom.indexOf('**Brought about by:**')).split('\n\n')[0]!;
     const files = [...proof.matchAll(/`([a-z-]+\/test\/[a-z-]+\.test\.ts)`/g)].map((match) => match[1]!);
-    const named = [...proof.matchAll(/scenario `([a-z]+)`/g)].map((match) => match[1]!);
-    assert.ok(files.length + named.length > 0, `${title}: brought about by nothing`);
+    const scenarioNames = [...proof.matchAll(/scenario `([a-z]+)`/g)].map((match) => match[1]!);
+    assert.ok(files.length + scenarioNames.length > 0, `${title}: no test or scenario causes it`);
     for (const file of files) assert.ok(existsSync(fileOfWorkspace(root, file)), `${title}: ${file} does not exist`);
-    for (const name of named) assert.ok(Object.hasOwn(scenarios, name), `${title}: there is no scenario ${name}`);
-    const look = symptom.slice(symptom.indexOf('**Look at:**'), symptom.indexOf('**Do:**'));
-    for (const [, part, text] of look.matchAll(logLine)) {
+    for (const name of scenarioNames)
+      assert.ok(Object.hasOwn(scenarios, name), `${title}: there is no scenario ${name}`);
+    const lookAt = symptom.slice(symptom.indexOf('**Look at:**'), symptom.indexOf('**Do:**'));
+    for (const [, part, text] of lookAt.matchAll(logLine)) {
       assert.ok(code.includes(`log('${part}')`) || part === 'thornsail', `${title}: no part ${part} of the log`);
       for (const piece of text!.split('…').filter((piece) => piece.trim().length > 3))
         assert.ok(code.includes(piece), `${title}: no log line has "${piece}"`);
     }
-    for (const [, finding] of look.matchAll(/"([^"]+)"/g))
+    for (const [, finding] of lookAt.matchAll(/"([^"]+)"/g))
       for (const piece of finding!.split('…').filter((text) => text.trim().length > 3))
-        assert.ok(code.includes(piece.trim()), `${title}: nothing says "${piece}"`);
+        assert.ok(code.includes(piece.trim()), `${title}: the code has no text "${piece}"`);
   }
 });
-/** Paths in the tree, as pages quote them. */
+/** Matches a path of the repository as pages quote it. */
 const quotedPath = /`((?:packages|programs|tools|platform)(?:\/[a-z0-9.-]+)+|platform)\/?`/g;
-test('every path of the tree that ARCHITECTURE.md, GLOSSARY.md and CONTRIBUTING.md quote exists', () => {
+test('every repository path that ARCHITECTURE.md, GLOSSARY.md, CONTRIBUTING.md and README.md quote exists', () => {
   for (const page of ['docs/ARCHITECTURE.md', 'docs/GLOSSARY.md', 'CONTRIBUTING.md', 'README.md'])
     for (const [, file] of read(page).matchAll(quotedPath))
       assert.ok(existsSync(path.join(root, file!)), `${page}: ${file} does not exist`);
 });
-test('every name that GLOSSARY.md gives as one of the code is there', () => {
+test('every identifier that GLOSSARY.md names exists in the code', () => {
   const code = new Set(
     sources()
       .filter((file) => !file.includes('/test/') && !file.endsWith('.d.ts'))
@@ -249,7 +256,7 @@
     for (const [, name] of row[2]!.matchAll(/`([A-Za-z_]+)`/g))
       assert.ok(code.has(name!) || existsSync(path.join(root, name!)), `${row[0]}: the code has no ${name}`);
 });
-/** A test, or a command that a guard is noticed by, as pages name it: from the folder of its workspace. */
+/** Matches a test, or a command that detects a removed guard, as pages name it: from the folder of its workspace. */
 const quotedTest = /`([a-z-]+\/test\/[a-z-]+(?:\.test)?)(?:\.[jt]s)?`/g;
 test('every test that a page names with its workspace exists', () => {
   const pages = readdirSync(path.join(root, 'docs')).map((page) => `docs/${page}`);
@@ -260,16 +267,16 @@
         `${page}: ${file} does not exist`,
       );
 });
-/** A source file, as pages name it: from the root, from its workspace with or without `src`, or by its name alone. */
+/** Matches a source file as pages name it: from the root, from its workspace with or without `src`, or by name. */
 const quotedFile = /`([a-z0-9./-]+\.ts)`/g;
 test('every source file that a page names exists', () => {
   const withoutSrc = (file: string): string => `/${file.replace(/(^|\/)src\//, '$1')}`;
   const files = sources().filter((file) => !file.endsWith('.d.ts'));
-  const known = [...files, ...filesBelow('examples')].map(withoutSrc);
+  const knownFiles = [...files, ...filesBelow('examples')].map(withoutSrc);
   for (const page of [...readdirSync(path.join(root, 'docs')).map((name) => `docs/${name}`), 'README.md'])
     for (const [, file] of read(page).matchAll(quotedFile))
       assert.ok(
-        known.some((candidate) => candidate.endsWith(withoutSrc(file!))),
+        knownFiles.some((candidate) => candidate.endsWith(withoutSrc(file!))),
         `${page}: there is no ${file}`,
       );
 });
--- a/tools/simulation/test/registers.test.ts
+++ b/tools/simulation/test/registers.test.ts
@@ -1,3 +1,5 @@
+// Histories of concurrent register operations in simulated worlds with faults and group changes, checked for
+// linearizability; and sweeps of the register stores.
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import {
@@ -14,223 +16,247 @@
 import { rpc, type Rpc } from '@thornsail/rpc';
 import { world, type Host } from '@thornsail/simulation';
 
-type Op = {
+type Operation = {
   id: string;
   key: string;
   from: number;
   to: number;
-  saw: string[] | null;
+  returned: string[] | null;
   ok: boolean;
   reads?: boolean;
 };
 
 /**
- * Linearizable: every result is a prefix of the last value, in real-time order, each id at most once. A read is a
- * prefix, too: it shows all that ended before it began, and nothing that began after it ended.
+ * The violations of linearizability. Every append returns a prefix of the final list, in real-time order, and takes
+ * effect at most once. A read returns a prefix, too: with all that ended before it began, and nothing that began after
+ * it ended.
  */
-const check = (ops: Op[], last: Map<string, string[]>): string[] => {
-  const out: string[] = [];
-  for (const [key, list] of last) {
-    if (new Set(list).size !== list.length) out.push(`${key}: an append took effect twice`);
-    const reads = ops.filter((x) => x.key === key && x.ok && x.reads);
-    for (const o of reads) {
-      const n = o.saw!.length;
-      if (o.saw!.join() !== list.slice(0, n).join()) out.push(`${key}: a read saw what never was`);
-      for (const p of ops) {
-        if (p.key !== key || p === o || !p.ok) continue;
-        const at = p.reads ? p.saw!.length - 1 : list.indexOf(p.id);
-        if (p.to < o.from && at >= n) out.push(`${key}: a read missed ${p.id}, which ended before it`);
-        if (!p.reads && o.to < p.from && at < n) out.push(`${key}: a read saw ${p.id} before it began`);
+const findViolations = (operations: Operation[], finalLists: Map<string, string[]>): string[] => {
+  const violations: string[] = [];
+  for (const [key, list] of finalLists) {
+    if (new Set(list).size !== list.length) violations.push(`${key}: an append took effect twice`);
+    const reads = operations.filter((operation) => operation.key === key && operation.ok && operation.reads);
+    for (const read of reads) {
+      const length = read.returned!.length;
+      if (read.returned!.join() !== list.slice(0, length).join())
+        violations.push(`${key}: a read returned a state that never existed`);
+      for (const other of operations) {
+        if (other.key !== key || other === read || !other.ok) continue;
+        const position = other.reads ? other.returned!.length - 1 : list.indexOf(other.id);
+        if (other.to < read.from && position >= length)
+          violations.push(`${key}: a read missed ${other.id}, which ended before it`);
+        if (!other.reads && read.to < other.from && position < length)
+          violations.push(`${key}: a read returned ${other.id} before it began`);
       }
     }
-    for (const o of ops.filter((x) => x.key === key && x.ok && !x.reads)) {
-      const at = list.indexOf(o.id);
-      if (at < 0) {
-        out.push(`${key}: an acknowledged append is lost`);
+    for (const append of operations.filter((operation) => operation.key === key && operation.ok && !operation.reads)) {
+      const position = list.indexOf(append.id);
+      if (position < 0) {
+        violations.push(`${key}: an acknowledged append is lost`);
         continue;
       }
-      if (o.saw!.join() !== list.slice(0, at).join()) out.push(`${key}: ${o.id} saw what was never before it`);
-      for (const p of ops)
-        if (p.key === key && p.ok && !p.reads && p.to < o.from && list.indexOf(p.id) > at)
-          out.push(`${key}: ${p.id} ended before ${o.id} began, yet follows it`);
+      if (append.returned!.join() !== list.slice(0, position).join())
+        violations.push(`${key}: ${append.id} returned a state that never preceded it`);
+      for (const other of operations)
+        if (
+          other.key === key &&
+          other.ok &&
+          !other.reads &&
+          other.to < append.from &&
+          list.indexOf(other.id) > position
+        )
+          violations.push(`${key}: ${other.id} ended before ${append.id} began, yet follows it`);
     }
   }
-  return out;
+  return violations;
 };
 
-const history = async (
+const runHistory = async (
   seed: number,
-  o: { faults: boolean; regroup: boolean; mixed?: boolean; fresh?: boolean },
+  options: { faults: boolean; regroup: boolean; mixed?: boolean; fresh?: boolean },
 ): Promise<{ problems: string[]; done: number; unknown: number; reads: number; opened: number }> => {
-  /** With `fresh`, new keys that two or three edges come upon at about the same time. */
-  const keys = o.fresh ? 24 : 3;
-  /** Nothing is opened for a while after a store did not answer. */
-  const span = duration.s(o.fresh ? 12 : 3);
+  /** With `fresh`, new keys that two or three edges open at about the same time. */
+  const keyCount = options.fresh ? 24 : 3;
+  /** Longer with `fresh`: for a while after a store did not answer, no key is opened. */
+  const span = duration.s(options.fresh ? 12 : 3);
   invariant.clear();
-  // With faults the disk is slower than the network, or a missing sync would never show.
-  const w = world.open({
+  // With faults the disk is slower than the network; otherwise a missing sync would not be detected.
+  const simulation = world.open({
     seed,
     zoneDelay: duration.ms(1.5),
     clientDelay: duration.ms(1),
     clientIp: '127.0.9.9',
-    ...(o.faults ? { diskTime: duration.ms(12) } : {}),
+    ...(options.faults ? { diskTime: duration.ms(12) } : {}),
   });
-  const places = [1, 2, 3, 4].map((i) => ({
-    host: w.host(`127.0.2.${i}`, `z${i}`),
+  const machines = [1, 2, 3, 4].map((i) => ({
+    host: simulation.host(`127.0.2.${i}`, `z${i}`),
     at: `127.0.2.${i}:7101`,
     id: `k${i}`,
   }));
-  const boot = async (h: Host, at: string, id: string): Promise<void> => {
-    const runtime = w.runtime(h);
-    const p = await rpc.open(runtime, at);
-    await store.open({ runtime, rpc: p, durable: await durableStore.open(runtime.disk), freshId: id });
+  const bootStore = async (host: Host, address: string, id: string): Promise<void> => {
+    const runtime = simulation.runtime(host);
+    const endpoint = await rpc.open(runtime, address);
+    await store.open({ runtime, rpc: endpoint, durable: await durableStore.open(runtime.disk), freshId: id });
   };
-  for (const k of places) void boot(k.host, k.at, k.id);
-  const members = (ids: number[]): Group['members'] => ids.map((i) => ({ id: `k${i}`, at: `127.0.2.${i}:7101` }));
-  let group: Group = { version: 1, members: members([1, 2, 3]) };
-  // An edge hears of a new group late, and meanwhile uses the old one.
-  const old = group;
-  const lag = [0, 1, 2].map((e) => (e === 0 || !o.regroup ? 0 : w.rand.int(duration.s(3))));
+  for (const machine of machines) void bootStore(machine.host, machine.at, machine.id);
+  const membersOf = (ids: number[]): Group['members'] => ids.map((i) => ({ id: `k${i}`, at: `127.0.2.${i}:7101` }));
+  let group: Group = { version: 1, members: membersOf([1, 2, 3]) };
+  // An edge learns of a new group late, and uses the old one meanwhile.
+  const initialGroup = group;
+  const lags = [0, 1, 2].map((edge) => (edge === 0 || !options.regroup ? 0 : simulation.rand.int(duration.s(3))));
   const edges: Registers[] = [];
   const hosts: Host[] = [];
   const rpcs: Rpc[] = [];
-  for (let e = 0; e < 3; e++) {
-    const h = w.host(`127.0.1.${e}`, `z${e + 1}`);
-    hosts.push(h);
-    const runtime = w.runtime(h);
-    void rpc.open(runtime, `127.0.1.${e}:7101`).then((p) => {
-      rpcs[e] = p;
-      const near = (id: string): number => (o.mixed && id === `k${e + 1}` ? 0 : 1);
-      edges[e] = registers.open({
+  for (let edgeIndex = 0; edgeIndex < 3; edgeIndex++) {
+    const host = simulation.host(`127.0.1.${edgeIndex}`, `z${edgeIndex + 1}`);
+    hosts.push(host);
+    const runtime = simulation.runtime(host);
+    void rpc.open(runtime, `127.0.1.${edgeIndex}:7101`).then((endpoint) => {
+      rpcs[edgeIndex] = endpoint;
+      const near = (id: string): number => (options.mixed && id === `k${edgeIndex + 1}` ? 0 : 1);
+      edges[edgeIndex] = registers.open({
         runtime,
-        rpc: p,
-        clientId: `edge${e}`,
+        rpc: endpoint,
+        clientId: `edge${edgeIndex}`,
         distance: near,
-        group: () => (w.now() < lag[e]! ? old : group),
+        group: () => (simulation.now() < lags[edgeIndex]! ? initialGroup : group),
       });
     });
   }
-  await w.run(duration.ms(50));
-  const ops: Op[] = [];
-  const r = w.rand;
-  let open = 0;
-  let blackouts = o.faults ? 2 : 0;
+  await simulation.run(duration.ms(50));
+  const operations: Operation[] = [];
+  const random = simulation.rand;
+  let openCount = 0;
+  let remainingBlackouts = options.faults ? 2 : 0;
   /** All stores lose power right after an acknowledgement. */
-  const blackout = (): void => {
-    blackouts -= 1;
-    for (const k of places.slice(0, 3))
-      if (k.host.alive) {
-        w.kill(k.host, 'power');
-        w.scheduleAt(w.now() + duration.ms(50), () => {
-          w.start(k.host);
-          void boot(k.host, k.at, k.id);
+  const losePower = (): void => {
+    remainingBlackouts -= 1;
+    for (const machine of machines.slice(0, 3))
+      if (machine.host.alive) {
+        simulation.kill(machine.host, 'power');
+        simulation.scheduleAt(simulation.now() + duration.ms(50), () => {
+          simulation.start(machine.host);
+          void bootStore(machine.host, machine.at, machine.id);
         });
       }
   };
-  if (o.fresh)
-    for (const e of edges)
-      void e
+  if (options.fresh)
+    for (const edge of edges)
+      void edge
         .change(
           'warm',
-          (_v, x) => ({ stored: { value: 1, expiresAt: x.max + duration.s(9999) }, result: 0 }),
+          (_value, clocks) => ({ stored: { value: 1, expiresAt: clocks.max + duration.s(9999) }, result: 0 }),
           duration.ms(40),
         )
         .catch(() => undefined);
-  const pace = span / keys;
+  const keyInterval = span / keyCount;
   for (let i = 0; i < 60; i++) {
-    const e = r.int(3);
-    const no = o.fresh ? i % keys : r.int(3);
-    const key = `key${no}`;
-    w.scheduleAt(duration.ms(50) + (o.fresh ? no * pace + r.int(duration.ms(8)) : r.int(span)), () => {
-      const op: Op = { id: `a${i}`, key, from: w.now(), to: Infinity, saw: null, ok: false };
-      ops.push(op);
-      open += 1;
-      edges[e]!.change(
-        key,
-        (v, x) => {
-          const list = (v as string[] | undefined) ?? [];
-          return { stored: { value: [...list, op.id], expiresAt: x.max + duration.s(9999) }, result: list };
-        },
-        duration.ms(700),
-        { expectAbsent: o.fresh === true },
-      )
-        .then(
-          (saw) => {
-            op.saw = saw;
-            op.ok = true;
-            op.to = w.now();
-            if (blackouts > 0 && r.int(8) === 0) blackout();
-          },
-          (err) => {
-            assert.is(fault.info(err).code, 'no-majority');
+    const edgeIndex = random.int(3);
+    const keyIndex = options.fresh ? i % keyCount : random.int(3);
+    const key = `key${keyIndex}`;
+    simulation.scheduleAt(
+      duration.ms(50) + (options.fresh ? keyIndex * keyInterval + random.int(duration.ms(8)) : random.int(span)),
+      () => {
+        const operation: Operation = {
+          id: `a${i}`,
+          key,
+          from: simulation.now(),
+          to: Infinity,
+          returned: null,
+          ok: false,
+        };
+        operations.push(operation);
+        openCount += 1;
+        edges[edgeIndex]!.change(
+          key,
+          (value, clocks) => {
+            const list = (value as string[] | undefined) ?? [];
+            return {
+              stored: { value: [...list, operation.id], expiresAt: clocks.max + duration.s(9999) },
+              result: list,
+            };
           },
+          duration.ms(700),
+          { expectAbsent: options.fresh === true },
         )
-        .finally(() => {
-          open -= 1;
-        });
-    });
+          .then(
+            (returned) => {
+              operation.returned = returned;
+              operation.ok = true;
+              operation.to = simulation.now();
+              if (remainingBlackouts > 0 && random.int(8) === 0) losePower();
+            },
+            (error) => {
+              assert.is(fault.info(error).code, 'no-majority');
+            },
+          )
+          .finally(() => {
+            openCount -= 1;
+          });
+      },
+    );
   }
   // Reads of several keys, reservations some time before a change, and extensions in between.
-  const wall = w.runtime(w.host('127.0.8.8', 'z1')).clock.wallTime;
-  const all = Array.from({ length: keys }, (_, k) => `key${k}`);
-  const look = (edge: Registers, some: string[]): void => {
-    const from = w.now();
-    edge.readMany(some, duration.ms(700)).then(
+  const wallTime = simulation.runtime(simulation.host('127.0.8.8', 'z1')).clock.wallTime;
+  const allKeys = Array.from({ length: keyCount }, (_, i) => `key${i}`);
+  const readKeys = (edge: Registers, requestedKeys: string[]): void => {
+    const from = simulation.now();
+    edge.readMany(requestedKeys, duration.ms(700)).then(
       (lists) => {
-        for (const [i, key] of some.entries()) {
-          const saw = (lists[i] as string[] | undefined) ?? [];
-          ops.push({ id: 'a read', key, from, to: w.now(), saw, ok: true, reads: true });
+        for (const [i, key] of requestedKeys.entries()) {
+          const returned = (lists[i] as string[] | undefined) ?? [];
+          operations.push({ id: 'a read', key, from, to: simulation.now(), returned, ok: true, reads: true });
         }
       },
       () => undefined,
     );
   };
-  if (o.mixed)
+  if (options.mixed)
     for (let i = 0; i < 60; i++) {
-      const [e, what, key] = [r.int(3), r.int(4), all[r.int(keys)]!];
-      w.scheduleAt(duration.ms(50) + r.int(span), () => {
-        const edge = edges[e]!;
-        if (what === 0) void edge.reserve(key, duration.ms(500)).catch(() => undefined);
-        else if (what === 1)
-          void edge.extend(all, wall() + duration.s(9999 + i), duration.ms(500)).catch(() => undefined);
-        else look(edge, what === 2 ? all : [key]);
+      const [edgeIndex, action, key] = [random.int(3), random.int(4), allKeys[random.int(keyCount)]!];
+      simulation.scheduleAt(duration.ms(50) + random.int(span), () => {
+        const edge = edges[edgeIndex]!;
+        if (action === 0) void edge.reserve(key, duration.ms(500)).catch(() => undefined);
+        else if (action === 1)
+          void edge.extend(allKeys, wallTime() + duration.s(9999 + i), duration.ms(500)).catch(() => undefined);
+        else readKeys(edge, action === 2 ? allKeys : [key]);
       });
     }
-  // Every other history has a network that loses, doubles and reorders.
-  if (o.faults && seed % 2 === 0) {
-    w.setFrameFaults(0.05, duration.ms(10));
-    w.scheduleAt(span + duration.s(2), () => w.setFrameFaults(0, 0));
+  // Every other history has a network that loses, duplicates and reorders messages.
+  if (options.faults && seed % 2 === 0) {
+    simulation.setFrameFaults(0.05, duration.ms(10));
+    simulation.scheduleAt(span + duration.s(2), () => simulation.setFrameFaults(0, 0));
   }
-  if (o.faults)
+  if (options.faults)
     for (let i = 0; i < 5; i++)
-      w.scheduleAt(r.int(span), () => {
-        const k = places[r.int(3)]!;
-        if (!k.host.alive) return;
-        if (r.int(3) === 0) {
-          w.freeze(k.host);
-          w.scheduleAt(w.now() + r.int(duration.ms(600)), () => w.thaw(k.host));
+      simulation.scheduleAt(random.int(span), () => {
+        const machine = machines[random.int(3)]!;
+        if (!machine.host.alive) return;
+        if (random.int(3) === 0) {
+          simulation.freeze(machine.host);
+          simulation.scheduleAt(simulation.now() + random.int(duration.ms(600)), () => simulation.thaw(machine.host));
           return;
         }
-        w.kill(k.host, 'power');
-        w.scheduleAt(w.now() + r.int(duration.ms(500)), () => {
-          w.start(k.host);
-          void boot(k.host, k.at, k.id);
+        simulation.kill(machine.host, 'power');
+        simulation.scheduleAt(simulation.now() + random.int(duration.ms(500)), () => {
+          simulation.start(machine.host);
+          void bootStore(machine.host, machine.at, machine.id);
         });
       });
-  const { clock } = w.runtime(w.host('127.0.8.9', 'z1'));
-  const pass = (all: boolean): Promise<SweepResult> =>
+  const { clock } = simulation.runtime(simulation.host('127.0.8.9', 'z1'));
+  const runSweep = (afterGroupChange: boolean): Promise<SweepResult> =>
     sweep.pass({
       clock,
       rpc: rpcs[0]!,
       registers: edges[0]!,
       group,
-      afterGroupChange: all,
+      afterGroupChange: afterGroupChange,
       pause: 0,
       shouldContinue: () => true,
     });
-  if (o.fresh) {
-    // The group is swept, filled and then changed again: 4 joins, 1 leaves, comes back with its old disk, 2 leaves.
-    const groups = o.regroup
+  if (options.fresh) {
+    // The group is swept, filled and then changed again: 4 joins, 1 leaves and rejoins with its old disk, 2 leaves.
+    const groups = options.regroup
       ? [
           [1, 2, 3, 4],
           [2, 3, 4],
@@ -240,80 +266,97 @@
           [1, 3, 2],
         ]
       : [];
-    const sweeps = async (): Promise<void> => {
-      let [mark, swept] = [1, 1];
-      for (let i = 0; w.now() < span + duration.s(2); i++) {
-        const r = await pass(swept !== mark);
-        if (r.complete) swept = mark;
-        const next = groups[mark - 1];
-        if (r.complete && next && i % 3 === 2) group = { version: ++mark, members: members(next) };
+    const runSweeps = async (): Promise<void> => {
+      let [version, sweptVersion] = [1, 1];
+      for (let i = 0; simulation.now() < span + duration.s(2); i++) {
+        const result = await runSweep(sweptVersion !== version);
+        if (result.complete) sweptVersion = version;
+        const next = groups[version - 1];
+        if (result.complete && next && i % 3 === 2) group = { version: ++version, members: membersOf(next) };
         await time.sleep(clock, duration.ms(60));
       }
     };
-    w.scheduleAt(duration.ms(100), () => void sweeps());
-    if (o.regroup && seed % 3 > 0) w.setFrameFaults(0.03, duration.ms(8));
-    w.scheduleAt(span + duration.s(2), () => w.setFrameFaults(0, 0));
-  } else if (o.regroup) {
-    // Add k4, settle every key under the new mark, take k1 out, settle again.
-    const step = async (): Promise<void> => {
-      group = { version: 2, members: members([1, 2, 3, 4]) };
-      for (const k of all) await edges[0]!.settleKey(k, duration.s(3));
-      group = { version: 3, members: members([2, 3, 4]) };
-      for (const k of all) await edges[0]!.settleKey(k, duration.s(3));
-      w.kill(places[0]!.host, 'disk');
+    simulation.scheduleAt(duration.ms(100), () => void runSweeps());
+    if (options.regroup && seed % 3 > 0) simulation.setFrameFaults(0.03, duration.ms(8));
+    simulation.scheduleAt(span + duration.s(2), () => simulation.setFrameFaults(0, 0));
+  } else if (options.regroup) {
+    // Add k4, settle every key under the new version, remove k1, settle again.
+    const replaceMember = async (): Promise<void> => {
+      group = { version: 2, members: membersOf([1, 2, 3, 4]) };
+      for (const key of allKeys) await edges[0]!.settleKey(key, duration.s(3));
+      group = { version: 3, members: membersOf([2, 3, 4]) };
+      for (const key of allKeys) await edges[0]!.settleKey(key, duration.s(3));
+      simulation.kill(machines[0]!.host, 'disk');
     };
-    w.scheduleAt(duration.ms(900), () => void step());
-    // Two edges each miss another store, so that their majorities differ.
-    const heal = [w.partition([hosts[1]!], [places[2]!.host]), w.partition([hosts[2]!], [places[1]!.host])];
-    w.scheduleAt(duration.s(5), () => heal.forEach((h) => h()));
+    simulation.scheduleAt(duration.ms(900), () => void replaceMember());
+    // Two edges are each partitioned from a different store, so that their majorities differ.
+    const heals = [
+      simulation.partition([hosts[1]!], [machines[2]!.host]),
+      simulation.partition([hosts[2]!], [machines[1]!.host]),
+    ];
+    simulation.scheduleAt(duration.s(5), () => heals.forEach((heal) => heal()));
   }
-  await w.run(span + duration.s(3));
-  const last = new Map<string, string[]>();
-  for (const k of all)
-    void edges[r.int(3)]!.read(k, duration.s(4)).then((v) => last.set(k, (v as string[] | undefined) ?? []));
-  await w.run(span + duration.s(8));
-  assert.is(open, 0);
-  assert.is(last.size, keys, 'the registers could not be read at the end');
+  await simulation.run(span + duration.s(3));
+  const finalLists = new Map<string, string[]>();
+  for (const key of allKeys)
+    void edges[random.int(3)]!.read(key, duration.s(4)).then((value) =>
+      finalLists.set(key, (value as string[] | undefined) ?? []),
+    );
+  await simulation.run(span + duration.s(8));
+  assert.is(openCount, 0);
+  assert.is(finalLists.size, keyCount, 'the registers could not be read at the end');
   return {
-    problems: [...check(ops, last), ...invariant.breaches()],
-    done: ops.filter((x) => x.ok && !x.reads).length,
-    unknown: ops.filter((x) => !x.ok).length,
-    reads: ops.filter((x) => x.reads).length,
-    opened: edges.reduce((a, e) => a + e.counts().opened, 0),
+    problems: [...findViolations(operations, finalLists), ...invariant.breaches()],
+    done: operations.filter((operation) => operation.ok && !operation.reads).length,
+    unknown: operations.filter((operation) => !operation.ok).length,
+    reads: operations.filter((operation) => operation.reads).length,
+    opened: edges.reduce((sum, edge) => sum + edge.counts().opened, 0),
   };
 };
 
-test('the checker itself finds a lost, a doubled and a reordered append', () => {
-  const op = (id: string, from: number, to: number, saw: string[]): Op => ({ id, key: 'k', from, to, saw, ok: true });
-  assert.is(check([op('a', 0, 1, [])], new Map([['k', []]])).length, 1);
-  assert.is(check([op('a', 0, 1, [])], new Map([['k', ['a', 'a']]])).length, 1);
-  assert.ok(check([op('a', 0, 1, ['b']), op('b', 2, 3, [])], new Map([['k', ['b', 'a']]])).length > 0);
-  assert.is(check([op('a', 0, 1, []), op('b', 2, 3, ['a'])], new Map([['k', ['a', 'b']]])).length, 0);
+test('the checker finds a lost, a duplicated and a reordered append', () => {
+  const operation = (id: string, from: number, to: number, returned: string[]): Operation => ({
+    id,
+    key: 'k',
+    from,
+    to,
+    returned,
+    ok: true,
+  });
+  assert.is(findViolations([operation('a', 0, 1, [])], new Map([['k', []]])).length, 1);
+  assert.is(findViolations([operation('a', 0, 1, [])], new Map([['k', ['a', 'a']]])).length, 1);
+  assert.ok(
+    findViolations([operation('a', 0, 1, ['b']), operation('b', 2, 3, [])], new Map([['k', ['b', 'a']]])).length > 0,
+  );
+  assert.is(
+    findViolations([operation('a', 0, 1, []), operation('b', 2, 3, ['a'])], new Map([['k', ['a', 'b']]])).length,
+    0,
+  );
 });
 test('register histories are linearizable without faults', async () => {
-  for (let s = 1; s <= 10; s++) {
-    const h = await history(s, { faults: false, regroup: false });
-    assert.equal(h.problems, [], `seed ${s}`);
-    assert.is(h.unknown, 0);
+  for (let seed = 1; seed <= 10; seed++) {
+    const result = await runHistory(seed, { faults: false, regroup: false });
+    assert.equal(result.problems, [], `seed ${seed}`);
+    assert.is(result.unknown, 0);
   }
 });
 test('register histories are linearizable with stores losing power and freezing', async () => {
   let done = 0;
-  for (let s = 1; s <= 40; s++) {
-    const h = await history(s, { faults: true, regroup: false });
-    assert.equal(h.problems, [], `seed ${s}`);
-    done += h.done;
+  for (let seed = 1; seed <= 40; seed++) {
+    const result = await runHistory(seed, { faults: true, regroup: false });
+    assert.equal(result.problems, [], `seed ${seed}`);
+    done += result.done;
   }
   assert.ok(done > 40 * 20, `only ${done} appends were acknowledged`);
 });
 test('register histories are linearizable while the group changes and its old member is lost', async () => {
-  for (let s = 1; s <= 30; s++) {
-    const h = await history(s, { faults: false, regroup: true });
-    assert.equal(h.problems, [], `seed ${s}`);
-    assert.ok(h.done > 30);
+  for (let seed = 1; seed <= 30; seed++) {
+    const result = await runHistory(seed, { faults: false, regroup: true });
+    assert.equal(result.problems, [], `seed ${seed}`);
+    assert.ok(result.done > 30);
   }
 });
-test('with reservations, reads of many keys from the nearest store and extensions in between: the same', async () => {
+test('histories with reservations, nearest-store reads of many keys and extensions are linearizable', async () => {
   for (const [faults, regroup] of [
     [false, false],
     [true, false],
@@ -321,16 +364,16 @@
   ] as const) {
     let reads = 0;
     let done = 0;
-    for (let s = 1; s <= 24; s++) {
-      const h = await history(s, { faults, regroup, mixed: true });
-      assert.equal(h.problems, [], `seed ${s}`);
-      reads += h.reads;
-      done += h.done;
+    for (let seed = 1; seed <= 24; seed++) {
+      const result = await runHistory(seed, { faults, regroup, mixed: true });
+      assert.equal(result.problems, [], `seed ${seed}`);
+      reads += result.reads;
+      done += result.done;
     }
     assert.ok(reads > 24 * 30 && done > 24 * 20, `${reads} reads, ${done} appends`);
   }
 });
-test('openings of new keys from several edges at once, with lost power, freezes and changes of the group', async () => {
+test('histories of keys opened by several edges at once are linearizable, with faults and group changes', async () => {
   for (const [faults, regroup, mixed] of [
     [false, false, false],
     [false, false, true],
@@ -339,155 +382,187 @@
   ] as const) {
     let opened = 0;
     let done = 0;
-    for (let s = 1; s <= 40; s++) {
-      const h = await history(s, { faults, regroup, mixed, fresh: true });
-      assert.equal(h.problems, [], `seed ${s}, faults ${faults}, regroup ${regroup}`);
-      opened += h.opened;
-      done += h.done;
+    for (let seed = 1; seed <= 40; seed++) {
+      const result = await runHistory(seed, { faults, regroup, mixed, fresh: true });
+      assert.equal(result.problems, [], `seed ${seed}, faults ${faults}, regroup ${regroup}`);
+      opened += result.opened;
+      done += result.done;
     }
     assert.ok(done > 40 * (faults ? 20 : 30), `${done} changes`);
     assert.ok(opened > 40 * (faults || regroup ? 1 : 5), `${opened} openings`);
   }
 });
-test('the checker itself finds a read that is behind, ahead, or of what never was', () => {
-  const op = (id: string, from: number, to: number, saw: string[], reads = false): Op => ({
-    ...{ id, key: 'k', from, to, saw, ok: true },
+test('the checker finds a read that is stale, ahead, or of a state that never existed', () => {
+  const operation = (id: string, from: number, to: number, returned: string[], reads = false): Operation => ({
+    ...{ id, key: 'k', from, to, returned, ok: true },
     ...(reads ? { reads } : {}),
   });
-  const [a, b] = [op('a', 0, 1, []), op('b', 4, 5, ['a'])];
-  const last = new Map([['k', ['a', 'b']]]);
-  assert.equal(check([a, b, op('r', 2, 3, ['a'], true), op('r', 2, 6, ['a', 'b'], true)], last), []);
-  assert.is(check([a, b, op('r', 2, 3, [], true)], last).length, 1);
-  assert.is(check([a, b, op('r', 2, 3, ['a', 'b'], true)], last).length, 1);
-  assert.ok(check([a, b, op('r', 2, 3, ['b'], true)], last).length > 0);
-  assert.is(check([a, b, op('r', 4, 5, ['a', 'b'], true), op('r', 6, 7, ['a'], true)], last).length, 2);
+  const [appendA, appendB] = [operation('a', 0, 1, []), operation('b', 4, 5, ['a'])];
+  const finalLists = new Map([['k', ['a', 'b']]]);
+  assert.equal(
+    findViolations(
+      [appendA, appendB, operation('r', 2, 3, ['a'], true), operation('r', 2, 6, ['a', 'b'], true)],
+      finalLists,
+    ),
+    [],
+  );
+  assert.is(findViolations([appendA, appendB, operation('r', 2, 3, [], true)], finalLists).length, 1);
+  assert.is(findViolations([appendA, appendB, operation('r', 2, 3, ['a', 'b'], true)], finalLists).length, 1);
+  assert.ok(findViolations([appendA, appendB, operation('r', 2, 3, ['b'], true)], finalLists).length > 0);
+  assert.is(
+    findViolations(
+      [appendA, appendB, operation('r', 4, 5, ['a', 'b'], true), operation('r', 6, 7, ['a'], true)],
+      finalLists,
+    ).length,
+    2,
+  );
 });
 
-/** Stores by number, one proposer, and a story told in simulated time. */
-const stage = async (
+/** Runs a scenario in simulated time on up to four stores, addressed by number, with one register client. */
+const runScenario = async (
   seed: number,
-  tell: (x: {
-    w: ReturnType<typeof world.open>;
-    regs: Registers;
+  scenario: (context: {
+    simulation: ReturnType<typeof world.open>;
+    client: Registers;
     boot: (i: number) => Promise<Store>;
     hosts: Host[];
-    group: (mark: number, ids: number[]) => void;
-    pass: (all: boolean) => Promise<SweepResult>;
-    wait: (t: number) => Promise<void>;
+    setGroup: (version: number, ids: number[]) => void;
+    runSweep: (afterGroupChange: boolean) => Promise<SweepResult>;
+    wait: (delay: number) => Promise<void>;
   }) => Promise<void>,
 ): Promise<void> => {
   invariant.clear();
-  const w = world.open({ seed, zoneDelay: duration.ms(1), clientDelay: duration.ms(1), clientIp: '127.0.9.9' });
-  const at = (i: number): string => `127.0.2.${i}:7101`;
-  const hosts = [1, 2, 3, 4].map((i) => w.host(`127.0.2.${i}`, 'z1'));
+  const simulation = world.open({
+    seed,
+    zoneDelay: duration.ms(1),
+    clientDelay: duration.ms(1),
+    clientIp: '127.0.9.9',
+  });
+  const addressOf = (i: number): string => `127.0.2.${i}:7101`;
+  const hosts = [1, 2, 3, 4].map((i) => simulation.host(`127.0.2.${i}`, 'z1'));
   const boot = async (i: number): Promise<Store> => {
-    const runtime = w.runtime(hosts[i - 1]!);
-    const p = await rpc.open(runtime, at(i));
-    return store.open({ runtime, rpc: p, durable: await durableStore.open(runtime.disk), freshId: `k${i}` });
+    const runtime = simulation.runtime(hosts[i - 1]!);
+    const endpoint = await rpc.open(runtime, addressOf(i));
+    return store.open({ runtime, rpc: endpoint, durable: await durableStore.open(runtime.disk), freshId: `k${i}` });
   };
   let group: Group = { version: 0, members: [] };
-  const runtime = w.runtime(w.host('127.0.1.1', 'z1'));
-  let done = '';
-  const story = async (): Promise<void> => {
-    const p = await rpc.open(runtime, '127.0.1.1:7101');
-    const regs = registers.open({ runtime, rpc: p, clientId: 'e', group: () => group });
-    await tell({
-      w,
-      regs,
+  const runtime = simulation.runtime(simulation.host('127.0.1.1', 'z1'));
+  let outcome = '';
+  const run = async (): Promise<void> => {
+    const endpoint = await rpc.open(runtime, '127.0.1.1:7101');
+    const client = registers.open({ runtime, rpc: endpoint, clientId: 'e', group: () => group });
+    await scenario({
+      simulation,
+      client,
       boot,
       hosts,
-      group: (mark, ids) => {
-        group = { version: mark, members: ids.map((i) => ({ id: `k${i}`, at: at(i) })) };
+      setGroup: (version, ids) => {
+        group = { version, members: ids.map((i) => ({ id: `k${i}`, at: addressOf(i) })) };
       },
-      pass: (all) =>
+      runSweep: (afterGroupChange) =>
         sweep.pass({
           clock: runtime.clock,
-          rpc: p,
-          registers: regs,
+          rpc: endpoint,
+          registers: client,
           group,
-          afterGroupChange: all,
+          afterGroupChange: afterGroupChange,
           pause: 0,
           shouldContinue: () => true,
         }),
-      wait: (t) =>
-        new Promise((fin) => {
-          w.scheduleAt(w.now() + t, fin);
+      wait: (delay) =>
+        new Promise((resolve) => {
+          simulation.scheduleAt(simulation.now() + delay, resolve);
         }),
     });
-    done = 'yes';
+    outcome = 'yes';
   };
-  story().catch((e) => {
-    done = String(e);
+  run().catch((error) => {
+    outcome = String(error);
   });
-  await w.run(duration.s(5000));
-  assert.is(done, 'yes');
+  await simulation.run(duration.s(5000));
+  assert.is(outcome, 'yes');
   assert.equal(invariant.breaches(), []);
 };
 
-test('the sweep brings what a minority of the new group holds onto its majority', () =>
-  stage(8, async ({ w, regs, boot, hosts, group, pass }) => {
-    // store3 is down while this is written: only 1 and 2 hold it.
+test('a sweep copies registers that a minority of the new group holds to a majority', () =>
+  runScenario(8, async ({ simulation, client, boot, hosts, setGroup, runSweep }) => {
+    // Store 3 is down during these writes: only stores 1 and 2 hold them.
     for (const i of [1, 2, 4]) await boot(i);
-    group(1, [1, 2, 3]);
+    setGroup(1, [1, 2, 3]);
     for (let i = 0; i < 300; i++)
-      await regs.change(`k${i}`, (_v, x) => ({ stored: { value: i, expiresAt: x.max + duration.s(9999) }, result: 0 }));
+      await client.change(`k${i}`, (_value, clocks) => ({
+        stored: { value: i, expiresAt: clocks.max + duration.s(9999) },
+        result: 0,
+      }));
     await boot(3);
-    group(2, [1, 2, 3, 4]);
-    const a = await pass(true);
-    group(3, [2, 3, 4]);
-    const b = await pass(true);
-    // What the first pass brought to all needs no second one.
-    assert.ok(a.complete && b.complete && a.seen === 300 && b.seen === 0, JSON.stringify([a, b]));
-    w.kill(hosts[0]!, 'disk');
-    w.kill(hosts[1]!, 'disk');
-    for (let i = 0; i < 300; i++) assert.is(await regs.read(`k${i}`, duration.s(2)), i);
+    setGroup(2, [1, 2, 3, 4]);
+    const firstPass = await runSweep(true);
+    setGroup(3, [2, 3, 4]);
+    const secondPass = await runSweep(true);
+    // Registers that the first pass copied to all stores need no second pass.
+    assert.ok(
+      firstPass.complete && secondPass.complete && firstPass.seen === 300 && secondPass.seen === 0,
+      JSON.stringify([firstPass, secondPass]),
+    );
+    simulation.kill(hosts[0]!, 'disk');
+    simulation.kill(hosts[1]!, 'disk');
+    for (let i = 0; i < 300; i++) assert.is(await client.read(`k${i}`, duration.s(2)), i);
   }));
 
-test('a sweep lists only ranges that differ, mends them, and then finds nothing', () =>
-  stage(9, async ({ w, regs, boot, hosts, group, pass, wait }) => {
+test('a sweep lists only ranges that differ, repairs them, and then finds nothing', () =>
+  runScenario(9, async ({ simulation, client, boot, hosts, setGroup, runSweep, wait }) => {
     for (const i of [1, 2, 3]) await boot(i);
-    group(1, [1, 2, 3]);
-    const write = (k: string): Promise<number> =>
-      regs.change(k, (_v, x) => ({ stored: { value: k, expiresAt: x.max + duration.s(99_999) }, result: 0 }));
+    setGroup(1, [1, 2, 3]);
+    const write = (key: string): Promise<number> =>
+      client.change(key, (_value, clocks) => ({
+        stored: { value: key, expiresAt: clocks.max + duration.s(99_999) },
+        result: 0,
+      }));
     for (let i = 0; i < 200; i++) await write(`k${i}`);
     await wait(duration.s(1));
-    assert.equal(await pass(false).then((r) => [r.complete, r.ranges, r.seen]), [true, 0, 0]);
-    w.kill(hosts[2]!, 'power');
+    assert.equal(await runSweep(false).then((result) => [result.complete, result.ranges, result.seen]), [true, 0, 0]);
+    simulation.kill(hosts[2]!, 'power');
     for (let i = 0; i < 3; i++) await write(`late${i}`);
-    w.start(hosts[2]!);
+    simulation.start(hosts[2]!);
     await boot(3);
-    const r = await pass(false);
-    assert.ok(r.complete && r.ranges >= 1 && r.ranges <= 3 && r.repaired === 3, JSON.stringify(r));
+    const result = await runSweep(false);
+    assert.ok(
+      result.complete && result.ranges >= 1 && result.ranges <= 3 && result.repaired === 3,
+      JSON.stringify(result),
+    );
     await wait(duration.s(1));
-    assert.is((await pass(false)).ranges, 0);
-    w.kill(hosts[0]!, 'disk');
-    for (let i = 0; i < 3; i++) assert.is(await regs.read(`late${i}`, duration.s(2)), `late${i}`);
+    assert.is((await runSweep(false)).ranges, 0);
+    simulation.kill(hosts[0]!, 'disk');
+    for (let i = 0; i < 3; i++) assert.is(await client.read(`late${i}`, duration.s(2)), `late${i}`);
   }));
 
-test('an expired register is absent, is dropped only when every store holds the same, and does not come back', () =>
-  stage(10, async ({ w, regs, boot, hosts, group, pass, wait }) => {
+test('an expired register is absent, is purged only when every store holds the same, and does not come back', () =>
+  runScenario(10, async ({ simulation, client, boot, hosts, setGroup, runSweep, wait }) => {
     for (const i of [1, 2, 3]) await boot(i);
-    group(1, [1, 2, 3]);
-    const write = (v: string, keep: number): Promise<number> =>
-      regs.change('k', (_v, x) => ({ stored: { value: v, expiresAt: x.max + keep }, result: 0 }));
+    setGroup(1, [1, 2, 3]);
+    const write = (value: string, retention: number): Promise<number> =>
+      client.change('k', (_value, clocks) => ({
+        stored: { value, expiresAt: clocks.max + retention },
+        result: 0,
+      }));
     await write('old', duration.s(3000));
     await wait(duration.s(1));
-    // store3 misses the last value, which expires first.
-    w.kill(hosts[2]!, 'power');
+    // Store 3 misses the last value, which expires before the older one.
+    simulation.kill(hosts[2]!, 'power');
     await write('new', duration.s(10));
     await wait(duration.s(700));
-    assert.is(await regs.read('k'), undefined);
-    assert.is((await pass(false)).purged, 0, 'dropped while a store with an older copy was away');
-    w.start(hosts[2]!);
+    assert.is(await client.read('k'), undefined);
+    assert.is((await runSweep(false)).purged, 0, 'purged while a store with an older copy was down');
+    simulation.start(hosts[2]!);
     await boot(3);
-    assert.is(await regs.read('k', duration.s(2)), undefined);
-    await pass(false);
+    assert.is(await client.read('k', duration.s(2)), undefined);
+    await runSweep(false);
     await wait(duration.s(700));
-    assert.is((await pass(false)).purged, 1);
-    assert.is(await regs.read('k', duration.s(2)), undefined);
+    assert.is((await runSweep(false)).purged, 1);
+    assert.is(await client.read('k', duration.s(2)), undefined);
     for (const i of [1, 2, 3]) {
-      w.kill(hosts[i - 1]!, 'power');
-      w.start(hosts[i - 1]!);
+      simulation.kill(hosts[i - 1]!, 'power');
+      simulation.start(hosts[i - 1]!);
       assert.is((await boot(i)).size(), 0, 'a copy is left on disk');
     }
   }));
--- a/tools/simulation/test/repair.test.ts
+++ b/tools/simulation/test/repair.test.ts
@@ -1,30 +1,32 @@
-// Losses right after repairs (§3.3, §6.5), timed: the second loss comes as long after the first one's return as the
-// deployment gives for catching up, and well before that the group has to bear it. REPAIR_SEEDS plays more seeds
-// (200 in the long form), REPAIR_ONLY those plans whose names have this in them.
+// Losses right after repairs (§3.3, §6.5): the second loss comes after the first one's return by the time that the
+// deployment allows for catching up, and well before that the group must tolerate it. REPAIR_SEEDS sets the number of
+// seeds (200 in the long form), REPAIR_ONLY selects the plans whose names contain its value.
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { duration, type Microseconds } from '@thornsail/runtime';
 import { repairPlans } from '../src/repair-plans.js';
 import { repairRun } from '../src/repair-run.js';
 
-const seeds = Number(process.env['REPAIR_SEEDS'] ?? 2);
-/** A newcomer's start until its group bears the next loss. */
-const aim: Microseconds = duration.s(1.5);
+const seedCount = Number(process.env['REPAIR_SEEDS'] ?? 2);
+/** The longest time from the start of a replacement until its group tolerates the next loss. */
+const recoveryLimit: Microseconds = duration.s(1.5);
 
-const only = process.env['REPAIR_ONLY'] ?? '';
-for (const { name, plan, within = aim } of repairPlans.filter((x) => x.name.includes(only)))
+const nameFilter = process.env['REPAIR_ONLY'] ?? '';
+for (const { name, plan, within = recoveryLimit } of repairPlans.filter((candidate) =>
+  candidate.name.includes(nameFilter),
+))
   test(name, async () => {
-    let worst = 0;
-    for (let seed = 1; seed <= seeds; seed++) {
-      const r = await repairRun({ ...plan, seed });
-      assert.equal(r.breaches, [], `seed ${seed}`);
-      assert.ok(r.acknowledged > 200, `seed ${seed}: only ${r.acknowledged} changes were acknowledged`);
-      for (const [i, after] of r.fullAfter.entries()) {
-        worst = Math.max(worst, after);
-        assert.ok(after <= within, `seed ${seed}: full again ${duration.toMs(after)} ms after return ${i + 1}`);
+    let worstElapsed = 0;
+    for (let seed = 1; seed <= seedCount; seed++) {
+      const result = await repairRun({ ...plan, seed });
+      assert.equal(result.breaches, [], `seed ${seed}`);
+      assert.ok(result.acknowledged > 200, `seed ${seed}: only ${result.acknowledged} changes were acknowledged`);
+      for (const [i, elapsed] of result.fullAfter.entries()) {
+        worstElapsed = Math.max(worstElapsed, elapsed);
+        assert.ok(elapsed <= within, `seed ${seed}: full again ${duration.toMs(elapsed)} ms after return ${i + 1}`);
       }
     }
-    if (seeds > 2)
-      process.stdout.write(`${name}: ${seeds} seeds, full again after ${duration.toMs(worst)} ms at most\n`);
+    if (seedCount > 2)
+      process.stdout.write(`${name}: ${seedCount} seeds, full again after ${duration.toMs(worstElapsed)} ms at most\n`);
   });
 test.run();
--- a/tools/simulation/test/streams.test.ts
+++ b/tools/simulation/test/streams.test.ts
@@ -1,3 +1,4 @@
+// Streams to callers: a worker stream without its end marker, a slow reader, and a gateway killed in mid-stream.
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { duration, type HttpClientResponse, type Address } from '@thornsail/runtime';
@@ -6,36 +7,36 @@
 const headers = { 'content-type': 'application/json', 'x-thornsail-program': 'p1', 'x-thornsail-class': 'chat' };
 const body = JSON.stringify({ messages: [{ role: 'user', content: 'go [last]' }], max_tokens: 40 });
 
-test('a worker that ends cleanly without its end marker gives a cut stream, never a complete-looking one', async () => {
-  const f = await fleet.open({ seed: 3, shape: 'lautoka' });
-  // A worker whose stream ends as if all were well, but with no end marker.
-  for (const x of f.layout.workers.filter((y) => y.kind === 'model')) {
-    const h = [...f.models].find((m) => m.at === x.at)!;
-    await h.close();
+test('a worker stream that ends without its end marker reaches the caller as cut, never as complete', async () => {
+  const testFleet = await fleet.open({ seed: 3, shape: 'lautoka' });
+  // Each worker is replaced by one whose stream ends without an error and without an end marker.
+  for (const worker of testFleet.layout.workers.filter((candidate) => candidate.kind === 'model')) {
+    const server = [...testFleet.models].find((model) => model.at === worker.at)!;
+    await server.close();
   }
-  for (const x of f.layout.workers.filter((y) => y.kind === 'model')) {
-    const host = x.at.split(':')[0]!;
-    const runtime = f.world.runtime(f.hostOf(host));
+  for (const worker of testFleet.layout.workers.filter((candidate) => candidate.kind === 'model')) {
+    const host = worker.at.split(':')[0]!;
+    const runtime = testFleet.world.runtime(testFleet.hostOf(host));
     await runtime.net.serveHttp(
-      x.at,
-      (ask, say) => {
-        if (ask.path === '/report') {
-          say.writeHead(200, {});
-          say.end('{"CacheTotal": 6000}');
+      worker.at,
+      (request, response) => {
+        if (request.path === '/report') {
+          response.writeHead(200, {});
+          response.end('{"CacheTotal": 6000}');
           return;
         }
-        say.writeHead(200, { 'content-type': 'text/event-stream' });
-        say.write('data: {"choices":[{"delta":{"content":"a "},"finish_reason":null}]}\n\n');
-        say.end();
+        response.writeHead(200, { 'content-type': 'text/event-stream' });
+        response.write('data: {"choices":[{"delta":{"content":"a "},"finish_reason":null}]}\n\n');
+        response.end();
       },
       1 << 20,
     );
   }
   let text = '';
   let ended: 'clean' | 'cut' | null = null;
-  const read = async (): Promise<void> => {
-    const r = await f.callerRuntime.net.request({
-      at: f.process('gateway-edge1').options['http'] as Address,
+  const readStream = async (): Promise<void> => {
+    const reply = await testFleet.callerRuntime.net.request({
+      at: testFleet.process('gateway-edge1').options['http'] as Address,
       method: 'POST',
       path: '/v1/chat/completions',
       headers,
@@ -43,83 +44,85 @@
       headersTimeout: duration.s(3),
     });
     try {
-      for await (const p of r.body) text += p;
+      for await (const chunk of reply.body) text += chunk;
       ended = 'clean';
     } catch {
       ended = 'cut';
     }
   };
-  void read();
-  await f.until('the stream to end', () => ended !== null, duration.s(20));
+  void readStream();
+  await testFleet.until('the stream to end', () => ended !== null, duration.s(20));
   assert.is(ended, 'cut');
   assert.not.match(text, /DONE/);
 });
 
-test('a reader that stops reading holds the worker back, is let go of, and its turn is settled', async () => {
-  const f = await fleet.open({ seed: 4, shape: 'lautoka' });
-  for (const m of f.models) await m.close();
-  let written = 0;
-  let ended = false;
-  for (const x of f.layout.workers.filter((y) => y.kind === 'model')) {
-    const runtime = f.world.runtime(f.hostOf(x.at.split(':')[0]!));
+test('a reader that stops reading applies backpressure, is disconnected, and its turn is settled', async () => {
+  const testFleet = await fleet.open({ seed: 4, shape: 'lautoka' });
+  for (const model of testFleet.models) await model.close();
+  let chunkCount = 0;
+  let isEnded = false;
+  for (const worker of testFleet.layout.workers.filter((candidate) => candidate.kind === 'model')) {
+    const runtime = testFleet.world.runtime(testFleet.hostOf(worker.at.split(':')[0]!));
     await runtime.net.serveHttp(
-      x.at,
-      async (ask, say) => {
-        if (ask.path === '/report') {
-          say.writeHead(200, {});
-          say.end('{"CacheTotal": 6000}');
+      worker.at,
+      async (request, response) => {
+        if (request.path === '/report') {
+          response.writeHead(200, {});
+          response.end('{"CacheTotal": 6000}');
           return;
         }
-        say.writeHead(200, { 'content-type': 'text/event-stream' });
+        response.writeHead(200, { 'content-type': 'text/event-stream' });
         for (let i = 0; i < 400; i++) {
-          written += 1;
-          if (!say.write(`data: {"choices":[{"delta":{"content":"${'z'.repeat(2000)}"},"finish_reason":null}]}\n\n`))
-            await say.drained();
+          chunkCount += 1;
+          if (
+            !response.write(`data: {"choices":[{"delta":{"content":"${'z'.repeat(2000)}"},"finish_reason":null}]}\n\n`)
+          )
+            await response.drained();
         }
-        say.write('data: {"choices":[],"usage":{"prompt_tokens":5,"completion_tokens":7}}\n\n');
-        say.end('data: [DONE]\n\n');
-        ended = true;
+        response.write('data: {"choices":[],"usage":{"prompt_tokens":5,"completion_tokens":7}}\n\n');
+        response.end('data: [DONE]\n\n');
+        isEnded = true;
       },
       1 << 20,
     );
   }
-  let r: HttpClientResponse | undefined;
-  void f.callerRuntime.net
+  let reply: HttpClientResponse | undefined;
+  void testFleet.callerRuntime.net
     .request({
-      at: f.process('gateway-edge1').options['http'] as Address,
+      at: testFleet.process('gateway-edge1').options['http'] as Address,
       method: 'POST',
       path: '/v1/chat/completions',
       headers,
       body,
       headersTimeout: duration.s(3),
     })
-    .then((x) => {
-      r = x;
+    .then((result) => {
+      reply = result;
     });
-  await f.until('the head of the stream', () => r !== undefined, duration.s(5));
-  await f.world.run(f.world.now() + duration.s(3));
-  assert.ok(written < 200, `${written} pieces were read ahead of a reader that reads nothing`);
-  await f.until('the worker to finish', () => ended, duration.s(20));
+  await testFleet.until('the head of the stream', () => reply !== undefined, duration.s(5));
+  await testFleet.world.run(testFleet.world.now() + duration.s(3));
+  assert.ok(chunkCount < 200, `${chunkCount} chunks were read ahead of a reader that reads nothing`);
+  await testFleet.until('the worker to finish', () => isEnded, duration.s(20));
   let budgetRecord: { spent: number; open: unknown } | undefined;
-  void f
+  void testFleet
     .process('gateway-edge2')
     .node!.registers.read('program/p1')
-    .then((v) => {
-      budgetRecord = v as typeof budgetRecord;
+    .then((record) => {
+      budgetRecord = record as typeof budgetRecord;
     });
-  await f.world.run(f.world.now() + duration.s(2));
+  await testFleet.world.run(testFleet.world.now() + duration.s(2));
   assert.equal([budgetRecord!.spent, budgetRecord!.open], [12, null]);
-  assert.is(f.process('gateway-edge1').node!.counts()['slow_cut'], 1);
+  assert.is(testFleet.process('gateway-edge1').node!.counts()['slow_cut'], 1);
 });
-test('an edge killed in the middle of streams costs its own and no others', async () => {
-  const f = await fleet.open({ seed: 6, shape: 'granite', perToken: duration.ms(40) });
+test('a gateway killed in mid-stream cuts its own streams and no others', async () => {
+  const testFleet = await fleet.open({ seed: 6, shape: 'granite', perToken: duration.ms(40) });
   const ended = new Map<string, 'clean' | 'cut'>();
   for (const [i, name] of ['gateway-edge1', 'gateway-edge2', 'gateway-edge3', 'gateway-edge4'].entries()) {
-    const read = async (): Promise<void> => {
+    const readStream = async (): Promise<void> => {
       let text = '';
       try {
-        const r = await f.callerRuntime.net.request({
-          at: f.process(name).options['http'] as Address,
+        const reply = await testFleet.callerRuntime.net.request({
+          at: testFleet.process(name).options['http'] as Address,
           method: 'POST',
           path: '/v1/chat/completions',
           headers: {
@@ -130,48 +133,48 @@
           body,
           headersTimeout: duration.s(4),
         });
-        for await (const p of r.body) text += p;
+        for await (const chunk of reply.body) text += chunk;
         ended.set(name, text.includes('[DONE]') ? 'clean' : 'cut');
       } catch {
         ended.set(name, 'cut');
       }
     };
-    void read();
+    void readStream();
   }
-  await f.world.run(f.world.now() + duration.ms(300));
-  f.kill('gateway-edge2', 'power');
-  await f.until('the streams to end', () => ended.size === 4, duration.s(30));
+  await testFleet.world.run(testFleet.world.now() + duration.ms(300));
+  testFleet.kill('gateway-edge2', 'power');
+  await testFleet.until('the streams to end', () => ended.size === 4, duration.s(30));
   assert.equal(Object.fromEntries([...ended].sort()), {
     'gateway-edge1': 'clean',
     'gateway-edge2': 'cut',
     'gateway-edge3': 'clean',
     'gateway-edge4': 'clean',
   });
-  // The program of the lost turn is served by another edge; its turn stays charged.
-  let again: number | undefined;
-  const end = f.world.now() + duration.s(10);
-  while (again !== 200 && f.world.now() < end) {
-    let r: { status: number } | undefined;
-    void f
+  // The program of the lost turn is served by another gateway; its turn stays charged.
+  let status: number | undefined;
+  const deadline = testFleet.world.now() + duration.s(10);
+  while (status !== 200 && testFleet.world.now() < deadline) {
+    let reply: { status: number } | undefined;
+    void testFleet
       .http(
-        f.process('gateway-edge5').options['http'] as Address,
+        testFleet.process('gateway-edge5').options['http'] as Address,
         'POST',
         '/v1/chat/completions',
         { messages: [{ role: 'user', content: 'more [last]' }], max_tokens: 8, stream: false },
         { 'x-thornsail-program': 'p1', 'x-thornsail-class': 'diagnose' },
       )
       .then(
-        (x) => {
-          r = x;
+        (result) => {
+          reply = result;
         },
         () => {
-          r = { status: 0 };
+          reply = { status: 0 };
         },
       );
-    await f.until('a result', () => r !== undefined, duration.s(10));
-    again = r!.status;
+    await testFleet.until('a result', () => reply !== undefined, duration.s(10));
+    status = reply!.status;
   }
-  assert.is(again, 200);
-  assert.equal(f.breaches(), []);
+  assert.is(status, 200);
+  assert.equal(testFleet.breaches(), []);
 });
 test.run();
--- a/tools/simulation/test/upgrade-disks.test.ts
+++ b/tools/simulation/test/upgrade-disks.test.ts
@@ -1,6 +1,6 @@
-// A rolling upgrade by its disks: folders that the release before has written are read by this one, and what operators
-// then hear is what that release told them. `fixtures/disks-of-release-0.1.json` holds the files of three coordinators
-// and three stores of a real fleet of that release, killed under load, and the answers of its API just before.
+// The disks of a rolling upgrade: this release reads the data folders of the previous release, and its API then gives
+// operators the same answers. `fixtures/disks-of-release-0.1.json` holds the files of three coordinators and three
+// stores of a real fleet of that release, killed under load, and the answers of its API just before.
 import { readFileSync } from 'node:fs';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -30,10 +30,10 @@
   ...[...JSON.stringify(recorded.disks).matchAll(/touched\\+":(\d{16})/g)].map((match) => Number(match[1])),
 );
 
-const startAll = (simulated: World): Runtime => {
+const startAll = (simulation: World): Runtime => {
   for (const machine of machines) {
-    const host = simulated.host(machine.host, machine.zone);
-    const runtime = simulated.runtime(host);
+    const host = simulation.host(machine.host, machine.zone);
+    const runtime = simulation.runtime(host);
     host.clockSkew += recordedAt + duration.s(5) - runtime.clock.wallTime();
     for (const [file, text] of Object.entries(recorded.disks[machine.name]!)) host.files.set(file, text);
     const options = {
@@ -48,56 +48,56 @@
     if (machine.role === 'store') void roles.store(runtime, options);
     else void roles.coordinator(runtime, { ...options, founders, tolerates: 1, leastStores: 0 });
   }
-  return simulated.runtime(simulated.host('127.181.9.9', 'z1'));
+  return simulation.runtime(simulation.host('127.181.9.9', 'z1'));
 };
-const answerOf = async (simulated: World, client: Runtime, path: string): Promise<Record<string, unknown>> => {
+const answerOf = async (simulation: World, client: Runtime, path: string): Promise<Record<string, unknown>> => {
   let answer: Record<string, unknown> | undefined;
   void client.net
     .request({ at: `${network}.2.1:7102`, method: 'GET', path: `/thornsail/v1/${path}`, headersTimeout: duration.s(5) })
     .then(async (response) => {
       answer = JSON.parse(await readText(response.body)) as Record<string, unknown>;
     });
-  await simulated.run(simulated.now() + duration.s(6));
+  await simulation.run(simulation.now() + duration.s(6));
   assert.ok(answer, `${path} was not answered`);
   return answer;
 };
-const upgraded = async (): Promise<{ simulated: World; client: Runtime }> => {
-  const simulated = world.open({
+const startUpgraded = async (): Promise<{ simulation: World; client: Runtime }> => {
+  const simulation = world.open({
     seed: 7,
     zoneDelay: duration.ms(1),
     clientDelay: duration.ms(1),
     clientIp: '127.181.9.9',
   });
-  const client = startAll(simulated);
-  await simulated.run(duration.s(5));
-  return { simulated, client };
+  const client = startAll(simulation);
+  await simulation.run(duration.s(5));
+  return { simulation, client };
 };
 
-test('disks of the release before, started by this one, give the same configuration, budgets, registers', async () => {
-  const { simulated, client } = await upgraded();
-  const config = await answerOf(simulated, client, 'config');
+test('nodes started on disks of the previous release have its configuration, budgets and registers', async () => {
+  const { simulation, client } = await startUpgraded();
+  const config = await answerOf(simulation, client, 'config');
   assert.is(config['mark'], 2);
-  const programs = await answerOf(simulated, client, 'programs');
+  const programs = await answerOf(simulation, client, 'programs');
   assert.equal(programs['programs'], recorded.api.programs['programs']);
   type Row = { key: string; kind: string; members: number };
   const rows = (answer: Record<string, unknown>): Row[] =>
     (answer['registers'] as Row[]).map(({ key, kind, members }) => ({ key, kind, members }));
-  const registers = await answerOf(simulated, client, 'registers?limit=500');
+  const registers = await answerOf(simulation, client, 'registers?limit=500');
   assert.equal(rows(registers), rows(recorded.api.registers));
 });
 
-test('the group of stores and the nodes of the release before are known by their roles after an upgrade', async () => {
-  const { simulated, client } = await upgraded();
-  const group = await answerOf(simulated, client, 'keepers');
+test('the store group and the nodes of the previous release keep their ids and roles after an upgrade', async () => {
+  const { simulation, client } = await startUpgraded();
+  const group = await answerOf(simulation, client, 'keepers');
   const ids = (answer: Record<string, unknown>): string[] =>
     (answer['members'] as { id: string }[]).map((member) => member.id);
   assert.equal(ids(group), ids(recorded.api.keepers));
   type Node = { id: string; role: string; place: string };
-  const core = (answer: Record<string, unknown>): Node[] =>
+  const coreNodes = (answer: Record<string, unknown>): Node[] =>
     (answer['nodes'] as Node[])
       .filter((node) => node.role === 'tower' || node.role === 'keeper')
       .map(({ id, role, place }) => ({ id, role, place }));
-  assert.is(core(recorded.api.nodes).length, 6);
-  assert.equal(core(await answerOf(simulated, client, 'nodes')), core(recorded.api.nodes));
+  assert.is(coreNodes(recorded.api.nodes).length, 6);
+  assert.equal(coreNodes(await answerOf(simulation, client, 'nodes')), coreNodes(recorded.api.nodes));
 });
 test.run();
