--- a/eslint.config.js
+++ b/eslint.config.js
@@ -7,14 +7,14 @@
 import { limitedFiles, limits } from './lint/limits.js';
 import { withdrawn } from './lint/withdrawn-words.js';
 
-/** Files that were over a limit when it was set, by the rule; limits.test holds that the list only shrinks. */
+/** Files over a limit, by rule; limits.test.ts checks that the list does not grow. */
 const exceptions = JSON.parse(readFileSync(new URL('./lint/exceptions.json', import.meta.url), 'utf8'));
 
 const sources = ['{packages,programs,tools,platform}/**/*.ts', 'examples/*.ts'];
-/** Modules that map names of the release before to those of the code; they go with these names. */
-const mapsFormerNames = [
+/** Modules that translate names of the previous release; they are removed together with those names. */
+const formerNameModules = [
   '**/{deprecated-names,wire,*-codec,core-messages,decode-reply}.ts',
-  // The codes that clients get are words of the interface.
+  // Error codes that clients receive are part of the API.
   'packages/data-plane/src/errors.ts',
   '**/{upgrade*,former*,deprecated-names,state-codec}.test.ts',
 ];
@@ -33,7 +33,7 @@
     rules: {
       'import-x/no-cycle': 'error',
       'withdrawn/words': 'error',
-      // A name that is taken out of an object only to leave it out of the rest.
+      // Allows destructuring a property only to omit it from the rest.
       '@typescript-eslint/no-unused-vars': ['error', { varsIgnorePattern: '^_', argsIgnorePattern: '^_' }],
       'no-restricted-syntax': [
         'error',
@@ -58,6 +58,6 @@
     },
   },
   { files: limitedFiles, rules: limits },
-  { files: mapsFormerNames, rules: { 'withdrawn/words': 'off' } },
+  { files: formerNameModules, rules: { 'withdrawn/words': 'off' } },
   ...Object.entries(exceptions).map(([rule, files]) => ({ files, rules: { [rule]: 'off' } })),
 ];
--- a/lint/limits.js
+++ b/lint/limits.js
@@ -1,12 +1,12 @@
-// The limits that keep the code readable (CONTRIBUTING.md, "Naming and size"). They hold for all sources but the tests.
+// Size and naming limits (CONTRIBUTING.md, "Naming and size") for all sources except tests.
 
-/** The files that the limits hold for. */
+/** Glob patterns of the files to which the limits apply. */
 export const limitedFiles = ['{packages,programs,tools}/*/src/**/*.ts', 'platform/src/**/*.ts', 'examples/*.ts'];
 
-/** The width that the code is formatted to; the limits that count lines are meant for text of this width. */
+/** Line width at which the limits on numbers of lines are checked. */
 export const printWidth = 100;
 
-/** The rules by their names in eslint. */
+/** The limits as ESLint rules. */
 export const limits = {
   'max-lines': ['error', { max: 400 }],
   'max-lines-per-function': ['error', { max: 60 }],
--- a/lint/over-limits.js
+++ b/lint/over-limits.js
@@ -1,5 +1,5 @@
-// Which sources are over which limit, once formatted to the width that the limits are meant for.
-// `node lint/over-limits.js` prints the list in the form of lint/exceptions.json.
+// Finds the sources that exceed a limit when formatted to `printWidth`.
+// `node lint/over-limits.js` prints them in the format of lint/exceptions.json.
 import { readdirSync, readFileSync } from 'node:fs';
 import path from 'node:path';
 import { fileURLToPath } from 'node:url';
@@ -22,12 +22,12 @@
   },
 ];
 
-/** Sources of the folder and of those below it, by paths from the root. */
-const below = (folder) =>
+/** TypeScript sources in a folder and its subfolders, as paths relative to the root. */
+const sourcesIn = (folder) =>
   readdirSync(path.join(root, folder), { recursive: true })
     .filter((file) => file.endsWith('.ts') && !file.endsWith('.d.ts'))
     .map((file) => path.join(folder, file));
-/** The files of `limitedFiles`; Node.js 20 has no glob of its own. */
+/** The files that match `limitedFiles`; listed by hand, as Node.js 20 has no glob function. */
 const sources = () =>
   [
     ...['packages', 'programs', 'tools'].flatMap((folder) =>
@@ -36,20 +36,21 @@
     'platform/src',
     'examples',
   ]
-    .flatMap(below)
+    .flatMap(sourcesIn)
     .sort();
 
-const rulesBroken = async (file) => {
+/** Names of the rules that a file violates at `printWidth`. */
+const violatedRules = async (file) => {
   const text = readFileSync(path.join(root, file), 'utf8');
   const formatted = await prettier.format(text, { ...style, printWidth, parser: 'typescript' });
   return new Set(linter.verify(formatted, config, { filename: file }).map((message) => message.ruleId));
 };
 
-/** Files by the rule that they are over, as `{ rule: [file, ...] }`, both in a fixed order. */
+/** Returns the files over each limit, as `{ rule: [file, ...] }`, in a stable order. */
 export const overLimits = async () => {
   const over = Object.fromEntries(Object.keys(limits).map((rule) => [rule, []]));
   for (const file of sources()) {
-    for (const rule of await rulesBroken(file)) over[rule].push(file);
+    for (const rule of await violatedRules(file)) over[rule].push(file);
   }
   return over;
 };
--- a/lint/set-width.js
+++ b/lint/set-width.js
@@ -1,4 +1,4 @@
-// Sets the width that prettier formats to, once and for all sources: `npm run format:100` does both.
+// Sets the line width in the Prettier configuration to `printWidth`; `npm run format:100` also reformats all sources.
 import { readFileSync, writeFileSync } from 'node:fs';
 import { printWidth } from './limits.js';
 
--- a/lint/withdrawn-words.js
+++ b/lint/withdrawn-words.js
@@ -1,8 +1,8 @@
-// A lint rule of our own: words of the withdrawn naming theme may stand in no identifier, comment or file name.
-// Modules that map names of the release before (on the wire, on disk, on the command line) are exempt, by path.
+// A custom ESLint rule: words of the withdrawn naming theme are not allowed in identifiers, comments and file names.
+// Modules that translate names of the previous release (wire format, stored data, command line) are exempt by path.
 import path from 'node:path';
 
-/** The withdrawn words, in the singular; a plural counts as its singular. */
+/** The withdrawn words, in the singular; plurals are matched by their singular. */
 export const withdrawnWords = [
   'lens',
   'pipe',
@@ -31,14 +31,14 @@
   'mates',
 ];
 
-const words = new Set(withdrawnWords);
-const singular = (word) => (word.endsWith('s') && !words.has(word) ? word.slice(0, -1) : word);
-/** The withdrawn words within a text, each part of a camel-case name being a word. */
-const found = (text) =>
+const wordSet = new Set(withdrawnWords);
+const singular = (word) => (word.endsWith('s') && !wordSet.has(word) ? word.slice(0, -1) : word);
+/** The withdrawn words in a text; camel-case names are split into their words. */
+const findWithdrawnWords = (text) =>
   (text.match(/[A-Za-z]+/g) ?? [])
     .flatMap((name) => name.split(/(?<=[a-z])(?=[A-Z])/))
     .map((word) => singular(word.toLowerCase()))
-    .filter((word) => words.has(word));
+    .filter((word) => wordSet.has(word));
 
 const rule = {
   meta: {
@@ -49,11 +49,11 @@
   },
   create: (context) => {
     const report = (node, text) => {
-      for (const word of found(text)) context.report({ node, messageId: 'withdrawn', data: { word } });
+      for (const word of findWithdrawnWords(text)) context.report({ node, messageId: 'withdrawn', data: { word } });
     };
     return {
       'Identifier': (node) => report(node, node.name),
-      // Comments are no nodes of the tree, and are looked at once for each file.
+      // Comments are not part of the syntax tree, so they are checked once for each file.
       'Program:exit': (node) => {
         report(node, path.basename(context.filename));
         for (const comment of context.sourceCode.getAllComments()) report(comment, comment.value);
@@ -62,5 +62,5 @@
   },
 };
 
-/** The rule as a plugin: `withdrawn/words`. */
+/** ESLint plugin with the rule `withdrawn/words`. */
 export const withdrawn = { rules: { words: rule } };
--- a/tools/simulation/src/fleet/load.ts
+++ b/tools/simulation/src/fleet/load.ts
@@ -24,9 +24,9 @@
     // Makes the programs' names differ from those of an earlier load.
     const tag = world.now().toString(36);
     for (let i = 0; i < chats; i++)
-      startAtRandom(() => callers().chat({ turns: 2 + rand.int(3), kept: false, program: `p${tag}-${i}` }));
+      startAtRandom(() => callers().chat({ turns: 2 + rand.int(3), stored: false, program: `p${tag}-${i}` }));
     for (let i = 0; i < kept; i++)
-      startAtRandom(() => callers().chat({ turns: 6 + rand.int(3), kept: true, program: `k${tag}-${i}` }));
+      startAtRandom(() => callers().chat({ turns: 6 + rand.int(3), stored: true, program: `k${tag}-${i}` }));
     for (let i = 0; i < jobs; i++)
       startAtRandom(() => callers().job({ urgent: i % 2 === 0, once: i % 4 < 2, key: `j${tag}-${i}` }));
     let isDone = false;
--- a/tools/simulation/src/fleet/types.ts
+++ b/tools/simulation/src/fleet/types.ts
@@ -1,6 +1,15 @@
 // The types of a simulated deployment, as the scenarios use it.
 import type { Address, Microseconds, Runtime } from '@thornsail/runtime';
-import type { Callers, Layout, Listed, Platform, RequestLog, Shape, ShapeName, StandIn } from '@thornsail/test-harness';
+import type {
+  Callers,
+  Layout,
+  ListedWorker,
+  Platform,
+  RequestLog,
+  Shape,
+  ShapeName,
+  StandInWorker,
+} from '@thornsail/test-harness';
 import type { Node } from '@thornsail/thornsail';
 import type { Host, World } from '../world/index.js';
 
@@ -30,8 +39,8 @@
   layout: Layout;
   requestLog: RequestLog;
   processes: FleetProcess[];
-  models: StandIn[];
-  apps: StandIn[];
+  models: StandInWorker[];
+  apps: StandInWorker[];
   callers: Callers;
   callerRuntime: Runtime;
   platform: Platform;
@@ -47,7 +56,7 @@
   addEdge: (n: number) => void;
   addStore: (name: string, ip: string) => void;
   /** Starts a worker on its own machine, which the platform does not list yet. */
-  addWorker: (worker: Listed) => Promise<StandIn>;
+  addWorker: (worker: ListedWorker) => Promise<StandInWorker>;
   /** Pauses a process for a period. */
   freeze: (name: string, period: Microseconds) => void;
   /** Partitions two sets of processes; returns a function that heals the partition. */
--- a/tools/simulation/src/fleet/workers.ts
+++ b/tools/simulation/src/fleet/workers.ts
@@ -3,21 +3,21 @@
 import {
   standIns,
   type Layout,
-  type Listed,
+  type ListedWorker,
   type Platform,
   type RequestLog,
   type Shape,
-  type StandIn,
+  type StandInWorker,
 } from '@thornsail/test-harness';
 import type { World } from '../world/index.js';
 import type { Machines } from './machines.js';
 
 /** The workers by kind, in order of their start, and the platform that lists them. */
 export type Workers = {
-  models: StandIn[];
-  apps: StandIn[];
+  models: StandInWorker[];
+  apps: StandInWorker[];
   platform: Platform;
-  start: (worker: Listed, zone: string) => Promise<StandIn>;
+  start: (worker: ListedWorker, zone: string) => Promise<StandInWorker>;
 };
 type WorkersOptions = {
   world: World;
@@ -38,17 +38,17 @@
 /** Starts the workers of the layout, then the platform that lists them. */
 export const openWorkers = async (options: WorkersOptions): Promise<Workers> => {
   const { world, machines, shape, layout, requestLog, places } = options;
-  const models: StandIn[] = [];
-  const apps: StandIn[] = [];
-  const start = async ({ id, at: address, kind }: Listed, zone: string): Promise<StandIn> => {
+  const models: StandInWorker[] = [];
+  const apps: StandInWorker[] = [];
+  const start = async ({ id, at: address, kind }: ListedWorker, zone: string): Promise<StandInWorker> => {
     const runtime = world.runtime(machines.host(ipOf(address), zone));
     const common = { id, at: address, requestLog, rand: runtime.rand };
     const { capacity, firstToken, perToken } = shape;
     const speed = { capacity, firstToken, perToken, perPrefill: prefillPerToken };
     const worker =
       kind === 'model'
-        ? await standIns.model(runtime, { ...common, ...speed, places: places.model })
-        : await standIns.app(runtime, { ...common, takes: appJobTime, places: places.app });
+        ? await standIns.model(runtime, { ...common, ...speed, concurrency: places.model })
+        : await standIns.app(runtime, { ...common, serviceTime: appJobTime, concurrency: places.app });
     (kind === 'model' ? models : apps).push(worker);
     return worker;
   };
--- a/tools/simulation/src/measurement/day.ts
+++ b/tools/simulation/src/measurement/day.ts
@@ -79,7 +79,7 @@
   return {
     turns: f.callers.summary.turns,
     prompt: e.reduce((a, x) => a + x.prompt, 0),
-    reprefilled: e.reduce((a, x) => a + x.reprefilled, 0),
+    reprefilled: e.reduce((a, x) => a + x.prefilled, 0),
     held: sumGatewayCounts(f, 'held'),
     resumed: sumGatewayCounts(f, 'resumed'),
     forced: sumGatewayCounts(f, 'forced'),
--- a/tools/simulation/src/scenario-support.ts
+++ b/tools/simulation/src/scenario-support.ts
@@ -1,7 +1,7 @@
 // Helpers that the scenarios share (§9.4): names of the processes, outcome of a run, replacement of workers, and the
 // time until a deployment serves again.
 import { duration, type Address, type Microseconds } from '@thornsail/runtime';
-import { silent, type Listed, type ShapeName, type StandIn } from '@thornsail/test-harness';
+import { classifySilences, type ListedWorker, type ShapeName, type StandInWorker } from '@thornsail/test-harness';
 import { apiRoot } from '@thornsail/admin-api';
 import type { Fleet } from './fleet/index.js';
 
@@ -49,16 +49,16 @@
       resumed: sumGatewayCounts(deployment, 'resumed'),
       forced: sumGatewayCounts(deployment, 'forced'),
       lost: sumGatewayCounts(deployment, 'lost'),
-      slowest_ms: duration.toMs(summary.slowest),
-      late_at_workers: silent(deployment.requestLog, summary.silences, deployment.shape.firstToken).atWorkers,
-      worst_line: Math.max(0, ...deployment.models.map((model) => model.peak().line)),
+      slowest_ms: duration.toMs(summary.longestWait),
+      late_at_workers: classifySilences(deployment.requestLog, summary.silences, deployment.shape.firstToken).atWorkers,
+      worst_line: Math.max(0, ...deployment.models.map((model) => model.peak().queued)),
       ...figures,
     },
   };
 };
 /** Picks a random worker that has not left yet; without `follows` (a replacement follows), not the last of its kind. */
-export const pickLeavingWorker = (deployment: Fleet, follows = false): Listed => {
-  const present = deployment.layout.workers.filter((worker) => !deployment.platform.leftAt.has(worker.id));
+export const pickLeavingWorker = (deployment: Fleet, follows = false): ListedWorker => {
+  const present = deployment.layout.workers.filter((worker) => !deployment.platform.leavingSince.has(worker.id));
   const candidates = present.filter(
     (worker) => follows || present.some((other) => other !== worker && other.kind === worker.kind),
   );
@@ -70,10 +70,10 @@
  */
 export const replaceWorker = async (
   deployment: Fleet,
-  old: Listed,
+  old: ListedWorker,
   n: number,
   how: 'leave' | 'drop' = 'leave',
-): Promise<StandIn> => {
+): Promise<StandInWorker> => {
   const address = `127.77.${old.kind === 'model' ? 14 : 15}.${n + 1}:7300`;
   const replacement = { id: `${old.id}b`, at: address, kind: old.kind };
   deployment.platform[how](old.id);
--- a/tools/simulation/src/scenarios/budget.ts
+++ b/tools/simulation/src/scenarios/budget.ts
@@ -58,7 +58,7 @@
             f.kill(n, 'power');
             f.world.scheduleAt(f.world.now() + duration.ms(500 + r.int(1500)), () => f.start(n));
           }
-        } else f.models[r.int(f.models.length)]!.faults.dieMidStream = 0.5;
+        } else f.models[r.int(f.models.length)]!.faults.abortStream = 0.5;
       }
     };
     void bring();
--- a/tools/simulation/src/scenarios/kept.ts
+++ b/tools/simulation/src/scenarios/kept.ts
@@ -53,6 +53,6 @@
         });
     }
     await f.until('the readers to end', () => open === 0, duration.s(20));
-    return outcomeOf(f, { recalled: f.callers.summary.recalled });
+    return outcomeOf(f, { recalled: f.callers.summary.readBack });
   },
 };
--- a/tools/simulation/src/scenarios/rolling.ts
+++ b/tools/simulation/src/scenarios/rolling.ts
@@ -94,7 +94,7 @@
     await waitForLoad(f, l);
     await waitForLoad(f, meanwhile);
     const none = unserved() - before;
-    const out = outcomeOf(f, { no_worker: none, replaced: f.platform.leftAt.size });
+    const out = outcomeOf(f, { no_worker: none, replaced: f.platform.leavingSince.size });
     if (out.figures['replaced'] !== 3) out.breaches.push(`${out.figures['replaced']} workers were replaced, not 3`);
     if (none > 0) out.breaches.push(`${none} requests found no worker though there always were some`);
     return out;
--- a/tools/simulation/src/scenarios/streams.ts
+++ b/tools/simulation/src/scenarios/streams.ts
@@ -10,8 +10,8 @@
     const f = await fleet.open({ seed, shape, log });
     const r = f.world.rand;
     for (const m of f.models) {
-      m.faults.dieMidStream = 0.15;
-      m.faults.loseResult = 0.05;
+      m.faults.abortStream = 0.15;
+      m.faults.loseResponse = 0.05;
     }
     const l = f.load({ chats: 80, kept: 10, jobs: 10, spreadOver: duration.s(6) });
     for (let i = 0; i < 3; i++)
--- a/tools/simulation/src/world/connection-response.ts
+++ b/tools/simulation/src/world/connection-response.ts
@@ -1,6 +1,6 @@
 // The server's side of one exchange on a simulated connection: writes the response, which may violate HTTP on purpose.
 import { duration, type Microseconds } from '@thornsail/runtime';
-import type { WireSay } from '@thornsail/test-harness';
+import type { FaultyWriter } from '@thornsail/test-harness';
 import type { OneWayChannel } from './one-way-channel.js';
 import type { Host } from './host.js';
 import { httpMessage } from './http-message.js';
@@ -38,7 +38,7 @@
  * A response in progress. `closed` marks its connection as closed; `read` reports how many more bytes the client has
  * read.
  */
-export type ServerResponse = { writer: WireSay; closed: () => void; read: (bytes: number) => void };
+export type ServerResponse = { writer: FaultyWriter; closed: () => void; read: (bytes: number) => void };
 
 type ResponseState = {
   options: ResponseOptions;
@@ -71,7 +71,7 @@
   state.options.onAborted(code);
 };
 
-const writeHead = (state: ResponseState, ...[status, headers]: Parameters<WireSay['writeHead']>): void => {
+const writeHead = (state: ResponseState, ...[status, headers]: Parameters<FaultyWriter['writeHead']>): void => {
   const { toClient, client, idleTimeout } = state.options;
   const raw = httpMessage.toRawHeaders(headers);
   const table = httpMessage.headerTable(raw);
@@ -98,7 +98,10 @@
   state.onComplete(state.disposition);
 };
 /** Sends a second, unrequested response on the same connection, `after` microseconds behind this one. */
-const sendSurplus = (state: ResponseState, ...[after, status, headers, body]: Parameters<WireSay['surplus']>): void => {
+const sendSurplus = (
+  state: ResponseState,
+  ...[after, status, headers, body]: Parameters<FaultyWriter['surplus']>
+): void => {
   const { network, host, toClient, client, isOpen } = state.options;
   const send = (): void => {
     if (!isOpen()) return;
@@ -113,7 +116,7 @@
   };
 };
 
-const writerOf = (state: ResponseState): WireSay => ({
+const writerOf = (state: ResponseState): FaultyWriter => ({
   writeHead: (status, headers) => writeHead(state, status, headers),
   write: (chunk) => write(state, chunk),
   drained: () =>
@@ -125,13 +128,13 @@
   abort: () => abort(state, 'UND_ERR_SOCKET'),
   isClosed: () => state.isClosed,
   onClose: (run) => (state.isClosed ? run() : void state.onClose.push(run)),
-  garble: () => state.options.toClient.send(() => state.options.client.failed('HPE_INVALID_CONSTANT')),
+  sendGarbage: () => state.options.toClient.send(() => state.options.client.failed('HPE_INVALID_CONSTANT')),
   reset: () => abort(state, 'ECONNRESET'),
   surplus: (...args) => sendSurplus(state, ...args),
-  unframed: () => {
+  omitFraming: () => {
     state.isUnframed = true;
   },
-  forget: () => {
+  resetNextRequest: () => {
     state.disposition = 'forgotten';
   },
 });
--- a/tools/simulation/src/world/host.ts
+++ b/tools/simulation/src/world/host.ts
@@ -1,6 +1,6 @@
 // A simulated process and the machine it runs on: its disk, its clock skew, and its listeners by address.
 import { fault, type Address, type HttpHandler, type HttpServer, type Microseconds } from '@thornsail/runtime';
-import type { WireHandler } from '@thornsail/test-harness';
+import type { FaultyHandler } from '@thornsail/test-harness';
 import { simulatedDisk, type DiskState } from './disk.js';
 
 /** A callback scheduled for a time; dropped if its host has ended or restarted by then. */
@@ -29,7 +29,7 @@
  */
 export type HttpListener = {
   handler: HttpHandler;
-  wire: WireHandler;
+  wire: FaultyHandler;
   idleTimeout: () => Microseconds;
   admit: (change: 1 | -1) => boolean;
 };
--- a/tools/simulation/src/world/world.ts
+++ b/tools/simulation/src/world/world.ts
@@ -10,7 +10,7 @@
   type Random,
   type Runtime,
 } from '@thornsail/runtime';
-import type { Wire, WireHandler } from '@thornsail/test-harness';
+import type { FaultyHttp, FaultyHandler } from '@thornsail/test-harness';
 import { connect } from './connection.js';
 import { simulatedDisk, type HostFailure, type DiskEnvironment } from './disk.js';
 import { openEventLoop } from './event-loop.js';
@@ -43,7 +43,7 @@
   host: (ip: string, zone: string) => Host;
   runtime: (host: Host) => Runtime;
   /** Serves HTTP on this host by handlers that may violate HTTP. */
-  wire: (host: Host) => Wire;
+  wire: (host: Host) => FaultyHttp;
   /** Runs all events up to a time. */
   run: (until: Microseconds) => Promise<void>;
   scheduleAt: (at: Microseconds, run: () => void) => void;
@@ -114,17 +114,17 @@
 
 /** Adapts a handler for single calls, on which a protocol violation is not possible and aborts the response instead. */
 const singleCallHandler =
-  (handler: WireHandler): HttpListener['handler'] =>
+  (handler: FaultyHandler): HttpListener['handler'] =>
   (request, writer) =>
     handler(request, {
       ...writer,
-      garble: writer.abort,
+      sendGarbage: writer.abort,
       reset: writer.abort,
       surplus: () => undefined,
-      unframed: () => undefined,
-      forget: () => undefined,
+      omitFraming: () => undefined,
+      resetNextRequest: () => undefined,
     });
-const wireOf = (network: Network, host: Host): Wire => ({
+const wireOf = (network: Network, host: Host): FaultyHttp => ({
   serve: (address, handler, { idleFor, connections }) =>
     promiseOf(() =>
       listen(
--- a/tools/test-harness/src/callers/callers.ts
+++ b/tools/test-harness/src/callers/callers.ts
@@ -1,13 +1,13 @@
-// Stand-in callers (§9.3): the brief's kinds of load, and the checks that a caller can make itself.
-import { openAccount, type CallerOptions } from './account.js';
-import { holdChat, type Chat } from './chat.js';
+// Simulated callers (§9.3): the kinds of load, and the checks that a caller itself can make.
+import { openCallerState, type CallerOptions } from './caller-state.js';
+import { runChat, type Chat } from './chat.js';
 import { submitJob, type Job } from './job.js';
-import type { KeyStory, Summary } from './summary.js';
+import type { KeyHistory, Summary } from './summary.js';
 
-/** Callers of one run, with what they saw so far. */
+/** The callers of one run, with the results that they have recorded so far. */
 export type Callers = {
   summary: Summary;
-  keys: Map<string, KeyStory>;
+  keys: Map<string, KeyHistory>;
   chat: (chat: Chat) => Promise<void>;
   job: (job: Job) => Promise<void>;
 };
@@ -15,12 +15,12 @@
 /** Opens the callers of a run. */
 export const callers = {
   open: (options: CallerOptions): Callers => {
-    const account = openAccount(options);
+    const state = openCallerState(options);
     return {
-      summary: account.summary,
-      keys: account.keys,
-      chat: (chat) => holdChat(account, chat),
-      job: (job) => submitJob(account, job),
+      summary: state.summary,
+      keys: state.keys,
+      chat: (chat) => runChat(state, chat),
+      job: (job) => submitJob(state, job),
     };
   },
 };
--- a/tools/test-harness/src/index.ts
+++ b/tools/test-harness/src/index.ts
@@ -2,16 +2,24 @@
 export {
   standIns,
   requestLog,
-  standText,
-  standTokens,
+  generateWords,
+  estimateTokens,
   type RequestLog,
   type RequestLogEntry,
-  type Listed,
-  type Mood,
+  type ListedWorker,
+  type PlatformBehavior,
   type Platform,
-  type StandIn,
+  type StandInWorker,
 } from './standins.js';
-export { realFleet, type RealFleet, type RealProc } from './fleet.js';
-export { callers, audit, keptProblems, silent, type Callers, type Summary } from './callers/index.js';
-export { wire, noise, type Wire, type WireHandler, type WireLimits, type WireSay } from './wire.js';
+export { processFleet } from './fleet.js';
+export type { FleetProcess, ProcessFleet } from './fleet-types.js';
+export { callers, audit, conversationProblems, classifySilences, type Callers, type Summary } from './callers/index.js';
+export {
+  faultyHttp,
+  garbage,
+  type FaultyHttp,
+  type FaultyHandler,
+  type ConnectionLimits,
+  type FaultyWriter,
+} from './faulty-http.js';
 export { fileOfWorkspace, workspaceFolders, workspacesOf } from './workspaces.js';
--- a/tools/test-harness/src/workspaces.ts
+++ b/tools/test-harness/src/workspaces.ts
@@ -1,19 +1,19 @@
-/** Where the workspaces of the repository stand: libraries, programs and tools each in a folder of their own. */
+/** The workspaces of the repository: libraries, programs and tools, each kind in its own folder, and the platform. */
 import { existsSync, readdirSync } from 'node:fs';
 import path from 'node:path';
 
-/** The folders that hold workspaces, by what these are. `platform` beside them is a workspace by itself. */
+/** The folders that contain workspaces; `platform` beside them is itself a workspace. */
 export const workspaceFolders = ['packages', 'programs', 'tools'] as const;
 
-/** The workspaces below `root`, as paths from it, such as `packages/consensus`; `platform` comes last. */
+/** Paths of all workspaces relative to `root`, such as `packages/consensus`; `platform` is last. */
 export const workspacesOf = (root: string): string[] => [
   ...workspaceFolders.flatMap((folder) => readdirSync(path.join(root, folder)).map((name) => path.join(folder, name))),
   'platform',
 ];
 
 /**
- * The whole path of a file that is named by its workspace, such as `consensus/test/model.test.ts`.
- * One that stands nowhere is given as if it were a file of a library.
+ * The path of a file given by its workspace, such as `consensus/test/model.test.ts`.
+ * For a file that does not exist, the path it would have in `packages`.
  */
 export const fileOfWorkspace = (root: string, file: string): string => {
   const candidates = ['.', ...workspaceFolders].map((folder) => path.join(root, folder, file));
