--- a/eslint.config.js
+++ b/eslint.config.js
@@ -59,5 +59,7 @@
   },
   { files: limitedFiles, rules: limits },
   { files: formerNameModules, rules: { 'withdrawn/words': 'off' } },
-  ...Object.entries(exceptions).map(([rule, files]) => ({ files, rules: { [rule]: 'off' } })),
+  ...Object.entries(exceptions)
+    .filter(([, files]) => files.length > 0)
+    .map(([rule, files]) => ({ files, rules: { [rule]: 'off' } })),
 ];
--- a/tools/simulation/src/measurement/capacity/fixtures.ts
+++ b/tools/simulation/src/measurement/capacity/fixtures.ts
@@ -1,4 +1,4 @@
-// Nodes, configurations, versions and load messages of a given size, as the measurements encode them.
+// Nodes, configurations, state snapshots and load messages of given sizes, for the capacity figures.
 import { admissionScheduler } from '@thornsail/admission-scheduler';
 import {
   type AgreedState,
@@ -14,14 +14,15 @@
 import { type World, world } from '../../world/index.js';
 import { workerList } from '../hollow.js';
 
+/** A simulated network with the given one-way delay between zones. */
 export const newWorld = (zoneDelay: Microseconds = duration.ms(1)): World =>
   world.open({ seed: 1, zoneDelay, clientDelay: duration.ms(1), clientIp: '127.0.9.9' });
 
-/** The bytes of one frame as `connection` encodes it, with the four of its length. */
+/** Size of an encoded frame in bytes, with its length prefix of four bytes. */
 export const frameBytes = async (kind: string, body: unknown): Promise<number> => {
   const sent: number[] = [];
-  const w = newWorld();
-  const runtime = w.runtime(w.host('10.0.0.1', 'z1'));
+  const sim = newWorld();
+  const runtime = sim.runtime(sim.host('10.0.0.1', 'z1'));
   const net: Runtime['net'] = {
     ...runtime.net,
     openFrameTransport: (at) =>
@@ -31,79 +32,85 @@
         close: () => Promise.resolve(),
       }),
   };
-  const p = await rpc.open({ ...runtime, net }, '10.0.0.1:7101');
-  p.notify('10.0.0.2:7101', kind, body);
+  const endpoint = await rpc.open({ ...runtime, net }, '10.0.0.1:7101');
+  endpoint.notify('10.0.0.2:7101', kind, body);
   return sent[0]!;
 };
 
+/** The i-th node: three coordinators, 16 stores, then agents and gateways in turn. */
 export const nodeOf = (i: number): JoiningNode => {
   const role = i < 19 ? (i < 3 ? 'coordinator' : 'store') : i % 2 ? 'agent' : 'gateway';
-  const at = `10.${20 + (i >> 8)}.${i & 255}.7`;
+  const ip = `10.${20 + (i >> 8)}.${i & 255}.7`;
   const id = `${role}-${(i * 7_919 + 0x10000).toString(16).padStart(18, 'a1b2c3d4e5f6')}`;
-  return { id, name: `${role}${i}`, role, place: `${at}:7101`, http: `${at}:7102`, zone: `z${i % 14}`, incarnation: 1 };
+  return { id, name: `${role}${i}`, role, place: `${ip}:7101`, http: `${ip}:7102`, zone: `z${i % 14}`, incarnation: 1 };
 };
 
+/** The agreed state after `n` nodes have joined. */
 export const withRoster = (n: number): AgreedState => {
-  let s = agreedState.initial();
-  for (let i = 0; i < n; i++) s = agreedState.join(s, nodeOf(i), 1_790_000_000_000_000 + i).state;
-  return s;
+  let state = agreedState.initial();
+  for (let i = 0; i < n; i++) state = agreedState.join(state, nodeOf(i), 1_790_000_000_000_000 + i).state;
+  return state;
 };
 
-export const configOf = (o: { classes: number; routes: number; services: number }): Record<string, unknown> => ({
+/** A configuration with the given numbers of classes, routes and services. */
+export const configOf = (counts: { classes: number; routes: number; services: number }): Record<string, unknown> => ({
   classes: Object.fromEntries(
-    Array.from({ length: o.classes }, (_, i) => [
+    Array.from({ length: counts.classes }, (_, i) => [
       `tenant-${i}`,
-      { kind: 'model', service: `model-${i % o.services}`, weight: 1, budgetTokens: 5_000_000, maxTokens: 4096 },
+      { kind: 'model', service: `model-${i % counts.services}`, weight: 1, budgetTokens: 5_000_000, maxTokens: 4096 },
     ]),
   ),
-  services: Array.from({ length: o.services }, (_, i) => ({
+  services: Array.from({ length: counts.services }, (_, i) => ({
     name: `model-${i}`,
     model: true,
     connections: 256,
     cacheTokens: 2_000_000,
   })),
-  routes: Array.from({ length: o.routes }, (_, i) => ({
+  routes: Array.from({ length: counts.routes }, (_, i) => ({
     name: `route-${i}`,
-    host: `tenant-${i % o.classes}.example`,
-    prefix: `/v1/${Math.floor(i / o.classes)}/`,
+    host: `tenant-${i % counts.classes}.example`,
+    prefix: `/v1/${Math.floor(i / counts.classes)}/`,
     semantics: 'stream',
-    targets: [{ service: `model-${i % o.services}`, weight: 1 }],
-    class: `tenant-${i % o.classes}`,
+    targets: [{ service: `model-${i % counts.services}`, weight: 1 }],
+    class: `tenant-${i % counts.classes}`,
     deadlineMs: 600_000,
     aimMs: 820,
   })),
 });
 
-/** The ordered state after ten pushes, so that its history of configurations is as full as it gets. */
-export const withConfig = (s: AgreedState, config: Record<string, unknown>): AgreedState => {
-  let state = s;
+/** The agreed state after ten pushes, which fill its history of configurations. Throws if a push is rejected. */
+export const withConfig = (initial: AgreedState, config: Record<string, unknown>): AgreedState => {
+  let state = initial;
   for (let i = 0; i < 10; i++) {
     const body = { ...config, limits: { onceKeepSeconds: 1000 + i } };
-    const r = configuration.push(state, { id: `change-${i}`, base: i, how: 'whole', body }, 1_790_000_000_000_000);
-    if (!r.result.ok) throw new Error(JSON.stringify(r.result));
-    state = r.state;
+    const pushed = configuration.push(state, { id: `change-${i}`, base: i, how: 'whole', body }, 1_790_000_000_000_000);
+    if (!pushed.result.ok) throw new Error(JSON.stringify(pushed.result));
+    state = pushed.state;
   }
   return state;
 };
 
 const members = [0, 1, 2].map((i) => ({ id: nodeOf(i).id, at: nodeOf(i).place }));
 
+/** A snapshot of the state, as it is sent to other nodes. */
 export const version = (state: AgreedState): Snapshot<AgreedState> => ({ term: 3, index: 4711, members, state });
 
-export const newsOf = (v: Snapshot<AgreedState>): unknown => [
-  { name: 'order', mark: v.index, value: snapshotCodec.encode(v) },
+/** The dissemination message that carries a snapshot. */
+export const updateOf = (snapshot: Snapshot<AgreedState>): unknown => [
+  { name: 'order', mark: snapshot.index, value: snapshotCodec.encode(snapshot) },
 ];
 
-export const takenIds = (n: number): string[] =>
+/** Program names of a realistic length. */
+export const programIds = (n: number): string[] =>
   Array.from({ length: n }, (_, i) => `session-${String(i).padStart(28, '0')}`);
 
-/** What an edge tells when each of its turns runs at a worker of its own. */
+/** The load report of an edge whose turns each run at a different worker. */
 export const loadOf = (edge: number, running: number, workers: number): GatewayLoad => {
-  const at = (i: number): string => `worker-${String((edge * running + i * 16) % workers).padStart(5, '0')}`;
-  const ids = [...new Set(Array.from({ length: running }, (_, i) => at(i)))];
+  const workerAt = (i: number): string => `worker-${String((edge * running + i * 16) % workers).padStart(5, '0')}`;
+  const ids = [...new Set(Array.from({ length: running }, (_, i) => workerAt(i)))];
   return {
-    load: { running: Object.fromEntries(ids.map((w, i) => [w, { [`tenant-${i % 300}`]: 1 }])), waiting: {} },
-    tokens: Object.fromEntries(ids.map((w, i) => [w, 240_000 + i])),
+    load: { running: Object.fromEntries(ids.map((worker, i) => [worker, { [`tenant-${i % 300}`]: 1 }])), waiting: {} },
+    tokens: Object.fromEntries(ids.map((worker, i) => [worker, 240_000 + i])),
     paused: 3,
     smallest: 52_000,
     took: [],
@@ -111,23 +118,36 @@
   };
 };
 
-export const mostWorkers = 12_000;
+/** Workers of the design size. */
+export const maxWorkers = 12_000;
 
+/** A scheduler with this many programs, every second of them between two turns. */
 export const programsOf = (programs: number, workers: number): ReturnType<typeof admissionScheduler.open> => {
-  const s = admissionScheduler.open({
+  const scheduler = admissionScheduler.open({
     ...admissionScheduler.defaults(),
     maxPrograms: 1_000_000,
     maxTurns: 1_000_000,
   });
-  const models = workerList(workers).map((w) => ({ id: w.id, capacity: 2_000_000, eligible: true }));
-  admissionScheduler.step(s, { type: 'workers-changed', workers: models }, 0);
+  const models = workerList(workers).map((worker) => ({ id: worker.id, capacity: 2_000_000, eligible: true }));
+  admissionScheduler.step(scheduler, { type: 'workers-changed', workers: models }, 0);
   const limits = { timeLeft: duration.s(600), expectedService: duration.s(10), patience: duration.s(2) };
   for (let i = 0; i < programs; i++) {
     const known = { tokens: 240_000, worker: models[i % models.length]!.id };
-    const e = { type: 'turn-arrived' as const, turn: `t${i}`, program: `p${i}`, tokens: 240_000, ...limits, known };
-    admissionScheduler.step(s, e, 0);
+    const arrival = {
+      type: 'turn-arrived' as const,
+      turn: `t${i}`,
+      program: `p${i}`,
+      tokens: 240_000,
+      ...limits,
+      known,
+    };
+    admissionScheduler.step(scheduler, arrival, 0);
     if (i % 2)
-      admissionScheduler.step(s, { type: 'turn-ended', turn: `t${i}`, tokens: 240_000, final: false, worker: null }, 0);
+      admissionScheduler.step(
+        scheduler,
+        { type: 'turn-ended', turn: `t${i}`, tokens: 240_000, final: false, worker: null },
+        0,
+      );
   }
-  return s;
+  return scheduler;
 };
--- a/tools/simulation/src/measurement/capacity/known.ts
+++ b/tools/simulation/src/measurement/capacity/known.ts
@@ -1,46 +1,52 @@
-// The measured slopes by name, carried on to the size to design for.
+// The slopes by name, extrapolated to the design size.
 import { fit } from '../fit.js';
 import { size, sizeOf, taken } from './size.js';
 import type { Slope } from './slope.js';
 
-/** The slopes by name, and what they come to. */
+/** Looks up fits by name: the slope, the value at a size (by default the design size), and the size at a value. */
 export type Known = {
-  of: (name: string) => Slope;
+  slopeNamed: (name: string) => Slope;
   slope: (name: string) => number;
-  at: (name: string, x?: number) => number;
-  reaches: (name: string, y: number) => number;
+  at: (name: string, input?: number) => number;
+  sizeFor: (name: string, target: number) => number;
 };
 
+/** Indexes the slopes by name. Lookups throw if there is no such slope. */
 export const known = (slopes: Slope[]): Known => {
-  const of = (name: string): Slope => {
-    const s = slopes.find((x) => x.name === name);
-    if (!s) throw new Error(`no slope ${name}`);
-    return s;
+  const slopeNamed = (name: string): Slope => {
+    const match = slopes.find((candidate) => candidate.name === name);
+    if (!match) throw new Error(`no slope ${name}`);
+    return match;
   };
   return {
-    of,
-    slope: (name) => of(name).fit.slope,
-    at: (name, x = sizeOf[of(name).by]!) => Math.max(0, fit.at(of(name).fit, x)),
-    reaches: (name, y) => fit.reaches(of(name).fit, y),
+    slopeNamed,
+    slope: (name) => slopeNamed(name).fit.slope,
+    at: (name, input = sizeOf[slopeNamed(name).by]!) => Math.max(0, fit.valueAt(slopeNamed(name).fit, input)),
+    sizeFor: (name, target) => fit.solveForX(slopeNamed(name).fit, target),
   };
 };
 
-/** Bytes of one version of the ordered state, by how many routes there are. */
-export const versionBytes = (k: Known, routes: number): number =>
-  k.at('a version, by roster') +
-  k.slope('a version, by classes') * size.tenants +
-  k.slope('a version, by services') * size.models +
-  k.slope('a version, by routes') * routes;
+/** Size in bytes of one snapshot of the agreed state with this many routes. */
+export const versionBytes = (byName: Known, routes: number): number =>
+  byName.at('a version, by roster') +
+  byName.slope('a version, by classes') * size.tenants +
+  byName.slope('a version, by services') * size.models +
+  byName.slope('a version, by routes') * routes;
 
-/** How often a version goes in and out of a node, as gateways and agents of the simulated net had it. */
-export const versionCopies = (k: Known): number => {
-  const { points } = k.of('times that a version goes in and out of a node');
-  return points.reduce((a, [, y]) => a + y, 0) / points.length;
+/** How many times a snapshot is sent or received by a node, as simulated at gateways and agents. */
+export const versionCopies = (byName: Known): number => {
+  const { points } = byName.slopeNamed('times that a version goes in and out of a node');
+  return points.reduce((a, [, yValue]) => a + yValue, 0) / points.length;
 };
 
+/** The share of our own machines in all machines, by which failures are attributed to them. */
 export const lostShare = taken.relays / (taken.relays + size.workers);
 
-/** A machine that fails: two processes are ruled dead and two join; one that is restarted: they leave and join. */
+/**
+ * Snapshots a day for our own machines. A failed machine makes four: two processes are declared dead and two join; a
+ * restarted one too: two leave and two join.
+ */
 export const versionsForOurs = 4 * (size.failed + size.restarted) * lostShare;
 
+/** Snapshots a day, for configuration changes and for our own machines. */
 export const versionsADay = size.changes + versionsForOurs;
--- a/tools/simulation/src/measurement/capacity/messages.ts
+++ b/tools/simulation/src/measurement/capacity/messages.ts
@@ -1,42 +1,46 @@
-// Messages of nodes without traffic on the simulated network, by the number of processes.
+// Messages of hollow nodes on the simulated network, by the number of processes.
 import { duration } from '@thornsail/runtime';
 import type { Point } from '../fit.js';
-import { type Hollow, hollow, total } from '../hollow.js';
-import { type Failed, type Part, type Slope, pick, slope } from './slope.js';
+import { type HollowCluster, hollowCluster, total } from '../hollow.js';
+import { type FailedAttempt, type Part, type Slope, pick, slope } from './slope.js';
 
-const meanOf = (h: Hollow, role: 'gateway' | 'agent' | 'store', of: (n: Hollow['nodes'][number]) => number): number => {
-  const all = h.of(role).map(of);
-  return all.reduce((a, b) => a + b, 0) / all.length;
+const meanOf = (
+  cluster: HollowCluster,
+  role: 'gateway' | 'agent' | 'store',
+  valueOf: (n: HollowCluster['nodes'][number]) => number,
+): number => {
+  const values = cluster.nodesOf(role).map(valueOf);
+  return values.reduce((a, b) => a + b, 0) / values.length;
 };
 
-/** What a gateway and its agent send and get, in the mean. */
-const atNode = (h: Hollow, kinds: (kind: string) => boolean): { messages: number; bytes: number } => {
-  const of = (what: 'messages' | 'bytes'): number => {
-    const both = (n: Hollow['nodes'][number]): number =>
+/** Mean number of messages and bytes that a gateway and its agent send and receive together. */
+const atNode = (cluster: HollowCluster, kinds: (kind: string) => boolean): { messages: number; bytes: number } => {
+  const meanOfBoth = (what: 'messages' | 'bytes'): number => {
+    const sentAndReceived = (n: HollowCluster['nodes'][number]): number =>
       total(n.tally.sent, kinds)[what] + total(n.tally.got, kinds)[what];
-    return meanOf(h, 'gateway', both) + meanOf(h, 'agent', both);
+    return meanOf(cluster, 'gateway', sentAndReceived) + meanOf(cluster, 'agent', sentAndReceived);
   };
-  return { messages: of('messages'), bytes: of('bytes') };
+  return { messages: meanOfBoth('messages'), bytes: meanOfBoth('bytes') };
 };
 
 const isControl = (kind: string): boolean => !kind.startsWith('load') && !kind.startsWith('news.load');
 
-/** For how long turns are stirred, in seconds. */
-const stirred = 4;
+/** How long `changeTurns` begins and ends turns, in seconds. */
+const changeSeconds = 4;
 /**
- * Turns that begin and end at every gateway, without a request: what runs changes all the time. `every` is the time
- * between two changes in milliseconds: few gateways show the phase of their timers if it divides the pause between
- * news.
+ * Begins and ends turns at every gateway, without requests, so that the load changes all the time. `periodMs` is the
+ * time between two changes; with few gateways it must not divide the pause between load reports, since the result would
+ * then depend on the phase of their timers.
  */
-const stir = (h: Hollow, every: number): void => {
+const changeTurns = (cluster: HollowCluster, periodMs: number): void => {
   const step = (i: number): void => {
-    for (const n of h.of('gateway')) {
-      const adm = n.node?.dataPlane?.admission;
-      const worker = adm?.worker('worker-00000');
-      if (!adm || !worker) continue;
-      if (i % 2) adm.releaseSlot(worker.id, 'chat', null);
+    for (const n of cluster.nodesOf('gateway')) {
+      const admission = n.node?.dataPlane?.admission;
+      const worker = admission?.worker('worker-00000');
+      if (!admission || !worker) continue;
+      if (i % 2) admission.releaseSlot(worker.id, 'chat', null);
       else
-        void adm.acquireSlot('chat', {
+        void admission.acquireSlot('chat', {
           preferred: worker.id,
           excluded: new Set(),
           force: true,
@@ -45,109 +49,128 @@
         });
     }
   };
-  for (let i = 0; i * every < stirred * 1000; i++) h.w.scheduleAt(h.w.now() + i * duration.ms(every), () => step(i));
+  for (let i = 0; i * periodMs < changeSeconds * 1000; i++)
+    cluster.world.scheduleAt(cluster.world.now() + i * duration.ms(periodMs), () => step(i));
 };
 
+/** Counts the control messages of idle nodes, of changing load, of a push and of the worker list. */
 export const messages: Part = async (sizes) => {
-  const failed: Failed[] = [];
+  const failed: FailedAttempt[] = [];
   const rows: Record<string, Point[]> = {};
-  const put = (name: string, x: number, y: number): void => void (rows[name] ??= []).push([x, y]);
+  const addPoint = (name: string, input: number, value: number): void => void (rows[name] ??= []).push([input, value]);
   const span = sizes === 'small' ? 2 : 6;
   for (const edges of pick(sizes, [4, 8, 16, 32], [2, 4, 6, 8])) {
-    const h = await hollow.open({ edges });
-    if (!h) throw new Error(`${edges} edges did not come up`);
-    const processes = h.nodes.length;
-    put('a cold start, at the busiest seed', processes, h.started.bytes);
-    await h.run(duration.s(2));
-    h.clear();
-    await h.run(duration.s(span));
-    const both = (n: Hollow['nodes'][number], kinds: (k: string) => boolean): number =>
+    const cluster = await hollowCluster.open({ edges });
+    if (!cluster) throw new Error(`${edges} edges did not start`);
+    const processes = cluster.nodes.length;
+    addPoint('a cold start, at the busiest seed', processes, cluster.started.bytes);
+    await cluster.run(duration.s(2));
+    cluster.clear();
+    await cluster.run(duration.s(span));
+    const trafficRate = (n: HollowCluster['nodes'][number], kinds: (kind: string) => boolean): number =>
       (total(n.tally.sent, kinds).bytes + total(n.tally.got, kinds).bytes) / span;
-    put(
+    addPoint(
       'heartbeats of a process',
       processes,
-      meanOf(h, 'agent', (n) => both(n, (k) => k === 'beat')),
+      meanOf(cluster, 'agent', (n) => trafficRate(n, (kind) => kind === 'beat')),
     );
-    const others = (k: string): boolean => isControl(k) && k !== 'beat' && k !== 'news.workers';
-    put(
+    const others = (kind: string): boolean => isControl(kind) && kind !== 'beat' && kind !== 'news.workers';
+    addPoint(
       'an agent, idle, the rest',
       processes,
-      meanOf(h, 'agent', (n) => both(n, others)),
+      meanOf(cluster, 'agent', (n) => trafficRate(n, others)),
     );
-    put(
+    addPoint(
       'a gateway, idle, the rest',
       processes,
-      meanOf(h, 'gateway', (n) => both(n, others)),
+      meanOf(cluster, 'gateway', (n) => trafficRate(n, others)),
     );
-    put('frames at a node, idle, heartbeats', processes, atNode(h, (k) => k === 'beat').messages / span);
-    put('frames at a node, idle, the rest', processes, atNode(h, others).messages / span);
-    put(
+    addPoint(
+      'frames at a node, idle, heartbeats',
+      processes,
+      atNode(cluster, (kind) => kind === 'beat').messages / span,
+    );
+    addPoint('frames at a node, idle, the rest', processes, atNode(cluster, others).messages / span);
+    addPoint(
       'load, idle, at a gateway',
       edges,
-      meanOf(h, 'gateway', (n) => both(n, (k) => !isControl(k))),
+      meanOf(cluster, 'gateway', (n) => trafficRate(n, (kind) => !isControl(kind))),
     );
-    put(
+    addPoint(
       'load, idle, at an agent',
       edges,
-      meanOf(h, 'agent', (n) => both(n, (k) => !isControl(k))),
+      meanOf(cluster, 'agent', (n) => trafficRate(n, (kind) => !isControl(kind))),
     );
-    put(
+    addPoint(
       'readiness asks at a store',
       edges,
-      meanOf(h, 'store', (n) => total(n.tally.got, (k) => k === 'reg.read').messages / span),
+      meanOf(cluster, 'store', (n) => total(n.tally.got, (kind) => kind === 'reg.read').messages / span),
     );
-    h.clear();
-    stir(h, sizes === 'small' ? 33 : 100);
-    await h.run(duration.s(stirred));
-    put(
+    cluster.clear();
+    changeTurns(cluster, sizes === 'small' ? 33 : 100);
+    await cluster.run(duration.s(changeSeconds));
+    addPoint(
       'load while turns change',
       edges,
-      meanOf(h, 'gateway', (n) => total(n.tally.sent, (k) => k === 'load' || k === 'loads').messages / stirred),
+      meanOf(
+        cluster,
+        'gateway',
+        (n) => total(n.tally.sent, (kind) => kind === 'load' || kind === 'loads').messages / changeSeconds,
+      ),
     );
-    h.clear();
-    const took = await h.push();
-    await h.run(duration.s(1));
-    const all = h.nodes.map((n) => total(n.tally.got, (k) => k === 'news.uses').bytes);
-    put('what gateways say of one change, at a process', processes, all.reduce((a, b) => a + b, 0) / all.length);
-    put('one change in use everywhere', processes, duration.toMs(took));
-    const times = atNode(h, (k) => k === 'news.order').messages;
-    put('times that a version goes in and out of a node', processes, times);
+    cluster.clear();
+    const pushTime = await cluster.push();
+    await cluster.run(duration.s(1));
+    const receivedBytes = cluster.nodes.map((n) => total(n.tally.got, (kind) => kind === 'news.uses').bytes);
+    addPoint(
+      'what gateways say of one change, at a process',
+      processes,
+      receivedBytes.reduce((a, b) => a + b, 0) / receivedBytes.length,
+    );
+    addPoint('one change in use everywhere', processes, duration.toMs(pushTime));
+    const forwardCount = atNode(cluster, (kind) => kind === 'news.order').messages;
+    addPoint('times that a version goes in and out of a node', processes, forwardCount);
   }
   for (const workers of pick(sizes, [50, 200, 800, 3200], [50, 100, 150, 200])) {
-    const h = await hollow.open({ edges: sizes === 'small' ? 2 : 4, workers });
-    if (!h) throw new Error('the hollow nodes did not come up');
-    await h.run(duration.s(2));
-    h.clear();
-    await h.run(duration.s(span));
-    put('the list of workers, at a node', workers, atNode(h, (k) => k === 'news.workers').bytes / span);
+    const cluster = await hollowCluster.open({ edges: sizes === 'small' ? 2 : 4, workers });
+    if (!cluster) throw new Error('the hollow nodes did not start');
+    await cluster.run(duration.s(2));
+    cluster.clear();
+    await cluster.run(duration.s(span));
+    addPoint(
+      'the list of workers, at a node',
+      workers,
+      atNode(cluster, (kind) => kind === 'news.workers').bytes / span,
+    );
   }
-  // How far the simulator goes: all of them in one roster, and nothing more.
+  // The largest cluster that the simulator can run: all nodes become members, and nothing else happens.
   for (const edges of pick(sizes, [96], [])) {
-    const h = await hollow.open({ edges, within: duration.s(60), bare: true });
+    const cluster = await hollowCluster.open({ edges, within: duration.s(60), bare: true });
     const what = `hollow nodes: ${2 * edges + 6} processes on the simulated net`;
     const why =
       'not in one roster after a minute of processor time: a round of heartbeats looks at every pair of nodes';
-    if (h) put('a cold start, at the busiest seed', h.nodes.length, h.started.bytes);
+    if (cluster) addPoint('a cold start, at the busiest seed', cluster.nodes.length, cluster.started.bytes);
     else failed.push({ what, why });
   }
-  const line = (name: string, by: string, unit: string): Slope => slope(name, by, unit, 'simulated', rows[name]!);
-  const flat = (name: string, unit: string): Slope => slope(name, 'process', unit, 'simulated', rows[name]!, 'flat');
+  const lineSlope = (name: string, by: string, unit: string): Slope => slope(name, by, unit, 'simulated', rows[name]!);
+  const flatSlope = (name: string, unit: string): Slope =>
+    slope(name, 'process', unit, 'simulated', rows[name]!, 'flat');
   return {
     failed,
     slopes: [
-      flat('heartbeats of a process', 'bytes a second'),
-      flat('an agent, idle, the rest', 'bytes a second'),
-      flat('a gateway, idle, the rest', 'bytes a second'),
-      flat('frames at a node, idle, heartbeats', 'messages a second'),
-      flat('frames at a node, idle, the rest', 'messages a second'),
-      line('load, idle, at a gateway', 'gateway', 'bytes a second'),
-      line('load, idle, at an agent', 'gateway', 'bytes a second'),
-      line('load while turns change', 'gateway', 'messages a second'),
-      line('readiness asks at a store', 'gateway', 'messages a second'),
-      line('what gateways say of one change, at a process', 'process', 'bytes'),
-      line('one change in use everywhere', 'process', 'ms'),
-      flat('times that a version goes in and out of a node', 'messages'),
-      line('the list of workers, at a node', 'worker', 'bytes a second'),
+      flatSlope('heartbeats of a process', 'bytes a second'),
+      flatSlope('an agent, idle, the rest', 'bytes a second'),
+      flatSlope('a gateway, idle, the rest', 'bytes a second'),
+      flatSlope('frames at a node, idle, heartbeats', 'messages a second'),
+      flatSlope('frames at a node, idle, the rest', 'messages a second'),
+      lineSlope('load, idle, at a gateway', 'gateway', 'bytes a second'),
+      lineSlope('load, idle, at an agent', 'gateway', 'bytes a second'),
+      lineSlope('load while turns change', 'gateway', 'messages a second'),
+      lineSlope('readiness asks at a store', 'gateway', 'messages a second'),
+      lineSlope('what gateways say of one change, at a process', 'process', 'bytes'),
+      lineSlope('one change in use everywhere', 'process', 'ms'),
+      flatSlope('times that a version goes in and out of a node', 'messages'),
+      lineSlope('the list of workers, at a node', 'worker', 'bytes a second'),
       slope(
         'a cold start, at the busiest seed',
         'process',
--- a/tools/simulation/src/measurement/capacity/needs.ts
+++ b/tools/simulation/src/measurement/capacity/needs.ts
@@ -1,13 +1,13 @@
-// What each role holds and says at the size to design for, as slope times size.
-import { amount, figure, ofAllowed, ofCore } from './figure.js';
+// What each role stores and sends at the design size, computed as slope times size.
+import { amount, figure, shareOfAllowed, coreShare } from './figure.js';
 import { type Known, known as slopesByName, versionBytes, versionCopies, versionsADay } from './known.js';
 import { allowed, day, header, perGateway, running, size, taken, turnKb } from './size.js';
 import type { Slope } from './slope.js';
 
-/** One row of what a role holds or says; `breaks` says at which size it passes what is allowed. */
+/** A row of what a role stores or sends; `breaks` is the size from which it exceeds its limit. */
 export type Need = { role: string; what: string; by: string; value: string; part: string; breaks: string };
 
-/** The rows so far, and one function for each kind of row; figures are per node at the size to design for. */
+/** The rows, and a function that adds each kind of row; figures are per node at the design size. */
 type NeedTable = {
   rows: Need[];
   /** Bytes a second. */
@@ -16,34 +16,35 @@
   time: (role: string, what: string, by: string, value: number, breaks?: string) => void;
   /** Bytes of memory. */
   held: (role: string, what: string, by: string, value: number, breaks?: string) => void;
-  /** A figure in words, with what it is part of. */
+  /** A formatted figure, with the limit that it is a part of. */
   free: (role: string, what: string, by: string, value: string, part?: string, breaks?: string) => void;
 };
 type Topic = (known: Known, table: NeedTable) => void;
 
-/** The size from which on it breaks, in words. */
-const from = (n: number, of: string): string =>
-  n < 1 ? 'from the first' : `from ${figure(n < 1000 ? Math.ceil(n) : n)} ${of}`;
+/** Formats the size from which a limit is exceeded. */
+const fromSize = (count: number, unit: string): string =>
+  count < 1 ? 'from the first' : `from ${figure(count < 1000 ? Math.ceil(count) : count)} ${unit}`;
 
-/** What does not grow breaks at any size, or at none. */
-const end = (value: number, most: number, breaks = 'from the first'): string => (value <= most ? 'holds' : breaks);
+/** `holds` within the limit; else the size from which it is exceeded, for constant figures from the first node on. */
+const verdict = (value: number, limit: number, breaks = 'from the first'): string =>
+  value <= limit ? 'holds' : breaks;
 
 const needTable = (): NeedTable => {
   const rows: Need[] = [];
   const add = (role: string, what: string, by: string, value: string, part: string, breaks: string): void =>
     void rows.push({ role, what, by, value, part, breaks });
   const rate = (role: string, what: string, by: string, value: number, breaks?: string): void => {
-    const part = ofAllowed(value, allowed.bytes, '12 KB/s');
-    add(role, what, by, amount(value, 'B/s'), part, end(value, allowed.bytes, breaks));
+    const part = shareOfAllowed(value, allowed.bytes, '12 KB/s');
+    add(role, what, by, amount(value, 'B/s'), part, verdict(value, allowed.bytes, breaks));
   };
   const time = (role: string, what: string, by: string, value: number, breaks?: string): void =>
     add(
       role,
       what,
       by,
-      ofCore(value),
-      ofAllowed(value, allowed.cpu, '2.7% of a core'),
-      end(value, allowed.cpu, breaks),
+      coreShare(value),
+      shareOfAllowed(value, allowed.cpu, '2.7% of a core'),
+      verdict(value, allowed.cpu, breaks),
     );
   const held = (role: string, what: string, by: string, value: number, breaks?: string): void =>
     add(
@@ -51,15 +52,15 @@
       what,
       by,
       amount(value, 'B'),
-      ofAllowed(value, allowed.memory, '32 MB'),
-      end(value, allowed.memory, breaks),
+      shareOfAllowed(value, allowed.memory, '32 MB'),
+      verdict(value, allowed.memory, breaks),
     );
   const free = (role: string, what: string, by: string, value: string, part = '', breaks = ''): void =>
     add(role, what, by, value, part, breaks);
   return { rows, rate, time, held, free };
 };
 
-/** What the load between gateways grows with. */
+/** The quantity that load reports between gateways grow with. */
 const perTurns = 'gateways × turns that run';
 
 /** Bytes that a node sends and receives; a node is its gateway and its agent. */
@@ -74,17 +75,23 @@
   const loadBytes = at('a load message, by turns that run');
   const pairs = 2 * slope('load while turns change') * loadBytes;
   const straight = 2 * at('load while turns change') * loadBytes;
-  rate('gateway', 'load, straight to every gateway', perTurns, straight, from(1 + allowed.bytes / pairs, 'gateways'));
+  rate(
+    'gateway',
+    'load, straight to every gateway',
+    perTurns,
+    straight,
+    fromSize(1 + allowed.bytes / pairs, 'gateways'),
+  );
   const idle = at('load, idle, at a gateway') + at('load, idle, at an agent');
   const idleEach = slope('load, idle, at a gateway') + slope('load, idle, at an agent');
-  rate('node', 'load, while nothing runs', 'gateways', idle, from(allowed.bytes / idleEach, 'gateways'));
+  rate('node', 'load, while nothing runs', 'gateways', idle, fromSize(allowed.bytes / idleEach, 'gateways'));
   const treeEach = (slope('load, idle, at an agent') * loadBytes) / at('a load message, by turns that run', 0);
-  rate('agent', 'load, by the tree', perTurns, treeEach * size.nodes, from(allowed.bytes / treeEach, 'gateways'));
+  rate('agent', 'load, by the tree', perTurns, treeEach * size.nodes, fromSize(allowed.bytes / treeEach, 'gateways'));
   const list = 'the list of workers, at a node';
-  rate('node', list, 'workers', at(list), from(allowed.bytes / slope(list), 'workers'));
+  rate('node', list, 'workers', at(list), fromSize(allowed.bytes / slope(list), 'workers'));
 };
 
-/** Versions that are sent whole, read and passed on, and what acknowledges them. */
+/** Snapshots that are sent in full, decoded and forwarded, and their acknowledgements. */
 const versions: Topic = (known, { rate, time, free }) => {
   const { at, slope } = known;
   const copies = versionCopies(known);
@@ -92,57 +99,63 @@
     const bytes = versionBytes(known, routes);
     const name = `a version with ${figure(routes)} routes`;
     const most = (allowed.bytes * day) / (copies * bytes);
-    free('coordinator', name, 'processes, classes, routes', amount(bytes, 'B'), ofAllowed(bytes, 2 ** 24, 'a frame'));
+    free(
+      'coordinator',
+      name,
+      'processes, classes, routes',
+      amount(bytes, 'B'),
+      shareOfAllowed(bytes, 2 ** 24, 'a frame'),
+    );
     rate(
       'node',
       `${name}, sent whole`,
       'the same × changes',
       (copies * bytes * versionsADay) / day,
-      from(most, 'a day'),
+      fromSize(most, 'a day'),
     );
     const perByte = slope('a version read and passed on') / slope('a version, by roster');
     const reading = (2 * perByte * bytes * versionsADay) / day;
-    const readMost = from((versionsADay * allowed.cpu) / reading, 'a day');
+    const readMost = fromSize((versionsADay * allowed.cpu) / reading, 'a day');
     time('node', `${name}, read and passed on`, 'the same × changes', reading, readMost);
   }
   const uses = (4 * at('what gateways say of one change, at a process') * size.changes) / day;
   const usesMost = (size.nodes * allowed.bytes) / uses;
-  rate('node', 'acknowledgements of gateways', 'gateways × changes', uses, from(usesMost, 'gateways'));
+  rate('node', 'acknowledgements of gateways', 'gateways × changes', uses, fromSize(usesMost, 'gateways'));
 };
 
 /** Processor time of a node and of its gateway. */
 const processorTime: Topic = (known, { time, free }) => {
   const { at, slope } = known;
-  const round = at('a round of heartbeats');
-  const roundMost = known.reaches('a round of heartbeats', allowed.cpu / 10);
-  time('node', 'rounds of heartbeats, five a second', 'processes²', 10 * round, from(roundMost, 'processes'));
-  const idleTime = 2 * known.of('a process on real sockets, idle').fit.base;
+  const roundCost = at('a round of heartbeats');
+  const roundMost = known.sizeFor('a round of heartbeats', allowed.cpu / 10);
+  time('node', 'rounds of heartbeats, five a second', 'processes²', 10 * roundCost, fromSize(roundMost, 'processes'));
+  const idleTime = 2 * known.slopeNamed('a process on real sockets, idle').fit.base;
   time('node', 'two idle processes, whatever else', 'constant', idleTime);
   const takeIn = 100 * at('loads of the other gateways taken in');
-  const takeMost = known.reaches('loads of the other gateways taken in', allowed.cpu / 100);
-  time('gateway', 'loads taken in, a hundred times a second', perTurns, takeIn, from(takeMost, 'gateways'));
+  const takeMost = known.sizeFor('loads of the other gateways taken in', allowed.cpu / 100);
+  time('gateway', 'loads taken in, a hundred times a second', perTurns, takeIn, fromSize(takeMost, 'gateways'));
   const picks = perGateway * at('a worker picked');
-  const pickMost = known.reaches('a worker picked', 1e6 / perGateway);
+  const pickMost = known.sizeFor('a worker picked', 1e6 / perGateway);
   free(
     'gateway',
     'workers picked',
     'gateways²',
-    ofCore(picks),
+    coreShare(picks),
     'data path',
-    `${from(pickMost, 'gateways')}: a whole core`,
+    `${fromSize(pickMost, 'gateways')}: a whole core`,
   );
   const byPrograms = slope('a turn in the scheduler, by programs') * running;
   const turns = perGateway * (at('a turn in the scheduler, by workers') + byPrograms);
-  const turnMost = known.reaches('a turn in the scheduler, by workers', 1e6 / perGateway - byPrograms);
-  const turnEnd = `${from(turnMost, 'workers')}: a whole core`;
-  free('gateway', 'turns in the scheduler', 'workers + programs', ofCore(turns), 'data path', turnEnd);
+  const turnMost = known.sizeFor('a turn in the scheduler, by workers', 1e6 / perGateway - byPrograms);
+  const turnEnd = `${fromSize(turnMost, 'workers')}: a whole core`;
+  free('gateway', 'turns in the scheduler', 'workers + programs', coreShare(turns), 'data path', turnEnd);
 };
 
-/** What the tables that each gateway keeps for itself mean to its turns. */
+/** The effects of the scheduler's per-gateway tables on turns. */
 const schedulerTables: Topic = (known, { free }) => {
   const { at, slope } = known;
   const table = `${figure(running)} programs`;
-  // A program whose end nobody saw stays for half an hour.
+  // A program whose end was not observed is removed after half an hour.
   const fewest = size.requests / (((10_000 - running) * size.nodes) / 1800);
   const tableEnd = `holds if spread; with ends unseen, not below ${figure(fewest)} turns a program`;
   free(
@@ -154,45 +167,45 @@
     tableEnd,
   );
   const warm = 'turns that get the worker with their context';
-  const warmEnd = `half of them: ${from((50 / known.of(warm).fit.base) ** (1 / slope(warm)), 'gateways')}`;
+  const warmEnd = `half of them: ${fromSize((50 / known.slopeNamed(warm).fit.base) ** (1 / slope(warm)), 'gateways')}`;
   free('gateway', warm, '1 / gateways', `${figure(at(warm))}%`, '10 of 24 slots free', warmEnd);
 };
 
-/** Memory of a process and of what it keeps. */
+/** Memory of a process and of its data structures. */
 const memory: Topic = (known, { held, free }) => {
   const { at } = known;
-  const empty = known.of('memory of all hollow nodes together').fit.base;
+  const empty = known.slopeNamed('memory of all hollow nodes together').fit.base;
   held('process', 'a process of ours with nothing in it', 'constant', empty);
   const connections = at('connections of all of them') / taken.processes;
   free('process', 'connections, both ends', 'processes', figure(connections), '', 'holds');
   held('process', 'the roster', 'processes', at('memory of the roster'));
   held('process', 'the list of workers', 'workers', at('memory of the list'));
-  const loadsMost = known.reaches('memory of the loads of others', allowed.memory);
+  const loadsMost = known.sizeFor('memory of the loads of others', allowed.memory);
   held(
     'gateway',
     'loads of the other gateways',
     'turns',
     at('memory of the loads of others'),
-    from(loadsMost, 'turns'),
+    fromSize(loadsMost, 'turns'),
   );
 };
 
 /** What the coordinators and the seeds send. */
 const coordinators: Topic = (known, { free }) => {
   const { at } = known;
-  const head_ = (5 * versionBytes(known, taken.routes[0]) * versionsADay) / day;
+  const leaderBytes = (5 * versionBytes(known, taken.routes[0]) * versionsADay) / day;
   free(
     'coordinator',
     'a head sends, with 300 routes',
     'versions',
-    amount(head_, 'B/s'),
+    amount(leaderBytes, 'B/s'),
     'two members, three children',
     'holds',
   );
   const cold = at('a cold start, at the busiest seed');
   free('seed', 'a cold start of all', 'processes²', amount(cold, 'B'), `${figure(cold / 1.25e9)} s of 10 Gbit/s`);
   const inForce = 2 * at('news down the tree, 30 ms a hop') + 2 * taken.regionMs;
-  const inForceOf = ofAllowed(inForce, size.inForceMs, '6 s');
+  const inForceOf = shareOfAllowed(inForce, size.inForceMs, '6 s');
   free(
     'coordinator',
     'a change in force, 30 ms a hop',
@@ -203,7 +216,7 @@
   );
 };
 
-/** Processor time of register changes: charge and settle, a key's claim and its record, the turn that is kept. */
+/** Processor time of register changes: budget charge and settlement, claim and result of a key, the stored turn. */
 const registerChanges: Topic = ({ at }, { free }) => {
   const [small, large] = [at('a change at a store', 1), at('a change at a store')];
   for (const [name, n] of [
@@ -212,34 +225,41 @@
   ] as const) {
     const cores = (size.requests * (n * small + large)) / 1e6;
     const groups = `${figure(Math.ceil(2 * cores))} groups at half a core`;
-    const most = from(1e6 / (n * small + large), 'requests a second');
+    const most = fromSize(1e6 / (n * small + large), 'requests a second');
     free('store', `changes, ${name}`, 'requests', `${figure(cores)} cores at each of three`, groups, most);
   }
   const ownChange = 'a change at its gateway, for each store';
   const proposing = perGateway * 3 * (2 * at(ownChange, 1) + at(ownChange));
-  free('gateway', 'changes, no keys, three stores each', 'requests', ofCore(proposing), 'data path', 'holds');
+  free('gateway', 'changes, no keys, three stores each', 'requests', coreShare(proposing), 'data path', 'holds');
 };
 
-/** What the stores keep and write for keys and turns. */
+/** What the stores hold and write for idempotency keys and turns. */
 const keptState: Topic = ({ at, slope }, { free }) => {
   const keys = at('memory of a store');
-  const keysMost = `64 GB: ${from(64e9 / slope('memory of a store') / day, 'keyed requests a second')}`;
+  const keysMost = `64 GB: ${fromSize(64e9 / slope('memory of a store') / day, 'keyed requests a second')}`;
   free('store', 'keys of a day, a key for every request', 'requests', amount(keys, 'B'), 'in memory', keysMost);
   const oneHistory = size.history * taken.bytesPerToken;
   const histories = size.programs * oneHistory;
-  const historiesMost = `64 GB: ${from(64e9 / oneHistory, 'programs')}`;
+  const historiesMost = `64 GB: ${fromSize(64e9 / oneHistory, 'programs')}`;
   free('store', 'kept turns under way, at most', 'programs', amount(histories, 'B'), 'in memory', historiesMost);
   const writing = amount(size.requests * turnKb * 1000, 'B/s');
   free('store', 'kept turns, written', 'requests', writing, 'to each of three disks');
   const remembered = 2 ** 20 * 24;
   const part = `${figure((100 * remembered) / oneHistory / running)}% of ${figure(running)} programs`;
-  free('gateway', 'histories that it remembers', '24 MiB', figure(remembered / oneHistory), part, from(13, 'programs'));
+  free(
+    'gateway',
+    'histories that it remembers',
+    '24 MiB',
+    figure(remembered / oneHistory),
+    part,
+    fromSize(13, 'programs'),
+  );
   const reading = amount(size.requests * oneHistory, 'B/s');
   free('store', 'histories read, none remembered, at most', 'requests', reading, 'all stores together');
   const [claim, charge] = ['a first change of a register', 'a further change by the same edge'];
   const before = at(claim) + at(charge) + 2 * taken.regionMs;
-  const allOf = from(size.firstTokenMs / (slope(claim) + slope(charge) + 2), 'ms one way: all of it');
-  const beforeOf = ofAllowed(before, size.firstTokenMs, '820 ms');
+  const allOf = fromSize(size.firstTokenMs / (slope(claim) + slope(charge) + 2), 'ms one way: all of it');
+  const beforeOf = shareOfAllowed(before, size.firstTokenMs, '820 ms');
   free('gateway', 'claim, charge, chain across regions', 'ms one way', `${figure(before)} ms`, beforeOf, allOf);
 };
 
@@ -255,12 +275,12 @@
 ];
 
 /** All rows of the table, in the order of docs/CAPACITY.md. */
-export const reckon = (slopes: Slope[]): Need[] => {
+export const computeNeeds = (slopes: Slope[]): Need[] => {
   const table = needTable();
   for (const topic of topics) topic(slopesByName(slopes), table);
   return table.rows;
 };
 
-/** The cells of those rows. */
+/** The cells of the rows of `computeNeeds`. */
 export const needRows = (slopes: Slope[]): string[][] =>
-  reckon(slopes).map((n) => [n.role, n.what, n.by, n.value, n.part, n.breaks]);
+  computeNeeds(slopes).map((n) => [n.role, n.what, n.by, n.value, n.part, n.breaks]);
--- a/tools/simulation/src/measurement/capacity/page.ts
+++ b/tools/simulation/src/measurement/capacity/page.ts
@@ -1,60 +1,64 @@
-// The tables of docs/CAPACITY.md.
+// Prints the tables of docs/CAPACITY.md.
 import { fit } from '../fit.js';
 import { failures } from './failures.js';
 import { figure, fitText } from './figure.js';
 import { needRows } from './needs.js';
 import { sizeOf } from './size.js';
-import type { Found, Measured, Slope } from './slope.js';
-import { ways } from './ways.js';
+import type { SizeCheck, Measurement, Slope } from './slope.js';
+import { alternatives } from './ways.js';
 
-export type Row = (...c: (string | number)[]) => void;
+/** Prints a table row. */
+export type Row = (...cells: (string | number)[]) => void;
 
-const head = (row: Row, ...c: string[]): void => {
-  row(...c);
-  row(...c.map(() => '---'));
+const tableHead = (row: Row, ...cells: string[]): void => {
+  row(...cells);
+  row(...cells.map(() => '---'));
 };
 
+/** Column headings of the table of slopes. */
 export const slopeHead = ['what', 'unit', 'mark', 'points', 'fit', 'r²', 'at the size'];
 
+/** Rows of the table of slopes; values beyond the largest sample are marked as extrapolated (`carried on`). */
 export const slopeRows = (slopes: Slope[]): string[][] =>
-  slopes.map((s) => {
-    const x = sizeOf[s.by]!;
-    const run = s.points.some(([p]) => p >= x * 0.95);
+  slopes.map((slope) => {
+    const input = sizeOf[slope.by]!;
+    const coversSize = slope.points.some(([pointX]) => pointX >= input * 0.95);
     return [
-      s.name,
-      s.unit,
-      s.mark,
-      s.points.map(([p, y]) => `${figure(p)}: ${figure(y)}`).join('; '),
-      fitText(s),
-      s.fit.r2.toFixed(3),
-      `${figure(fit.at(s.fit, x))} (${figure(x)} × ${s.by}${run ? '' : ', carried on'})`,
+      slope.name,
+      slope.unit,
+      slope.origin,
+      slope.points.map(([pointX, pointY]) => `${figure(pointX)}: ${figure(pointY)}`).join('; '),
+      fitText(slope),
+      slope.fit.r2.toFixed(3),
+      `${figure(fit.valueAt(slope.fit, input))} (${figure(input)} × ${slope.by}${coversSize ? '' : ', carried on'})`,
     ];
   });
 
-const foundRows = (found: Found[]): string[][] =>
-  found.map((f) => [f.what, f.points.map(([x, t]) => `${figure(x)}: ${t}`).join('; ')]);
+const foundRows = (found: SizeCheck[]): string[][] =>
+  found.map((check) => [check.what, check.points.map(([input, text]) => `${figure(input)}: ${text}`).join('; ')]);
 
+/** The tables of docs/CAPACITY.md. */
 export const capacity = {
   /** All tables of the page, in its order. */
-  print: (m: Required<Measured>, out: (line: string) => void): void => {
-    const row: Row = (...c) => out(`| ${c.join(' | ')} |`);
+  print: (results: Required<Measurement>, out: (line: string) => void): void => {
+    const row: Row = (...cells) => out(`| ${cells.join(' | ')} |`);
     out('\n### Slopes\n');
-    head(row, ...slopeHead);
-    for (const r of slopeRows(m.slopes)) row(...r);
+    tableHead(row, ...slopeHead);
+    for (const cells of slopeRows(results.slopes)) row(...cells);
     out('\n### Checks at several sizes (simulated)\n');
-    head(row, 'what', 'by gateways');
-    for (const r of foundRows(m.found)) row(...r);
+    tableHead(row, 'what', 'by gateways');
+    for (const cells of foundRows(results.checks)) row(...cells);
     out('\n### Tries that failed\n');
-    head(row, 'what', 'what came of it');
-    for (const f of m.failed) row(f.what, f.why);
+    tableHead(row, 'what', 'what came of it');
+    for (const attempt of results.failed) row(attempt.what, attempt.why);
     out('\n### What each role holds and says at the size (reckoned)\n');
-    head(row, 'role', 'what', 'by', 'at the size', 'of what is allowed', 'breaks');
-    for (const r of needRows(m.slopes)) row(...r);
+    tableHead(row, 'role', 'what', 'by', 'at the size', 'of what is allowed', 'breaks');
+    for (const cells of needRows(results.slopes)) row(...cells);
     out('\n### Ways weighed (reckoned)\n');
-    head(row, 'piece', 'way', 'at the size', 'against what is allowed');
-    for (const r of ways(m.slopes)) row(...r);
+    tableHead(row, 'piece', 'way', 'at the size', 'against what is allowed');
+    for (const cells of alternatives(results.slopes)) row(...cells);
     out('\n### Failures (reckoned)\n');
-    head(row, 'what', 'how much');
-    for (const r of failures(m.slopes)) row(...r);
+    tableHead(row, 'what', 'how much');
+    for (const cells of failures(results.slopes)) row(...cells);
   },
 };
--- a/tools/simulation/src/measurement/capacity/registers.ts
+++ b/tools/simulation/src/measurement/capacity/registers.ts
@@ -5,33 +5,36 @@
 import { type Runtime, type Microseconds, duration } from '@thornsail/runtime';
 import type { World } from '../../world/index.js';
 
-export const storeGroup = (w: World, n: number): Group => {
+/** Starts `n` register stores and returns their group. */
+export const storeGroup = (sim: World, n: number): Group => {
   const group = {
     version: 1,
     members: Array.from({ length: n }, (_, i) => ({ id: `k${i}`, at: `10.2.0.${i + 1}:1` })),
   };
-  for (const [i, m] of group.members.entries()) {
-    const runtime = w.runtime(w.host(`10.2.0.${i + 1}`, `z${i}`));
+  for (const [i, member] of group.members.entries()) {
+    const runtime = sim.runtime(sim.host(`10.2.0.${i + 1}`, `z${i}`));
     void rpc
-      .open(runtime, m.at)
-      .then(async (p) =>
-        store.open({ runtime, rpc: p, durable: await durableStore.open(runtime.disk), freshId: m.id }),
+      .open(runtime, member.at)
+      .then(async (endpoint) =>
+        store.open({ runtime, rpc: endpoint, durable: await durableStore.open(runtime.disk), freshId: member.id }),
       );
   }
   return group;
 };
 
-export const proposerOf = async (w: World, runtime: Runtime, group: Group): Promise<Registers> => {
-  let regs: Registers | undefined;
+/** Opens a proposer of the group and runs the network until it is ready. */
+export const proposerOf = async (sim: World, runtime: Runtime, group: Group): Promise<Registers> => {
+  let proposer: Registers | undefined;
   void rpc
     .open(runtime, '10.1.0.1:1')
-    .then((p) => (regs = registers.open({ runtime, rpc: p, clientId: 'edge', group: () => group })));
-  while (!regs) await w.run(w.now() + duration.ms(10));
-  await w.run(w.now() + duration.ms(100));
-  return regs;
+    .then((endpoint) => (proposer = registers.open({ runtime, rpc: endpoint, clientId: 'edge', group: () => group })));
+  while (!proposer) await sim.run(sim.now() + duration.ms(10));
+  await sim.run(sim.now() + duration.ms(100));
+  return proposer;
 };
 
-export const written =
+/** A change that sets a register to a value that does not expire. */
+export const setTo =
   (value: unknown) => (): { stored: { value: unknown; expiresAt: Microseconds }; result: undefined } => ({
     stored: { value, expiresAt: 9e15 },
     result: undefined,
--- a/tools/simulation/src/measurement/capacity/size.ts
+++ b/tools/simulation/src/measurement/capacity/size.ts
@@ -1,8 +1,9 @@
-// The size to design for (docs/CAPACITY.md), and what a node may spend on control.
+// The design size (docs/CAPACITY.md), and the resources that a node may spend on control.
 
+/** Seconds of a day. */
 export const day = 86_400;
 
-/** The users' figures. */
+/** The required size: machines, requests and tokens a second, changes, failures and restarts a day. */
 export const size = {
   nodes: 380,
   control: 19,
@@ -25,34 +26,36 @@
   restarted: 940,
 };
 
-/** What a node may spend on control: microseconds of a core a second, bytes, bytes a second both ways. */
+/** Limits of a node for control: µs of processor time a second, bytes of memory, bytes a second both ways. */
 export const allowed = { cpu: 27_000, memory: 32e6, bytes: 12_000 };
 
-/** What the users did not say, and the page has to take for something. */
+/** Assumptions for what the requirements leave open. */
 export const taken = {
-  /** A gateway and an agent on each node; three coordinators, the other control machines are stores. */
+  /** A gateway and an agent on each node; of the control machines three are coordinators and the others stores. */
   processes: 2 * size.nodes + size.control,
   relays: size.nodes + size.control,
   bytesPerToken: 4,
-  /** At least one route a tenant; at most each tenant with each model. */
+  /** At least one route per tenant; at most one per tenant and model. */
   routes: [size.tenants, size.tenants * size.models] as const,
-  /** One way between two regions. */
+  /** One-way delay between two regions. */
   regionMs: 30,
-  /** How long a machine is out of service. */
+  /** Possible downtimes of a failed machine. */
   minutes: [1, 10, 60] as const,
 };
 
-/** What TCP and IP put before a frame that goes by itself. */
+/** Bytes of TCP and IP headers of a frame that is sent alone. */
 export const header = 52;
 
+/** Requests a second at each gateway. */
 export const perGateway = size.requests / size.nodes;
 
-/** One turn of a program at a time: the most that run at once. */
+/** Maximum of concurrent turns at each gateway: a program has one turn at a time. */
 export const running = size.programs / size.nodes;
 
+/** Mean size of one turn of a conversation in KB. */
 export const turnKb = ((size.history / size.turns) * taken.bytesPerToken) / 1000;
 
-/** The x of each measure at the size to design for. */
+/** The design size in each quantity that slopes grow with. */
 export const sizeOf: Record<string, number> = {
   'process': taken.processes,
   'gateway': size.nodes,
--- a/tools/simulation/src/measurement/capacity/slope.ts
+++ b/tools/simulation/src/measurement/capacity/slope.ts
@@ -1,43 +1,53 @@
-// What a measurement of docs/CAPACITY.md gives: slopes over at least four sizes, and what did not come about.
+// Results of the parts of docs/CAPACITY.md: slopes over at least four sizes, and attempts that failed.
 import { type Fit, type Point, type Shape, fit } from '../fit.js';
 
-export type Mark = 'measured' | 'simulated' | 'reckoned';
+/** How a figure was obtained; the page prints it under `mark`. */
+export type Origin = 'measured' | 'simulated' | 'reckoned';
 
-export type Slope = { name: string; by: string; unit: string; mark: Mark; points: Point[]; fit: Fit };
+/** A quantity, sampled at several sizes, and its fit; `by` names what x counts, a key of `sizeOf`. */
+export type Slope = { name: string; by: string; unit: string; origin: Origin; points: Point[]; fit: Fit };
 
-/** What was tried and did not come about. */
-export type Failed = { what: string; why: string };
+/** An attempt that failed, and the reason. */
+export type FailedAttempt = { what: string; why: string };
 
-/** What came out of a check at several sizes, in words. */
-export type Found = { what: string; by: string; points: [x: number, text: string][] };
+/** The outcome of a check at several sizes, as text. */
+export type SizeCheck = { what: string; by: string; points: [size: number, text: string][] };
 
-export type Measured = { slopes: Slope[]; failed: Failed[]; found?: Found[] };
+/** The results of a part. */
+export type Measurement = { slopes: Slope[]; failed: FailedAttempt[]; checks?: SizeCheck[] };
 
-/** Small ones hold the measuring code in the tests; the page is made with the whole ones. */
+/** `small` sizes are for tests of this code; the page is generated with the `whole` ones. */
 export type Sizes = 'small' | 'whole';
 
-export type Part = (sizes: Sizes) => Promise<Measured>;
+/** Computes one group of figures. */
+export type Part = (sizes: Sizes) => Promise<Measurement>;
 
+/** Fits a model, by default a straight line, to the points. */
 export const slope = (
   name: string,
   by: string,
   unit: string,
-  mark: Mark,
+  origin: Origin,
   points: Point[],
   shape: Shape = 'line',
 ): Slope => ({
   name,
   by,
   unit,
-  mark,
+  origin: origin,
   points,
-  fit: fit.of(points, shape),
+  fit: fit.leastSquares(points, shape),
 });
 
-export const pick = (sizes: Sizes, whole: number[], small: number[]): number[] => (sizes === 'small' ? small : whole);
-
-export const points = async (xs: number[], y: (x: number) => number | Promise<number>): Promise<Point[]> => {
-  const out: Point[] = [];
-  for (const x of xs) out.push([x, await y(x)]);
-  return out;
+/** Selects the list for the given sizes. */
+export const pick = (sizes: Sizes, full: number[], small: number[]): number[] => (sizes === 'small' ? small : full);
+
+/** Evaluates a function at each size, one after another. */
+export const points = async (
+  inputs: number[],
+  evaluate: (input: number) => number | Promise<number>,
+): Promise<Point[]> => {
+  const results: Point[] = [];
+  for (const input of inputs) results.push([input, await evaluate(input)]);
+  return results;
 };
--- a/tools/simulation/src/measurement/capacity/sockets.ts
+++ b/tools/simulation/src/measurement/capacity/sockets.ts
@@ -1,36 +1,43 @@
-// Processes on real sockets: one child process at a time beside this one, ended whatever happens.
+// Resource usage of hollow nodes on real sockets: one child process at a time, which is always killed at the end.
 import path from 'node:path';
 import { spawn } from 'node:child_process';
 import { fileURLToPath } from 'node:url';
 import type { Point } from '../fit.js';
-import type { RealUse } from '../hollow.js';
-import { type Failed, type Part, pick, slope } from './slope.js';
+import type { ProcessUsage } from '../hollow.js';
+import { type FailedAttempt, type Part, pick, slope } from './slope.js';
 
-export const here = path.dirname(fileURLToPath(import.meta.url));
+/** The folder of the built capacity modules. */
+export const capacityFolder = path.dirname(fileURLToPath(import.meta.url));
 
-const child = async (edges: number, seconds: number): Promise<RealUse | undefined> => {
-  const c = spawn(process.execPath, [path.join(here, '../hollow-cli.js'), String(edges), String(seconds)], {
-    stdio: ['ignore', 'pipe', 'ignore'],
-  });
+const runHollowNodes = async (edges: number, seconds: number): Promise<ProcessUsage | undefined> => {
+  const child = spawn(
+    process.execPath,
+    [path.join(capacityFolder, '../hollow-cli.js'), String(edges), String(seconds)],
+    {
+      stdio: ['ignore', 'pipe', 'ignore'],
+    },
+  );
   try {
     let text = '';
-    c.stdout.on('data', (d: Buffer) => (text += d.toString()));
-    const code = await new Promise((fin) => c.once('close', fin));
-    return code === 0 ? (JSON.parse(text) as RealUse) : undefined;
+    child.stdout.on('data', (chunk: Buffer) => (text += chunk.toString()));
+    const code = await new Promise((resolve) => child.once('close', resolve));
+    return code === 0 ? (JSON.parse(text) as ProcessUsage) : undefined;
   } finally {
-    c.kill();
+    child.kill();
   }
 };
 
+/** Processor time, memory and connections of idle nodes on real sockets. */
 export const sockets: Part = async (sizes) => {
-  const failed: Failed[] = [];
-  const all: RealUse[] = [];
+  const failed: FailedAttempt[] = [];
+  const usages: ProcessUsage[] = [];
   for (const edges of pick(sizes, [1, 3, 7, 15], [1, 2, 3, 4])) {
-    const r = await child(edges, sizes === 'small' ? 0.3 : 6);
-    if (r) all.push(r);
-    else failed.push({ what: `hollow nodes: ${2 * edges + 6} processes on real sockets`, why: 'did not come up' });
+    const usage = await runHollowNodes(edges, sizes === 'small' ? 0.3 : 6);
+    if (usage) usages.push(usage);
+    else failed.push({ what: `hollow nodes: ${2 * edges + 6} processes on real sockets`, why: 'did not start' });
   }
-  const p = (y: (r: RealUse) => number): Point[] => all.map((r) => [r.processes, y(r)]);
+  const pointsOf = (value: (usage: ProcessUsage) => number): Point[] =>
+    usages.map((usage) => [usage.processes, value(usage)]);
   return {
     failed,
     slopes: [
@@ -39,21 +46,21 @@
         'process',
         'µs of processor time a second',
         'measured',
-        p((r) => r.cpu),
+        pointsOf((usage) => usage.cpu),
       ),
       slope(
         'memory of all hollow nodes together',
         'process',
         'bytes',
         'measured',
-        p((r) => r.rss),
+        pointsOf((usage) => usage.rss),
       ),
       slope(
         'connections of all of them',
         'process',
         'sockets',
         'measured',
-        p((r) => r.sockets),
+        pointsOf((usage) => usage.sockets),
         'power',
       ),
     ],
--- a/tools/simulation/src/measurement/cli.ts
+++ b/tools/simulation/src/measurement/cli.ts
@@ -1,4 +1,4 @@
-// npm run measure [-- part ...]: the figures of docs/MEASUREMENTS.md, all in simulated time or counts.
+// Command `npm run measure [-- part ...]`: prints the figures of docs/MEASUREMENTS.md, as simulated times or counts.
 import { capacity } from './capacity/page.js';
 import { measure } from './capacity/index.js';
 import { detection } from './detection.js';
@@ -6,16 +6,16 @@
 import { recovery } from './recovery.js';
 import { relays } from './relays.js';
 import { edges, scheduler } from './scheduler.js';
-import { headloss, spread } from './spread.js';
-import { out } from './table.js';
+import { leaderLoss, spread } from './spread.js';
+import { printLine } from './table.js';
 import { turns } from './turns.js';
 
 const printCapacity = async (): Promise<void> => {
-  out('\n### Capacity: slopes, and the size to design for (docs/CAPACITY.md)');
-  capacity.print(await measure('whole'), out);
+  printLine('\n### Capacity: slopes, and the size to design for (docs/CAPACITY.md)');
+  capacity.print(await measure('whole'), printLine);
 };
 
-/** The parts by the names that the command takes, in the order in which they run. */
+/** The parts by their names on the command line, in the order in which they run. */
 const parts: Record<string, () => Promise<void>> = {
   'scheduler-lautoka': () => scheduler('lautoka'),
   'scheduler-granite': () => scheduler('granite'),
@@ -25,16 +25,16 @@
   detection,
   relays,
   spread,
-  headloss,
+  headloss: leaderLoss,
   duties,
   recovery,
   'capacity': printCapacity,
 };
 
-const only = process.argv.slice(2);
-for (const name of only)
+const selected = process.argv.slice(2);
+for (const name of selected)
   if (!Object.hasOwn(parts, name)) {
-    process.stderr.write(`measure: no part ${name}; there are ${Object.keys(parts).join(', ')}\n`);
+    process.stderr.write(`measure: unknown part ${name}; known parts: ${Object.keys(parts).join(', ')}\n`);
     process.exit(2);
   }
-for (const [name, run] of Object.entries(parts)) if (only.length === 0 || only.includes(name)) await run();
+for (const [name, run] of Object.entries(parts)) if (selected.length === 0 || selected.includes(name)) await run();
--- a/tools/simulation/src/measurement/day.ts
+++ b/tools/simulation/src/measurement/day.ts
@@ -1,12 +1,14 @@
-// A loaded deployment in the simulator, and what its scheduler did (§4).
+// Runs a simulated deployment under load and collects the figures of its scheduler (§4).
 import { duration } from '@thornsail/runtime';
 import type { ShapeName } from '@thornsail/test-harness';
 import { type Fleet, fleet } from '../fleet/index.js';
 import { sumGatewayCounts } from '../scenario-support.js';
 
+/** The seeds of the runs whose figures are summed. */
 export const seeds = [1, 2, 3, 4];
 
-type Day = {
+/** Totals of one or several runs; `over` is the fraction of utilization samples above 1, `worst` the highest sample. */
+type LoadResult = {
   turns: number;
   prompt: number;
   reprefilled: number;
@@ -20,101 +22,120 @@
   waits: number[];
 };
 
-/** Tokens of active programs at each worker; each program once: for a moment after it moved, two edges count it. */
-const tokensAtWorkers = (f: Fleet): Map<string, number> => {
-  const last = new Map<string, { worker: string; tokens: number; activeAt: number }>();
-  for (const p of f.processes)
-    for (const x of p.node?.dataPlane?.admission.state().programs.values() ?? []) {
-      if (x.status !== 'active' || x.assignedWorker === null) continue;
-      if ((last.get(x.id)?.activeAt ?? -1) >= x.lastActiveAt) continue;
-      last.set(x.id, { worker: x.assignedWorker, tokens: x.tokens, activeAt: x.lastActiveAt });
+/** Tokens of active programs by worker; counts each program once, because two edges list it shortly after it moved. */
+const tokensAtWorkers = (sim: Fleet): Map<string, number> => {
+  const latest = new Map<string, { worker: string; tokens: number; activeAt: number }>();
+  for (const proc of sim.processes)
+    for (const program of proc.node?.dataPlane?.admission.state().programs.values() ?? []) {
+      if (program.status !== 'active' || program.assignedWorker === null) continue;
+      if ((latest.get(program.id)?.activeAt ?? -1) >= program.lastActiveAt) continue;
+      latest.set(program.id, {
+        worker: program.assignedWorker,
+        tokens: program.tokens,
+        activeAt: program.lastActiveAt,
+      });
     }
   const tokens = new Map<string, number>();
-  for (const x of last.values()) tokens.set(x.worker, (tokens.get(x.worker) ?? 0) + x.tokens);
+  for (const program of latest.values()) tokens.set(program.worker, (tokens.get(program.worker) ?? 0) + program.tokens);
   return tokens;
 };
 
-type OverCapacity = { sample: (f: Fleet, capacity: number) => void; part: () => number; worst: () => number };
-/** Samples of each worker's utilization: the part of them above 1, and the highest. */
-const overCapacity = (): OverCapacity => {
+type UtilizationSampler = {
+  sample: (sim: Fleet, capacity: number) => void;
+  fraction: () => number;
+  worst: () => number;
+};
+/** Samples the utilization of each worker: the fraction of samples above 1, and the maximum. */
+const utilizationSampler = (): UtilizationSampler => {
   let over = 0;
   let samples = 0;
   let worst = 0;
   return {
-    sample: (f, capacity) => {
-      const tokens = tokensAtWorkers(f);
-      for (const model of f.models) {
+    sample: (sim, capacity) => {
+      const tokens = tokensAtWorkers(sim);
+      for (const model of sim.models) {
         const utilization = (tokens.get(model.id) ?? 0) / capacity;
         samples += 1;
         if (utilization > 1) over += 1;
         worst = Math.max(worst, utilization);
       }
     },
-    part: () => over / Math.max(1, samples),
+    fraction: () => over / Math.max(1, samples),
     worst: () => worst,
   };
 };
 
-const day = async (
+const simulateSeed = async (
   seed: number,
   shape: ShapeName,
-  o: { plain?: boolean; scheduler?: Record<string, unknown>; callAt?: number; capacity: number; chats: number },
-): Promise<Day> => {
-  const f = await fleet.open({
+  options: { plain?: boolean; scheduler?: Record<string, unknown>; callAt?: number; capacity: number; chats: number },
+): Promise<LoadResult> => {
+  const sim = await fleet.open({
     seed,
     shape,
-    capacity: o.capacity,
+    capacity: options.capacity,
     gap: duration.ms(900),
-    ...(o.plain ? { plain: true } : {}),
-    ...(o.callAt ? { gatewayLimit: o.callAt } : {}),
-    config: (c) => ({ ...c, slots: { model: 64, app: 16 }, scheduler: { ...o.scheduler } }),
+    ...(options.plain ? { plain: true } : {}),
+    ...(options.callAt ? { gatewayLimit: options.callAt } : {}),
+    config: (base) => ({ ...base, slots: { model: 64, app: 16 }, scheduler: { ...options.scheduler } }),
+  });
+  const load = sim.load({
+    chats: options.chats,
+    kept: Math.round(options.chats / 8),
+    jobs: 0,
+    spreadOver: duration.s(20),
   });
-  const l = f.load({ chats: o.chats, kept: Math.round(o.chats / 8), jobs: 0, spreadOver: duration.s(20) });
-  const over = overCapacity();
-  while (!l.done() && f.world.now() < duration.s(120)) {
-    await f.world.run(f.world.now() + duration.ms(250));
-    over.sample(f, o.capacity);
+  const sampler = utilizationSampler();
+  while (!load.done() && sim.world.now() < duration.s(120)) {
+    await sim.world.run(sim.world.now() + duration.ms(250));
+    sampler.sample(sim, options.capacity);
   }
-  const e = f.requestLog.entries.filter((x) => x.program !== null);
+  const entries = sim.requestLog.entries.filter((entry) => entry.program !== null);
   return {
-    turns: f.callers.summary.turns,
-    prompt: e.reduce((a, x) => a + x.prompt, 0),
-    reprefilled: e.reduce((a, x) => a + x.prefilled, 0),
-    held: sumGatewayCounts(f, 'held'),
-    resumed: sumGatewayCounts(f, 'resumed'),
-    forced: sumGatewayCounts(f, 'forced'),
-    rejected: Object.values(f.callers.summary.rejected).reduce((a, b) => a + b, 0),
-    gaveUp: f.callers.summary.gaveUp,
-    over: over.part(),
-    worst: over.worst(),
-    waits: f.callers.summary.chatWaits,
+    turns: sim.callers.summary.turns,
+    prompt: entries.reduce((a, entry) => a + entry.prompt, 0),
+    reprefilled: entries.reduce((a, entry) => a + entry.prefilled, 0),
+    held: sumGatewayCounts(sim, 'held'),
+    resumed: sumGatewayCounts(sim, 'resumed'),
+    forced: sumGatewayCounts(sim, 'forced'),
+    rejected: Object.values(sim.callers.summary.rejected).reduce((a, b) => a + b, 0),
+    gaveUp: sim.callers.summary.gaveUp,
+    over: sampler.fraction(),
+    worst: sampler.worst(),
+    waits: sim.callers.summary.chatWaits,
   };
 };
 
-export const days = async (shape: ShapeName, o: Parameters<typeof day>[2]): Promise<Day> => {
-  const all = await Promise.all(seeds.map((s) => day(s, shape, o)));
-  const add = (k: Exclude<keyof Day, 'waits'>): number => all.reduce((a, d) => a + d[k], 0);
+/** Runs the load on every seed of `seeds` and combines the results. */
+export const simulateSeeds = async (
+  shape: ShapeName,
+  options: Parameters<typeof simulateSeed>[2],
+): Promise<LoadResult> => {
+  const results = await Promise.all(seeds.map((seed) => simulateSeed(seed, shape, options)));
+  const total = (key: Exclude<keyof LoadResult, 'waits'>): number => results.reduce((a, result) => a + result[key], 0);
   return {
-    turns: add('turns'),
-    prompt: add('prompt'),
-    reprefilled: add('reprefilled'),
-    held: add('held'),
-    resumed: add('resumed'),
-    forced: add('forced'),
-    rejected: add('rejected'),
-    gaveUp: add('gaveUp'),
-    over: add('over') / all.length,
-    worst: Math.max(...all.map((d) => d.worst)),
-    waits: all.flatMap((d) => d.waits),
+    turns: total('turns'),
+    prompt: total('prompt'),
+    reprefilled: total('reprefilled'),
+    held: total('held'),
+    resumed: total('resumed'),
+    forced: total('forced'),
+    rejected: total('rejected'),
+    gaveUp: total('gaveUp'),
+    over: total('over') / results.length,
+    worst: Math.max(...results.map((result) => result.worst)),
+    waits: results.flatMap((result) => result.waits),
   };
 };
 
-export const moderate: Record<ShapeName, { capacity: number; chats: number }> = {
+/** Worker cache size in tokens and number of chats of a moderate load. */
+export const moderateLoad: Record<ShapeName, { capacity: number; chats: number }> = {
   lautoka: { capacity: 1500, chats: 260 },
   granite: { capacity: 3400, chats: 260 },
 };
 
-export const load: Record<ShapeName, { capacity: number; chats: number }> = {
+/** Worker cache size in tokens and number of chats of a heavy load. */
+export const heavyLoad: Record<ShapeName, { capacity: number; chats: number }> = {
   lautoka: { capacity: 700, chats: 260 },
   granite: { capacity: 1500, chats: 260 },
 };
--- a/tools/simulation/src/measurement/hollow.ts
+++ b/tools/simulation/src/measurement/hollow.ts
@@ -1,5 +1,5 @@
-// Hollow nodes: real roles that speak the whole control protocol and serve no traffic, many in one process, on the
-// simulated net or on real sockets; what goes over their connections is counted (docs/CAPACITY.md).
+// Hollow nodes: real roles that run the complete control protocol but serve no traffic, many in one process, on the
+// simulated network or on real sockets. Counts the frames on their connections (docs/CAPACITY.md).
 import { mkdtempSync, rmSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import path from 'node:path';
@@ -9,47 +9,50 @@
 import { roles, type Node } from '@thornsail/thornsail';
 import { world, type Host, type World } from '../world/index.js';
 
-type Sum = { messages: number; bytes: number };
-export type Tally = { sent: Map<string, Sum>; got: Map<string, Sum> };
+type Traffic = { messages: number; bytes: number };
+/** Traffic of one node by message kind. */
+export type Tally = { sent: Map<string, Traffic>; got: Map<string, Traffic> };
 type Role = 'coordinator' | 'store' | 'agent' | 'gateway';
+/** A hollow node; `node` is null until it is up and after it was killed, `host` is null on real sockets. */
 export type HollowNode = { name: string; role: Role; tally: Tally; node: Node | null; host: Host | null };
 
-/** The kind of a frame, and for news the first word of its name, as they stand in the encoded text. */
+/** The message kind of an encoded frame; for a dissemination message `news.` and the first segment of its entry. */
 export const kindOf = (text: string): string => {
   const kind = /"(?:tell|ask|result|fault)","([^"]*)"/.exec(text)?.[1] ?? 'other';
   return kind === 'beam.news' ? `news.${/"(order|core|workers|read|uses|load)\b/.exec(text)?.[1] ?? 'other'}` : kind;
 };
 const newTally = (): Tally => ({ sent: new Map(), got: new Map() });
-const add = (m: Map<string, Sum>, text: string): void => {
-  const k = kindOf(text);
-  const s = m.get(k) ?? { messages: 0, bytes: 0 };
-  s.messages += 1;
-  // A frame goes with four bytes of its length (§3.1); what TCP and IP add is not counted.
-  s.bytes += Buffer.byteLength(text) + 4;
-  m.set(k, s);
+const countFrame = (byKind: Map<string, Traffic>, text: string): void => {
+  const kind = kindOf(text);
+  const traffic = byKind.get(kind) ?? { messages: 0, bytes: 0 };
+  traffic.messages += 1;
+  // Each frame has a length prefix of four bytes (§3.1); TCP and IP headers are not counted.
+  traffic.bytes += Buffer.byteLength(text) + 4;
+  byKind.set(kind, traffic);
 };
-export const counted = (runtime: Runtime, t: Tally): Runtime => ({
+/** Wraps a runtime so that its frames are counted in `tally`. */
+export const countingRuntime = (runtime: Runtime, tally: Tally): Runtime => ({
   ...runtime,
   net: {
     ...runtime.net,
-    openFrameTransport: async (at, onFrame, onDown, onBad) => {
-      const got = (from: Address, text: string): boolean => {
-        add(t.got, text);
+    openFrameTransport: async (address, onFrame, onDown, onBad) => {
+      const onCountedFrame = (from: Address, text: string): boolean => {
+        countFrame(tally.got, text);
         return onFrame(from, text);
       };
-      const f = await runtime.net.openFrameTransport(at, got, onDown, onBad);
+      const transport = await runtime.net.openFrameTransport(address, onCountedFrame, onDown, onBad);
       return {
-        ...f,
+        ...transport,
         send: (to, text) => {
-          add(t.sent, text);
-          f.send(to, text);
+          countFrame(tally.sent, text);
+          transport.send(to, text);
         },
       };
     },
   },
 });
 
-/** Workers of so many models in turn, with all that a platform's list may say of them (§3.8). */
+/** `n` workers, spread over the models round-robin, with every field that the platform's list may have (§3.8). */
 export const workerList = (n: number, models = 33): WorkerEntry[] =>
   Array.from({ length: n }, (_, i) => ({
     id: `worker-${String(i).padStart(5, '0')}`,
@@ -61,6 +64,7 @@
     cacheTokens: 2_000_000,
     zone: `z${i % 14}`,
   }));
+/** A configuration with one class, and a service for each model. */
 export const hollowConfig = (models = 33): Record<string, unknown> => ({
   classes: { chat: { kind: 'model', service: 'model-0', weight: 1 } },
   services: Array.from({ length: models }, (_, i) => ({ name: `model-${i}`, model: true })),
@@ -70,161 +74,181 @@
 type Spec = { name: string; role: Role; ip: string; zone: string };
 const specs = (edges: number, net: string): Spec[] => {
   const zone = (i: number): string => `z${(i % zones) + 1}`;
-  const some = (role: Role, n: number, third: number): Spec[] =>
+  const specsOf = (role: Role, n: number, thirdOctet: number): Spec[] =>
     Array.from({ length: n }, (_, i) => ({
       name: `${role}${i + 1}`,
       role,
-      ip: `${net}.${third + Math.floor(i / 200)}.${(i % 200) + 1}`,
+      ip: `${net}.${thirdOctet + Math.floor(i / 200)}.${(i % 200) + 1}`,
       zone: zone(i),
     }));
   return [
-    ...some('coordinator', 3, 3),
-    ...some('store', 3, 2),
-    ...some('agent', edges, 10),
-    ...some('gateway', edges, 60),
+    ...specsOf('coordinator', 3, 3),
+    ...specsOf('store', 3, 2),
+    ...specsOf('agent', edges, 10),
+    ...specsOf('gateway', edges, 60),
   ];
 };
 const port = 7101;
-/** Settings as a deployment's files would have them: three seeds, three founders. */
-const optionsOf = (s: Spec, all: Spec[]): Record<string, unknown> => {
-  const at = (x: Spec): Address => `${x.ip}:${port}`;
-  const coordinators = all.filter((x) => x.role === 'coordinator').map(at);
-  const disk = s.role === 'coordinator' || s.role === 'store' ? { data: 'data' } : {};
+/** Settings of a node as in a deployment's files: three seeds, three founding coordinators. */
+const optionsOf = (spec: Spec, allSpecs: Spec[]): Record<string, unknown> => {
+  const addressOf = (peer: Spec): Address => `${peer.ip}:${port}`;
+  const coordinators = allSpecs.filter((peer) => peer.role === 'coordinator').map(addressOf);
+  const diskOptions = spec.role === 'coordinator' || spec.role === 'store' ? { data: 'data' } : {};
   return {
-    name: s.name,
-    zone: s.zone,
-    place: at(s),
-    http: `${s.ip}:7102`,
-    seeds: [coordinators[0], at(all.find((x) => x.role === 'store')!), at(all.find((x) => x.role === 'agent')!)],
-    ...disk,
-    ...(s.role === 'coordinator' ? { founders: coordinators } : {}),
-    ...(s.role === 'agent' ? { platform: '127.0.0.9:7400' } : {}),
-    ...(s.role === 'gateway' ? { agent: at(all.find((x) => x.name === s.name.replace('gateway', 'agent'))!) } : {}),
+    name: spec.name,
+    zone: spec.zone,
+    place: addressOf(spec),
+    http: `${spec.ip}:7102`,
+    seeds: [
+      coordinators[0],
+      addressOf(allSpecs.find((peer) => peer.role === 'store')!),
+      addressOf(allSpecs.find((peer) => peer.role === 'agent')!),
+    ],
+    ...diskOptions,
+    ...(spec.role === 'coordinator' ? { founders: coordinators } : {}),
+    ...(spec.role === 'agent' ? { platform: '127.0.0.9:7400' } : {}),
+    ...(spec.role === 'gateway'
+      ? { agent: addressOf(allSpecs.find((peer) => peer.name === spec.name.replace('gateway', 'agent'))!) }
+      : {}),
   };
 };
-const boot = async (runtime: Runtime, s: Spec, all: Spec[], list: WorkerEntry[]): Promise<Node> => {
-  const c = configSchema.options(s.role, optionsOf(s, all));
-  if (!c.ok) throw new Error(JSON.stringify(c.problems));
-  const extra = s.role === 'agent' ? { read: () => Promise.resolve(list) } : {};
-  return (roles[s.role] as (l: Runtime, o: never, extra: object) => Promise<Node>)(runtime, c.value as never, extra);
+const boot = async (runtime: Runtime, spec: Spec, allSpecs: Spec[], workers: WorkerEntry[]): Promise<Node> => {
+  const checked = configSchema.options(spec.role, optionsOf(spec, allSpecs));
+  if (!checked.ok) throw new Error(JSON.stringify(checked.problems));
+  const extra = spec.role === 'agent' ? { read: () => Promise.resolve(workers) } : {};
+  return (roles[spec.role] as (runtime: Runtime, options: never, extra: object) => Promise<Node>)(
+    runtime,
+    checked.value as never,
+    extra,
+  );
 };
-export const total = (m: Map<string, Sum>, kinds: (kind: string) => boolean = () => true): Sum =>
-  [...m]
-    .filter(([k]) => kinds(k))
-    .reduce((a, [, s]) => ({ messages: a.messages + s.messages, bytes: a.bytes + s.bytes }), { messages: 0, bytes: 0 });
+/** Sums the traffic of the message kinds that the filter accepts. */
+export const total = (byKind: Map<string, Traffic>, kinds: (kind: string) => boolean = () => true): Traffic =>
+  [...byKind]
+    .filter(([kind]) => kinds(kind))
+    .reduce((a, [, traffic]) => ({ messages: a.messages + traffic.messages, bytes: a.bytes + traffic.bytes }), {
+      messages: 0,
+      bytes: 0,
+    });
 const clear = (nodes: HollowNode[]): void => {
-  for (const n of nodes) for (const m of [n.tally.sent, n.tally.got]) m.clear();
+  for (const node of nodes) for (const byKind of [node.tally.sent, node.tally.got]) byKind.clear();
 };
-const inRoster = (nodes: HollowNode[]): boolean =>
+const allAreMembers = (nodes: HollowNode[]): boolean =>
   nodes.every((n) => n.host?.alive === false || (n.node !== null && n.node.membership.isMember()));
-const push = (n: HollowNode, base: number): Promise<unknown> => {
+const pushConfig = (node: HollowNode, base: number): Promise<unknown> => {
   const body = { ...hollowConfig(), limits: { onceKeepSeconds: 1000 + base } };
-  return n.node!.membership.core.request(
+  return node.node!.membership.core.request(
     { type: 'push', push: { id: `c${base}`, base, how: 'whole', body } },
     duration.s(8),
   );
 };
-const configured = (nodes: HollowNode[], mark: number): boolean =>
-  nodes.filter((n) => n.role === 'gateway').every((n) => (n.node?.counts()['config_mark'] ?? 0) >= mark);
+const allUseVersion = (nodes: HollowNode[], version: number): boolean =>
+  nodes.filter((n) => n.role === 'gateway').every((n) => (n.node?.counts()['config_mark'] ?? 0) >= version);
 
-export type Hollow = {
-  w: World;
+/** A running cluster of hollow nodes on the simulated network. */
+export type HollowCluster = {
+  world: World;
   nodes: HollowNode[];
-  of: (role: Role) => HollowNode[];
+  nodesOf: (role: Role) => HollowNode[];
   run: (span: Microseconds) => Promise<void>;
-  /** False if it did not come true within the time. */
+  /** Runs until the condition holds; false if it did not within the limit or the processor time is used up. */
   until: (ok: () => boolean, limit: Microseconds) => Promise<boolean>;
   clear: () => void;
-  /** Pushes a configuration and waits until all gateways use it; gives how long that took. */
+  /** Pushes a configuration, waits until all gateways use it, and returns the time that took. */
   push: () => Promise<Microseconds>;
-  kill: (n: HollowNode) => void;
-  head: () => HollowNode | undefined;
-  /** When all were in the roster, and the bytes that the busiest of them had sent by then. */
+  kill: (node: HollowNode) => void;
+  leader: () => HollowNode | undefined;
+  /** The time at which all nodes were members, and the bytes that the busiest of them had sent by then. */
   started: { at: Microseconds; bytes: number };
 };
-/** On the simulated net. `within` bounds the processor time in microseconds; one that needs more gives undefined. */
-export const hollow = {
-  open: async (o: {
+/** Hollow nodes on the simulated network; `open` returns undefined if they do not all join in time. */
+export const hollowCluster = {
+  open: async (options: {
     edges: number;
     workers?: number;
     seed?: number;
     zoneDelay?: Microseconds;
+    /** Limit of the processor time of this process; `open` returns undefined if it needs more. */
     within?: Microseconds;
-    /** Without a first configuration. */
+    /** Skips the push of a first configuration. */
     bare?: boolean;
-  }): Promise<Hollow | undefined> => {
+  }): Promise<HollowCluster | undefined> => {
     invariant.clear();
-    const zoneDelay = o.zoneDelay ?? duration.ms(1);
-    const w = world.open({ seed: o.seed ?? 1, zoneDelay, clientDelay: duration.ms(1), clientIp: '127.0.9.9' });
-    const all = specs(o.edges, '10.7');
-    const list = workerList(o.workers ?? 24);
-    const spent = process.cpuUsage();
-    const over = (): boolean => {
-      const c = process.cpuUsage(spent);
-      return o.within !== undefined && c.user + c.system > o.within;
+    const zoneDelay = options.zoneDelay ?? duration.ms(1);
+    const sim = world.open({ seed: options.seed ?? 1, zoneDelay, clientDelay: duration.ms(1), clientIp: '127.0.9.9' });
+    const allSpecs = specs(options.edges, '10.7');
+    const workers = workerList(options.workers ?? 24);
+    const cpuBefore = process.cpuUsage();
+    const isOverBudget = (): boolean => {
+      const used = process.cpuUsage(cpuBefore);
+      return options.within !== undefined && used.user + used.system > options.within;
     };
-    const nodes: HollowNode[] = all.map((s) => {
-      const host = w.host(s.ip, s.zone);
-      const n: HollowNode = { name: s.name, role: s.role, tally: newTally(), node: null, host };
-      void boot(counted(w.runtime(host), n.tally), s, all, list).then((x) => (n.node = x));
-      return n;
+    const nodes: HollowNode[] = allSpecs.map((spec) => {
+      const host = sim.host(spec.ip, spec.zone);
+      const hollowNode: HollowNode = { name: spec.name, role: spec.role, tally: newTally(), node: null, host };
+      void boot(countingRuntime(sim.runtime(host), hollowNode.tally), spec, allSpecs, workers).then(
+        (opened) => (hollowNode.node = opened),
+      );
+      return hollowNode;
     });
-    const h: Hollow = {
-      w,
+    const cluster: HollowCluster = {
+      world: sim,
       nodes,
-      of: (role) => nodes.filter((n) => n.role === role),
-      run: (span) => w.run(w.now() + span),
-      until: async (ok, limit) => {
-        const end = w.now() + limit;
-        while (!ok() && w.now() < end && !over()) await w.run(w.now() + duration.ms(2));
-        return ok();
+      nodesOf: (role) => nodes.filter((n) => n.role === role),
+      run: (span) => sim.run(sim.now() + span),
+      until: async (condition, limit) => {
+        const endsAt = sim.now() + limit;
+        while (!condition() && sim.now() < endsAt && !isOverBudget()) await sim.run(sim.now() + duration.ms(2));
+        return condition();
       },
       clear: () => clear(nodes),
       push: async () => {
-        const mark = nodes.find((n) => n.node)!.node!.membership.state()!.config.mark;
-        const begun = w.now();
-        void push(h.of('agent').at(-1)!, mark).catch(() => undefined);
-        await h.until(() => configured(nodes, mark + 1), duration.s(10));
-        return w.now() - begun;
+        const version = nodes.find((n) => n.node)!.node!.membership.state()!.config.mark;
+        const startedAt = sim.now();
+        void pushConfig(cluster.nodesOf('agent').at(-1)!, version).catch(() => undefined);
+        await cluster.until(() => allUseVersion(nodes, version + 1), duration.s(10));
+        return sim.now() - startedAt;
       },
       kill: (n) => {
-        w.kill(n.host!, 'power');
+        sim.kill(n.host!, 'power');
         n.node = null;
       },
-      head: () => h.of('coordinator').find((n) => n.node?.counts()['leads'] === 1),
+      leader: () => cluster.nodesOf('coordinator').find((n) => n.node?.counts()['leads'] === 1),
       started: { at: 0, bytes: 0 },
     };
-    if (!(await h.until(() => inRoster(nodes), duration.s(60)))) return undefined;
-    h.started = { at: w.now(), bytes: Math.max(...nodes.map((n) => total(n.tally.sent).bytes)) };
-    if (o.bare) return h;
-    await h.push();
-    return over() ? undefined : h;
+    if (!(await cluster.until(() => allAreMembers(nodes), duration.s(60)))) return undefined;
+    cluster.started = { at: sim.now(), bytes: Math.max(...nodes.map((n) => total(n.tally.sent).bytes)) };
+    if (options.bare) return cluster;
+    await cluster.push();
+    return isOverBudget() ? undefined : cluster;
   },
 };
 
-export type RealUse = { processes: number; cpu: number; rss: number; sockets: number };
-/** On real sockets of this machine, all in this process: what each of them costs while nothing happens. */
-export const realHollow = async (edges: number, span: Microseconds): Promise<RealUse> => {
+/** Resource usage: processor time in µs per second and node, resident bytes and open sockets of the whole process. */
+export type ProcessUsage = { processes: number; cpu: number; rss: number; sockets: number };
+/** Runs hollow nodes on real sockets, all in this process, and returns their resource usage while idle. */
+export const runOnRealSockets = async (edges: number, span: Microseconds): Promise<ProcessUsage> => {
   const folder = mkdtempSync(path.join(tmpdir(), 'thornsail-hollow-'));
   try {
-    const all = specs(edges, `127.${150 + (process.pid % 90)}`);
-    const list = workerList(24);
+    const allSpecs = specs(edges, `127.${150 + (process.pid % 90)}`);
+    const workers = workerList(24);
     const nodes: HollowNode[] = await Promise.all(
-      all.map(async (s) => {
-        const node = await boot(real.runtime(path.join(folder, s.name)), s, all, list);
-        return { name: s.name, role: s.role, tally: newTally(), node, host: null };
+      allSpecs.map(async (spec) => {
+        const node = await boot(real.runtime(path.join(folder, spec.name)), spec, allSpecs, workers);
+        return { name: spec.name, role: spec.role, tally: newTally(), node, host: null };
       }),
     );
-    const wait = (t: Microseconds): Promise<void> => new Promise((fin) => void setTimeout(fin, t / 1000));
-    for (let i = 0; i < 400 && !inRoster(nodes); i++) await wait(duration.ms(50));
-    await push(nodes[0]!, 0).catch(() => undefined);
-    await wait(span / 3);
-    const before = process.cpuUsage();
-    await wait(span);
-    const used = process.cpuUsage(before);
-    const sockets = process.getActiveResourcesInfo().filter((x) => x === 'TCPSocketWrap').length;
-    if (!inRoster(nodes)) throw new Error('the hollow nodes did not find each other');
-    const cpu = ((used.user + used.system) / span / nodes.length) * 1e6;
+    const sleep = (time: Microseconds): Promise<void> =>
+      new Promise((resolve) => void setTimeout(resolve, time / 1000));
+    for (let i = 0; i < 400 && !allAreMembers(nodes); i++) await sleep(duration.ms(50));
+    await pushConfig(nodes[0]!, 0).catch(() => undefined);
+    await sleep(span / 3);
+    const cpuBefore = process.cpuUsage();
+    await sleep(span);
+    const cpuUsed = process.cpuUsage(cpuBefore);
+    const sockets = process.getActiveResourcesInfo().filter((resource) => resource === 'TCPSocketWrap').length;
+    if (!allAreMembers(nodes)) throw new Error('not all hollow nodes became members');
+    const cpu = ((cpuUsed.user + cpuUsed.system) / span / nodes.length) * 1e6;
     return { processes: nodes.length, cpu, rss: process.memoryUsage().rss, sockets };
   } finally {
     rmSync(folder, { recursive: true, force: true });
--- a/tools/simulation/src/measurement/recovery.ts
+++ b/tools/simulation/src/measurement/recovery.ts
@@ -1,21 +1,23 @@
-// How long the fleet takes to serve again after the faults of scenario `closing`.
+// Recovery times after the faults of scenario `closing`.
 import { scenarios } from '../scenarios/index.js';
-import { head, out, row } from './table.js';
+import { tableHead, printLine, row } from './table.js';
 
+/** Prints the longest recovery time of each fault by deployment shape. */
 export const recovery = async (): Promise<void> => {
-  out('\n### Serving again at every gateway after a closing fault (simulated, 10 seeds; in steps of 250 ms)\n');
-  head('fault', 'lautoka, worst ms', 'granite, worst ms');
+  printLine('\n### Serving again at every gateway after a closing fault (simulated, 10 seeds; in steps of 250 ms)\n');
+  tableHead('fault', 'lautoka, worst ms', 'granite, worst ms');
   const worst = new Map<string, Record<string, number>>();
   for (const shape of ['lautoka', 'granite'] as const)
     for (let seed = 1; seed <= 10; seed++) {
-      const o = await scenarios['closing']!.run(seed, shape);
-      for (const b of o.breaches) out(`breach, ${shape} seed ${seed}: ${b}`);
-      for (const [k, v] of Object.entries(o.figures))
-        if (k.endsWith('_ms') && k !== 'slowest_ms') {
-          const r = worst.get(k) ?? {};
-          r[shape] = Math.max(r[shape] ?? 0, v);
-          worst.set(k, r);
+      const outcome = await scenarios['closing']!.run(seed, shape);
+      for (const breach of outcome.breaches) printLine(`breach, ${shape} seed ${seed}: ${breach}`);
+      for (const [name, value] of Object.entries(outcome.figures))
+        if (name.endsWith('_ms') && name !== 'slowest_ms') {
+          const byShape = worst.get(name) ?? {};
+          byShape[shape] = Math.max(byShape[shape] ?? 0, value);
+          worst.set(name, byShape);
         }
     }
-  for (const [k, r] of worst) row(k.replace(/_ms$/, '').replaceAll('_', ' '), r['lautoka'] ?? 0, r['granite'] ?? 0);
+  for (const [name, byShape] of worst)
+    row(name.replace(/_ms$/, '').replaceAll('_', ' '), byShape['lautoka'] ?? 0, byShape['granite'] ?? 0);
 };
--- a/tools/simulation/src/measurement/registers-cli.ts
+++ b/tools/simulation/src/measurement/registers-cli.ts
@@ -1,20 +1,21 @@
-// node tools/simulation/src/measurement/registers-cli.js [simulated|bench ...]: what a register change costs.
+// Usage: node tools/simulation/src/measurement/registers-cli.js [simulated|bench ...]
+// Prints the cost of register changes. `--store NUMBER FOLDER ADDRESS` runs one store of the benchmark instead.
 import { fileURLToPath } from 'node:url';
 import { duration } from '@thornsail/runtime';
-import { bench, benchHead, benchStore, simulated, simulatedHead } from './registers.js';
-import { head, row } from './table.js';
+import { benchChanges, benchHeadings, benchStore, simulateChanges, simulatedHeadings } from './registers.js';
+import { tableHead, row } from './table.js';
 
 const parts: Record<string, () => Promise<void>> = {
   simulated: async () => {
-    head(...simulatedHead);
+    tableHead(...simulatedHeadings);
     for (const syncTime of [2, 12])
       for (const rate of [100, 400])
-        await simulated(row, { syncTime: duration.ms(syncTime), rate, span: duration.s(10) });
+        await simulateChanges(row, { syncTime: duration.ms(syncTime), rate, span: duration.s(10) });
   },
   bench: async () => {
-    head(...benchHead);
+    tableHead(...benchHeadings);
     for (const rate of [400, 800])
-      await bench(row, { rate, span: duration.s(10), cli: fileURLToPath(import.meta.url) });
+      await benchChanges(row, { rate, span: duration.s(10), cli: fileURLToPath(import.meta.url) });
   },
 };
 const args = process.argv.slice(2);
--- a/tools/simulation/src/measurement/registers.ts
+++ b/tools/simulation/src/measurement/registers.ts
@@ -1,5 +1,5 @@
-// What a register change costs (docs/MEASUREMENTS.md): syncs, frames, bytes and added time in simulated time, and the
-// CPU of real stores on loopback.
+// The cost of a register change (docs/MEASUREMENTS.md): syncs, frames, bytes and latency on the simulated network, and
+// processor time of real stores on loopback.
 import { spawn, type ChildProcessByStdio } from 'node:child_process';
 import { mkdtempSync, rmSync } from 'node:fs';
 import { tmpdir } from 'node:os';
@@ -20,107 +20,120 @@
 import { rpc, validate, type Rpc } from '@thornsail/rpc';
 import { world } from '../world/index.js';
 
-type Row = (...c: (string | number)[]) => void;
-const ids = [1, 2, 3];
-/** Values of 0.2 to 40 KB, small ones more often. */
-const sizeOf = (r: Random): number => Math.round(200 * 200 ** r.next());
+type Row = (...cells: (string | number)[]) => void;
+const storeIds = [1, 2, 3];
+/** A random size of 0.2 to 40 KB, log-uniformly distributed. */
+const randomSize = (rng: Random): number => Math.round(200 * 200 ** rng.next());
 const valueOf = (size: number, n: number): unknown => ({
   messages: [
     { role: 'user', content: `${n} ${'ask '.repeat(Math.ceil(size / 16))}` },
     { role: 'assistant', content: 'say it "so" '.repeat(Math.ceil(size / 18)) },
   ],
 });
-const keep = (value: unknown) => (_v: unknown, w: { max: Microseconds }) => ({
-  stored: { value, expiresAt: w.max + duration.s(60) },
+const setValue = (value: unknown) => (_previous: unknown, now: { max: Microseconds }) => ({
+  stored: { value, expiresAt: now.max + duration.s(60) },
   result: undefined,
 });
-type Work = { change: (key: string, value: unknown) => Promise<void> };
+type RegisterWriter = { change: (key: string, value: unknown) => Promise<void> };
 /**
- * One turn: a key claimed and recorded for some, a program's budget record changed twice, one exchange kept for some.
+ * Makes the register changes of a turn: two of the program's budget, and for every second turn the claim and result of
+ * an idempotency key. Resolves to the number of changes.
  */
-const turn = async (x: Work, r: Random, n: number): Promise<number> => {
-  const size = sizeOf(r);
-  const once = n % 2 === 0;
-  const program = `program/p${3 * r.int(100) + (n % 3)}`;
+const runTurn = async (writer: RegisterWriter, rng: Random, n: number): Promise<number> => {
+  const size = randomSize(rng);
+  const hasKey = n % 2 === 0;
+  const program = `program/p${3 * rng.int(100) + (n % 3)}`;
   let changes = 2;
-  if (once) await x.change(`once/chat/k${n}`, { turn: n, done: null });
-  await x.change(program, { spent: n });
-  await x.change(program, { spent: n + 1 });
-  if (once) {
-    await x.change(`once/chat/k${n}`, { turn: n, done: valueOf(size, n) });
+  if (hasKey) await writer.change(`once/chat/k${n}`, { turn: n, done: null });
+  await writer.change(program, { spent: n });
+  await writer.change(program, { spent: n + 1 });
+  if (hasKey) {
+    await writer.change(`once/chat/k${n}`, { turn: n, done: valueOf(size, n) });
     changes += 2;
   }
   return changes;
 };
-const pct = (v: number[], p: number): number => {
-  const s = [...v].sort((a, b) => a - b);
-  return (s[Math.min(s.length - 1, Math.floor(s.length * p))] ?? 0) / 1000;
+const quantileMs = (values: number[], fraction: number): number => {
+  const sorted = [...values].sort((a, b) => a - b);
+  return (sorted[Math.min(sorted.length - 1, Math.floor(sorted.length * fraction))] ?? 0) / 1000;
 };
 
-/** `syncTime` in the mean; a third of the changes are the first of their key. */
-export const simulated = async (
+/** Simulates changes at `rate` a second; `syncTime` is the mean. A third of the changes are the first of their key. */
+export const simulateChanges = async (
   row: Row,
-  o: { syncTime: Microseconds; rate: number; span: Microseconds },
+  options: { syncTime: Microseconds; rate: number; span: Microseconds },
 ): Promise<void> => {
-  const w = world.open({
+  const sim = world.open({
     seed: 1,
     zoneDelay: duration.ms(1),
     clientDelay: duration.ms(1),
     clientIp: '127.0.9.9',
-    diskTime: Math.round(o.syncTime / 0.6),
+    diskTime: Math.round(options.syncTime / 0.6),
   });
-  const at = (i: number): string => `127.0.2.${i}:7101`;
-  const group: Group = { version: 1, members: ids.map((i) => ({ id: `k${i}`, at: at(i) })) };
-  for (const i of ids) {
-    const host = w.host(`127.0.2.${i}`, `z${i}`);
-    const runtime = w.runtime(host);
+  const addressOf = (i: number): string => `127.0.2.${i}:7101`;
+  const group: Group = { version: 1, members: storeIds.map((i) => ({ id: `k${i}`, at: addressOf(i) })) };
+  for (const i of storeIds) {
+    const host = sim.host(`127.0.2.${i}`, `z${i}`);
+    const runtime = sim.runtime(host);
     void rpc
-      .open(runtime, at(i))
-      .then(async (p) =>
-        store.open({ runtime, rpc: p, durable: await durableStore.open(runtime.disk), freshId: `k${i}` }),
+      .open(runtime, addressOf(i))
+      .then(async (endpoint) =>
+        store.open({ runtime, rpc: endpoint, durable: await durableStore.open(runtime.disk), freshId: `k${i}` }),
       );
   }
-  const edges: Registers[] = [];
-  for (const e of ids) {
-    const runtime = w.runtime(w.host(`127.0.1.${e}`, `z${e}`));
+  const proposers: Registers[] = [];
+  for (const edge of storeIds) {
+    const runtime = sim.runtime(sim.host(`127.0.1.${edge}`, `z${edge}`));
     void rpc
-      .open(runtime, `127.0.1.${e}:7101`)
-      .then((p) => (edges[e - 1] = registers.open({ runtime, rpc: p, clientId: `edge${e}`, group: () => group })));
+      .open(runtime, `127.0.1.${edge}:7101`)
+      .then(
+        (endpoint) =>
+          (proposers[edge - 1] = registers.open({
+            runtime,
+            rpc: endpoint,
+            clientId: `edge${edge}`,
+            group: () => group,
+          })),
+      );
   }
-  await w.run(duration.ms(200));
-  const took: number[] = [];
+  await sim.run(duration.ms(200));
+  const latencies: number[] = [];
   let failed = 0;
   let started = 0;
-  const r = seeded(5);
-  const timed = (e: Registers): Work => ({
+  const rng = seeded(5);
+  const timedWriter = (proposer: Registers): RegisterWriter => ({
     change: async (key, value) => {
-      const from = w.now();
+      const startedAt = sim.now();
       started += 1;
-      await e.change(key, keep(value), duration.s(2)).then(
-        () => took.push(w.now() - from),
+      await proposer.change(key, setValue(value), duration.s(2)).then(
+        () => latencies.push(sim.now() - startedAt),
         () => (failed += 1),
       );
     },
   });
-  const before = { syncs: w.syncs(), frames: w.frames(), bytes: w.zoneBytes() };
-  const turns = Math.round((o.rate / 3) * (o.span / 1e6));
+  const before = { syncs: sim.syncs(), frames: sim.frames(), bytes: sim.zoneBytes() };
+  const turns = Math.round((options.rate / 3) * (options.span / 1e6));
   for (let n = 0; n < turns; n++)
-    w.scheduleAt(w.now() + Math.round((n * o.span) / turns), () => void turn(timed(edges[n % 3]!), r, n));
-  await w.run(w.now() + o.span + duration.s(6));
-  const all = Math.max(1, started);
+    sim.scheduleAt(
+      sim.now() + Math.round((n * options.span) / turns),
+      () => void runTurn(timedWriter(proposers[n % 3]!), rng, n),
+    );
+  await sim.run(sim.now() + options.span + duration.s(6));
+  const changes = Math.max(1, started);
   row(
-    `${o.syncTime / 1000} ms`,
-    o.rate,
+    `${options.syncTime / 1000} ms`,
+    options.rate,
     started,
     failed,
-    ((w.syncs() - before.syncs) / all / ids.length).toFixed(2),
-    ((w.frames() - before.frames) / all).toFixed(2),
-    Math.round((w.zoneBytes() - before.bytes) / all),
-    pct(took, 0.5).toFixed(1),
-    pct(took, 0.99).toFixed(1),
+    ((sim.syncs() - before.syncs) / changes / storeIds.length).toFixed(2),
+    ((sim.frames() - before.frames) / changes).toFixed(2),
+    Math.round((sim.zoneBytes() - before.bytes) / changes),
+    quantileMs(latencies, 0.5).toFixed(1),
+    quantileMs(latencies, 0.99).toFixed(1),
   );
 };
-export const simulatedHead = [
+/** Column headings of the rows of `simulateChanges`. */
+export const simulatedHeadings = [
   'a sync',
   'changes a second',
   'changes',
@@ -132,36 +145,38 @@
   'p99 ms',
 ];
 
-// Real stores, each a process of its own on loopback.
-/** Addresses of this process's own, by its id, so that two runs on one machine don't take each other's. */
-const host = (i: number): string => `127.${160 + ((process.pid >> 8) & 63)}.${process.pid & 255}.${i}`;
-export const benchAddress = (i: number): Address => `${host(i)}:7101`;
-/** A store that listens at `at`, writes to `folder`, and ends when it is told so; it prints a line once it is up. */
-export const benchStore = async (i: number, folder: string, at: Address): Promise<void> => {
+// Real stores on loopback, each in its own process.
+/** Loopback addresses derived from the process id, so that concurrent runs on one machine do not collide. */
+const benchIp = (i: number): string => `127.${160 + ((process.pid >> 8) & 63)}.${process.pid & 255}.${i}`;
+/** The address of store or proposer `i` of this process's benchmark. */
+export const benchAddress = (i: number): Address => `${benchIp(i)}:7101`;
+/** Runs a store that writes to `folder`; prints a line once it is up and exits at the message `bench.end`. */
+export const benchStore = async (i: number, folder: string, address: Address): Promise<void> => {
   const runtime = real.runtime(folder);
-  const p = await rpc.open(runtime, at);
+  const endpoint = await rpc.open(runtime, address);
   const durable = await durableStore.open(runtime.disk);
-  await store.open({ runtime, rpc: p, durable, freshId: `k${i}` });
-  p.on('bench.usage', validate.anything, () => ({
+  await store.open({ runtime, rpc: endpoint, durable, freshId: `k${i}` });
+  endpoint.on('bench.usage', validate.anything, () => ({
     cpu: process.cpuUsage(),
     rss: process.memoryUsage().rss,
     syncs: durable.counts().syncs,
   }));
-  p.on('bench.end', validate.anything, () => void setTimeout(() => process.exit(0), 20));
+  endpoint.on('bench.end', validate.anything, () => void setTimeout(() => process.exit(0), 20));
   process.stdout.write('up\n');
 };
 type Usage = { cpu: { user: number; system: number }; rss: number; syncs: number };
-const usage = (p: Rpc): Promise<Usage[]> =>
-  Promise.all(ids.map((i) => p.request<Usage>(benchAddress(i), 'bench.usage', {}, duration.s(5))));
+const readUsages = (endpoint: Rpc): Promise<Usage[]> =>
+  Promise.all(storeIds.map((i) => endpoint.request<Usage>(benchAddress(i), 'bench.usage', {}, duration.s(5))));
 
-/** Resolves when the child says that it is up; a child that ends before is an error. */
-export const isUp = (child: ChildProcessByStdio<null, Readable, Readable | null>): Promise<void> =>
-  new Promise((up, failed) => {
-    child.stdout.once('data', () => up());
-    child.once('exit', (code) => failed(new Error(`a store of the measurement ended with ${code} before it was up`)));
+/** Resolves when the child prints its first line; rejects if it exits before. */
+export const waitUntilUp = (child: ChildProcessByStdio<null, Readable, Readable | null>): Promise<void> =>
+  new Promise((resolve, reject) => {
+    child.stdout.once('data', () => resolve());
+    child.once('exit', (code) => reject(new Error(`a benchmark store exited with code ${code} before it was ready`)));
   });
 
-export const benchHead = [
+/** Column headings of the rows of `benchChanges`. */
+export const benchHeadings = [
   'changes a second',
   'changes',
   'failed',
@@ -173,72 +188,80 @@
   'p99 ms',
   'store RSS, MB',
 ];
-export const bench = async (row: Row, o: { rate: number; span: Microseconds; cli: string }): Promise<void> => {
+/** Runs three stores as child processes of `cli`, changes registers at `rate` per second, and prints a row. */
+export const benchChanges = async (
+  row: Row,
+  options: { rate: number; span: Microseconds; cli: string },
+): Promise<void> => {
   const folder = mkdtempSync(path.join(tmpdir(), 'thornsail-bench-'));
-  const children = ids.map((i) =>
-    spawn(process.execPath, [o.cli, '--store', String(i), path.join(folder, `k${i}`), benchAddress(i)], {
+  const children = storeIds.map((i) =>
+    spawn(process.execPath, [options.cli, '--store', String(i), path.join(folder, `k${i}`), benchAddress(i)], {
       stdio: ['ignore', 'pipe', 'inherit'],
     }),
   );
   try {
-    await Promise.all(children.map(isUp));
+    await Promise.all(children.map(waitUntilUp));
     const runtime: Runtime = real.runtime(folder);
-    const p = await rpc.open(runtime, benchAddress(9));
-    const group: Group = { version: 1, members: ids.map((i) => ({ id: `k${i}`, at: benchAddress(i) })) };
-    const regs = registers.open({ runtime, rpc: p, clientId: 'bench', group: () => group });
-    const took: number[] = [];
+    const endpoint = await rpc.open(runtime, benchAddress(9));
+    const group: Group = { version: 1, members: storeIds.map((i) => ({ id: `k${i}`, at: benchAddress(i) })) };
+    const proposer = registers.open({ runtime, rpc: endpoint, clientId: 'bench', group: () => group });
+    const latencies: number[] = [];
     let failed = 0;
     let started = 0;
-    const work: Work = {
+    const writer: RegisterWriter = {
       change: async (key, value) => {
-        const from = runtime.clock.now();
+        const startedAt = runtime.clock.now();
         started += 1;
-        await regs.change(key, keep(value), duration.s(2)).then(
-          () => took.push(runtime.clock.now() - from),
+        await proposer.change(key, setValue(value), duration.s(2)).then(
+          () => latencies.push(runtime.clock.now() - startedAt),
           () => (failed += 1),
         );
       },
     };
-    const r = seeded(5);
-    const run = async (span: Microseconds): Promise<void> => {
-      const begun = runtime.clock.now();
-      const turns = Math.round((o.rate / 3) * (span / 1e6));
-      const open: Promise<unknown>[] = [];
+    const rng = seeded(5);
+    const runTurns = async (span: Microseconds): Promise<void> => {
+      const startedAt = runtime.clock.now();
+      const turns = Math.round((options.rate / 3) * (span / 1e6));
+      const inFlight: Promise<unknown>[] = [];
       for (let n = 0; n < turns; n++) {
-        const due = begun + Math.round((n * span) / turns);
+        const due = startedAt + Math.round((n * span) / turns);
         if (due > runtime.clock.now()) await time.sleep(runtime.clock, due - runtime.clock.now());
-        open.push(turn(work, r, n + started * 1000));
+        inFlight.push(runTurn(writer, rng, n + started * 1000));
       }
-      await Promise.all(open);
+      await Promise.all(inFlight);
     };
-    await run(duration.s(2));
-    const [a, own] = [await usage(p), process.cpuUsage()];
+    await runTurns(duration.s(2));
+    const [before, ownCpuBefore] = [await readUsages(endpoint), process.cpuUsage()];
     failed = 0;
-    took.length = 0;
+    latencies.length = 0;
     started = 0;
-    const begun = runtime.clock.now();
-    await run(o.span);
-    const ownUsed = process.cpuUsage(own);
-    const b = await usage(p);
-    const cpu = b.reduce((t, x, i) => t + x.cpu.user + x.cpu.system - a[i]!.cpu.user - a[i]!.cpu.system, 0) / 3;
-    const syncs = b.reduce((t, x, i) => t + x.syncs - a[i]!.syncs, 0) / 3;
+    const startedAt = runtime.clock.now();
+    await runTurns(options.span);
+    const ownUsed = process.cpuUsage(ownCpuBefore);
+    const after = await readUsages(endpoint);
+    const cpu =
+      after.reduce(
+        (total, usage, i) => total + usage.cpu.user + usage.cpu.system - before[i]!.cpu.user - before[i]!.cpu.system,
+        0,
+      ) / 3;
+    const syncs = after.reduce((total, usage, i) => total + usage.syncs - before[i]!.syncs, 0) / 3;
     row(
-      o.rate,
+      options.rate,
       started,
       failed,
       Math.round(cpu / started),
-      (cpu / (runtime.clock.now() - begun)).toFixed(2),
+      (cpu / (runtime.clock.now() - startedAt)).toFixed(2),
       Math.round((ownUsed.user + ownUsed.system) / started),
       (syncs / started).toFixed(2),
-      pct(took, 0.5).toFixed(1),
-      pct(took, 0.99).toFixed(1),
-      Math.round(Math.max(...b.map((x) => x.rss)) / 1e6),
+      quantileMs(latencies, 0.5).toFixed(1),
+      quantileMs(latencies, 0.99).toFixed(1),
+      Math.round(Math.max(...after.map((usage) => usage.rss)) / 1e6),
     );
-    for (const i of ids) p.notify(benchAddress(i), 'bench.end', {});
+    for (const i of storeIds) endpoint.notify(benchAddress(i), 'bench.end', {});
     await time.sleep(runtime.clock, duration.ms(100));
-    await p.close();
+    await endpoint.close();
   } finally {
-    for (const c of children) c.kill();
+    for (const child of children) child.kill();
     rmSync(folder, { recursive: true, force: true });
   }
 };
--- a/tools/simulation/src/measurement/relay-node.ts
+++ b/tools/simulation/src/measurement/relay-node.ts
@@ -1,11 +1,11 @@
-// A relay of news on the simulated network, without the roles around it.
+// A dissemination relay on the simulated network, without the roles that use it.
 import { dissemination, type Dissemination } from '@thornsail/dissemination';
 import { rpc } from '@thornsail/rpc';
 import type { Runtime, Address } from '@thornsail/runtime';
 
 type RelayNode = { id: string; address: Address };
 
-/** Opens the relay `self` among `relays`; `arity` is the number of children of each in the tree. */
+/** Opens the relay `self` of `relays`; `arity` is the number of children of each node in the tree. */
 export const openRelay = async (
   runtime: Runtime,
   self: RelayNode,
--- a/tools/simulation/src/measurement/scheduler.ts
+++ b/tools/simulation/src/measurement/scheduler.ts
@@ -1,12 +1,13 @@
-// The scheduler against a plain least-loaded choice of worker (§4), and several edges against one (§4.4).
+// Compares the scheduler with plain least-loaded selection (§4), and several edges with one (§4.4).
 import { duration } from '@thornsail/runtime';
 import type { ShapeName } from '@thornsail/test-harness';
-import { days, load, moderate, seeds } from './day.js';
-import { head, out, pct, row } from './table.js';
+import { simulateSeeds, heavyLoad, moderateLoad, seeds } from './day.js';
+import { tableHead, printLine, quantile, row } from './table.js';
 
+/** Prints the figures of the scheduler's variants and of least-loaded selection. */
 export const scheduler = async (shape: ShapeName): Promise<void> => {
-  out(`\n### Scheduler against a plain least-loaded lane, ${shape} (simulated, ${seeds.length} seeds)\n`);
-  head(
+  printLine(`\n### Scheduler against a plain least-loaded lane, ${shape} (simulated, ${seeds.length} seeds)\n`);
+  tableHead(
     'load',
     'lane',
     'turns',
@@ -21,11 +22,11 @@
     'p95 ms',
     'worker-samples over capacity',
   );
-  for (const [level, at] of [
-    ['moderate', moderate[shape]],
-    ['heavy', load[shape]],
+  for (const [level, loadLevel] of [
+    ['moderate', moderateLoad[shape]],
+    ['heavy', heavyLoad[shape]],
   ] as const)
-    for (const [name, o] of [
+    for (const [name, variant] of [
       ['least loaded', { plain: true }],
       [
         'programs, affinity only (no pause)',
@@ -35,38 +36,55 @@
       ['programs, tick 5 s and resume on room', {}],
       ['programs, tick 1 s only', { scheduler: { intervalSeconds: 1, resumeOnRoom: false } }],
     ] as const) {
-      const d = await days(shape, { ...at, ...o });
+      const result = await simulateSeeds(shape, { ...loadLevel, ...variant });
       row(
         level,
         name,
-        d.turns,
-        d.reprefilled,
-        `${((100 * d.reprefilled) / d.prompt).toFixed(1)}%`,
-        d.held,
-        d.resumed,
-        d.forced,
-        d.rejected,
-        d.gaveUp,
-        duration.toMs(pct(d.waits, 0.5)),
-        duration.toMs(pct(d.waits, 0.95)),
-        'plain' in o ? 'not counted' : `${(100 * d.over).toFixed(2)}%`,
+        result.turns,
+        result.reprefilled,
+        `${((100 * result.reprefilled) / result.prompt).toFixed(1)}%`,
+        result.held,
+        result.resumed,
+        result.forced,
+        result.rejected,
+        result.gaveUp,
+        duration.toMs(quantile(result.waits, 0.5)),
+        duration.toMs(quantile(result.waits, 0.95)),
+        'plain' in variant ? 'not counted' : `${(100 * result.over).toFixed(2)}%`,
       );
     }
 };
 
+/** Prints the figures of the scheduler by the number of edges that receive calls. */
 export const edges = async (shape: ShapeName): Promise<void> => {
-  out(`\n### Several edges on the same workers against one edge, ${shape} (simulated, ${seeds.length} seeds)\n`);
-  head('load', 'edges taking calls', 'turns', 'held', 'forced', 'worker-samples over capacity', 'worst utilization');
-  for (const [name, o] of [
+  printLine(`\n### Several edges on the same workers against one edge, ${shape} (simulated, ${seeds.length} seeds)\n`);
+  tableHead(
+    'load',
+    'edges taking calls',
+    'turns',
+    'held',
+    'forced',
+    'worker-samples over capacity',
+    'worst utilization',
+  );
+  for (const [name, variant] of [
     ['1', { callAt: 1 }],
     ['3', { callAt: 3 }],
     ['7', { callAt: 7 }],
   ] as const)
-    for (const [level, at] of [
-      ['moderate', moderate[shape]],
-      ['heavy', load[shape]],
+    for (const [level, loadLevel] of [
+      ['moderate', moderateLoad[shape]],
+      ['heavy', heavyLoad[shape]],
     ] as const) {
-      const d = await days(shape, { ...at, ...o });
-      row(level, name, d.turns, d.held, d.forced, `${(100 * d.over).toFixed(2)}%`, d.worst.toFixed(2));
+      const result = await simulateSeeds(shape, { ...loadLevel, ...variant });
+      row(
+        level,
+        name,
+        result.turns,
+        result.held,
+        result.forced,
+        `${(100 * result.over).toFixed(2)}%`,
+        result.worst.toFixed(2),
+      );
     }
 };
--- a/tools/simulation/src/measurement/spread.ts
+++ b/tools/simulation/src/measurement/spread.ts
@@ -1,13 +1,14 @@
-// Changes of the configuration: from the acknowledgement to their use, and past the loss of the leader (§7.2).
+// Configuration changes: time from acknowledgement to use, and pushes after the leader is lost (§7.2).
 import { duration } from '@thornsail/runtime';
 import { type Fleet, fleet } from '../fleet/index.js';
-import { head, mean, out, pct, row } from './table.js';
+import { tableHead, mean, printLine, quantile, row } from './table.js';
 
+/** Prints how long configuration changes take to be acknowledged and to be used by all gateways. */
 export const spread = async (): Promise<void> => {
-  out(
+  printLine(
     '\n### Configuration: from the acknowledgement to its use at every gateway (simulated, 20 pushes for each shape)\n',
   );
-  head(
+  tableHead(
     'shape',
     'push acknowledged after, p50 ms',
     'in use at all gateways after, p50 ms',
@@ -16,72 +17,78 @@
   );
   for (const shape of ['lautoka', 'granite'] as const) {
     const acks: number[] = [];
-    const used: number[] = [];
-    const dead: number[] = [];
+    const uses: number[] = [];
+    const degraded: number[] = [];
     for (const kill of [false, true]) {
-      const f = await fleet.open({ seed: 7, shape });
-      let mark = 1;
+      const sim = await fleet.open({ seed: 7, shape });
+      let version = 1;
       for (let i = 0; i < 20; i++) {
-        const begun = f.world.now();
-        let got = -1;
+        const pushedAt = sim.world.now();
+        let ackedVersion = -1;
         if (kill && i % 5 === 0) {
-          const p = `agent-edge${1 + i / 5}`;
-          f.kill(p);
+          const agent = `agent-edge${1 + i / 5}`;
+          sim.kill(agent);
         }
-        void f
+        void sim
           .push(
-            { ...f.shape.config, limits: { onceKeepSeconds: 1000 + i } },
-            mark,
+            { ...sim.shape.config, limits: { onceKeepSeconds: 1000 + i } },
+            version,
             `m${i}`,
-            f.process('gateway-edge7').options['http'] as string,
+            sim.process('gateway-edge7').options['http'] as string,
           )
           .then(
-            (r) => {
-              got = r.mark;
+            (result) => {
+              ackedVersion = result.mark;
             },
             () => {
-              got = 0;
+              ackedVersion = 0;
             },
           );
-        while (got < 0) await f.world.run(f.world.now() + duration.ms(1));
-        const at = f.world.now();
-        acks.push(duration.toMs(at - begun));
-        mark = got;
-        while (f.processes.some((p) => p.role === 'gateway' && (p.node?.counts()['config_mark'] ?? 0) < mark))
-          await f.world.run(f.world.now() + duration.ms(1));
-        (kill ? dead : used).push(duration.toMs(f.world.now() - at));
-        await f.world.run(f.world.now() + duration.ms(400));
+        while (ackedVersion < 0) await sim.world.run(sim.world.now() + duration.ms(1));
+        const ackedAt = sim.world.now();
+        acks.push(duration.toMs(ackedAt - pushedAt));
+        version = ackedVersion;
+        while (
+          sim.processes.some((proc) => proc.role === 'gateway' && (proc.node?.counts()['config_mark'] ?? 0) < version)
+        )
+          await sim.world.run(sim.world.now() + duration.ms(1));
+        (kill ? degraded : uses).push(duration.toMs(sim.world.now() - ackedAt));
+        await sim.world.run(sim.world.now() + duration.ms(400));
       }
     }
-    row(shape, pct(acks, 0.5), pct(used, 0.5), Math.max(...used), Math.max(...dead));
+    row(shape, quantile(acks, 0.5), quantile(uses, 0.5), Math.max(...uses), Math.max(...degraded));
   }
 };
 
-export const headloss = async (): Promise<void> => {
-  out('\n### A push just after the head of the coordinators was killed (simulated, 20 seeds)\n');
-  head('shape', 'acknowledged after, mean ms', 'worst ms');
+/** Prints how long a push takes that is sent right after the leading coordinator was killed. */
+export const leaderLoss = async (): Promise<void> => {
+  printLine('\n### A push just after the head of the coordinators was killed (simulated, 20 seeds)\n');
+  tableHead('shape', 'acknowledged after, mean ms', 'worst ms');
   for (const shape of ['lautoka', 'granite'] as const) {
-    const took: number[] = [];
+    const latencies: number[] = [];
     for (let seed = 1; seed <= 20; seed++) {
-      const f = await fleet.open({ seed, shape });
-      await f.world.run(f.world.now() + duration.ms(w100(f)));
-      f.kill(f.processes.find((p) => p.role === 'coordinator' && p.node?.counts()['leads'] === 1)!.name, 'power');
-      const begun = f.world.now();
-      let got = -1;
-      void f.push({ ...f.shape.config, limits: { onceKeepSeconds: 1001 } }, 1, 'x').then(
-        (r) => {
-          got = r.status;
+      const sim = await fleet.open({ seed, shape });
+      await sim.world.run(sim.world.now() + duration.ms(randomDelayMs(sim)));
+      sim.kill(
+        sim.processes.find((proc) => proc.role === 'coordinator' && proc.node?.counts()['leads'] === 1)!.name,
+        'power',
+      );
+      const pushedAt = sim.world.now();
+      let status = -1;
+      void sim.push({ ...sim.shape.config, limits: { onceKeepSeconds: 1001 } }, 1, 'x').then(
+        (result) => {
+          status = result.status;
         },
         () => {
-          got = 0;
+          status = 0;
         },
       );
-      while (got < 0) await f.world.run(f.world.now() + duration.ms(5));
-      if (got === 200) took.push(duration.toMs(f.world.now() - begun));
-      else out(`seed ${seed}: ${got}`);
+      while (status < 0) await sim.world.run(sim.world.now() + duration.ms(5));
+      if (status === 200) latencies.push(duration.toMs(sim.world.now() - pushedAt));
+      else printLine(`seed ${seed}: ${status}`);
     }
-    row(shape, Math.round(mean(took)), Math.max(...took));
+    row(shape, Math.round(mean(latencies)), Math.max(...latencies));
   }
 };
 
-const w100 = (f: Fleet): number => f.world.rand.int(100);
+const randomDelayMs = (sim: Fleet): number => sim.world.rand.int(100);
--- a/tools/simulation/src/measurement/table.ts
+++ b/tools/simulation/src/measurement/table.ts
@@ -1,17 +1,23 @@
-// Tables of docs/MEASUREMENTS.md on standard output, and the statistics in them.
+// Prints the Markdown tables of docs/MEASUREMENTS.md to standard output, and computes their statistics.
 
-export const out = (t: string): void => void process.stdout.write(`${t}\n`);
+/** Prints a line to standard output. */
+export const printLine = (text: string): void => void process.stdout.write(`${text}\n`);
 
-export const mean = (v: number[]): number => (v.length ? v.reduce((a, b) => a + b, 0) / v.length : 0);
+/** The arithmetic mean; 0 of no values. */
+export const mean = (values: number[]): number =>
+  values.length ? values.reduce((a, b) => a + b, 0) / values.length : 0;
 
-export const pct = (v: number[], p: number): number => {
-  const s = [...v].sort((a, b) => a - b);
-  return s.length ? s[Math.min(s.length - 1, Math.floor(s.length * p))]! : 0;
+/** The value at a fraction (0 to 1) of the sorted values; 0 of no values. */
+export const quantile = (values: number[], fraction: number): number => {
+  const sorted = [...values].sort((a, b) => a - b);
+  return sorted.length ? sorted[Math.min(sorted.length - 1, Math.floor(sorted.length * fraction))]! : 0;
 };
 
-export const row = (...c: (string | number)[]): void => out(`| ${c.join(' | ')} |`);
+/** Prints a table row. */
+export const row = (...cells: (string | number)[]): void => printLine(`| ${cells.join(' | ')} |`);
 
-export const head = (...c: string[]): void => {
-  row(...c);
-  row(...c.map(() => '---'));
+/** Prints the heading rows of a table. */
+export const tableHead = (...cells: string[]): void => {
+  row(...cells);
+  row(...cells.map(() => '---'));
 };
--- a/tools/simulation/src/scenarios/clocks.ts
+++ b/tools/simulation/src/scenarios/clocks.ts
@@ -1,4 +1,4 @@
-// Scenario `clocks` (§9.4).
+// Scenario `clocks`: wall clocks that jump (§9.4).
 import { duration } from '@thornsail/runtime';
 import { fleet } from '../fleet/index.js';
 import { type AcknowledgedPush, runAfter, openOperator } from '../operator-calls.js';
@@ -14,39 +14,41 @@
   coordinators,
 } from '../scenario-support.js';
 
-/** Wall clocks that jump by up to 400 days in either direction. */
+/** Moves wall clocks by up to 400 days in either direction, while a store and a gateway are killed. */
 export const clocks: Scenario = {
-  rule: 'clocks that jump, forwards and back, change nothing that is promised',
+  rule: 'wall clocks that jump forwards or backwards break no guarantee',
   run: async (seed, shape, log) => {
-    const small = { model: 8, app: 1 };
-    const f = await fleet.open({ seed, shape, log, config: (c) => ({ ...c, slots: small }) });
-    const r = f.world.rand;
-    for (const a of f.apps) a.faults.slowdown = 6;
-    const l = f.load({ chats: 60, kept: 14, jobs: 250, spreadOver: duration.s(14) });
+    const fewSlots = { model: 8, app: 1 };
+    const sim = await fleet.open({ seed, shape, log, config: (base) => ({ ...base, slots: fewSlots }) });
+    const rng = sim.world.rand;
+    for (const app of sim.apps) app.faults.slowdown = 6;
+    const load = sim.load({ chats: 60, kept: 14, jobs: 250, spreadOver: duration.s(14) });
     const day = duration.s(86_400);
     const jump = (name: string): void => {
-      // Of the stores one clock at a time is wrong, by up to 400 days either way.
-      const role = f.process(name).role;
-      for (const p of f.processes) if (p.role === role && role !== 'gateway') p.host.clockSkew = 0;
-      f.process(name).host.clockSkew = (r.int(2) ? 1 : -1) * r.int(400) * day;
+      // At most one store and one coordinator at a time has a wrong clock; gateways are not limited.
+      const role = sim.process(name).role;
+      for (const peer of sim.processes) if (peer.role === role && role !== 'gateway') peer.host.clockSkew = 0;
+      sim.process(name).host.clockSkew = (rng.int(2) ? 1 : -1) * rng.int(400) * day;
     };
-    const all = [...stores, ...stores, ...coordinators, ...gateways];
-    for (let i = 0; i < 24; i++) runAfter(f, r.int(duration.s(16)), () => jump(all[r.int(all.length)]!));
-    runAfter(f, duration.s(3), () => f.kill(stores[r.int(3)]!, 'power'));
-    runAfter(f, duration.s(5), () => stores.forEach((k) => f.process(k).host.alive || f.start(k)));
-    runAfter(f, duration.s(6), () => f.kill(gateways[r.int(7)]!));
-    const acked: AcknowledgedPush[] = [];
-    const push = openOperator(f, acked);
-    for (let i = 0; i < 8; i++) runAfter(f, r.int(duration.s(14)), () => void push(gatewayAddress(f, r.int(7))));
-    await run(f, duration.s(17));
-    const back = await timeUntilServing(f, duration.s(12));
-    await waitForLoad(f, l);
-    const out = outcomeOf(f, {
-      acknowledged: acked.length,
-      recalled: f.callers.summary.readBack,
-      back_ms: duration.toMs(back),
+    const candidates = [...stores, ...stores, ...coordinators, ...gateways];
+    for (let i = 0; i < 24; i++)
+      runAfter(sim, rng.int(duration.s(16)), () => jump(candidates[rng.int(candidates.length)]!));
+    runAfter(sim, duration.s(3), () => sim.kill(stores[rng.int(3)]!, 'power'));
+    runAfter(sim, duration.s(5), () => stores.forEach((store) => sim.process(store).host.alive || sim.start(store)));
+    runAfter(sim, duration.s(6), () => sim.kill(gateways[rng.int(7)]!));
+    const acknowledged: AcknowledgedPush[] = [];
+    const pushConfig = openOperator(sim, acknowledged);
+    for (let i = 0; i < 8; i++)
+      runAfter(sim, rng.int(duration.s(14)), () => void pushConfig(gatewayAddress(sim, rng.int(7))));
+    await run(sim, duration.s(17));
+    const recoveryTime = await timeUntilServing(sim, duration.s(12));
+    await waitForLoad(sim, load);
+    const outcome = outcomeOf(sim, {
+      acknowledged: acknowledged.length,
+      recalled: sim.callers.summary.readBack,
+      back_ms: duration.toMs(recoveryTime),
     });
-    if (f.callers.summary.readBack < 10) out.breaches.push('too few conversations were read back');
-    return out;
+    if (sim.callers.summary.readBack < 10) outcome.breaches.push('too few conversations were read back');
+    return outcome;
   },
 };
--- a/tools/simulation/src/scenarios/index.ts
+++ b/tools/simulation/src/scenarios/index.ts
@@ -1,5 +1,5 @@
-// What must never happen, caused (§9.4): each scenario brings one kind of failure over a simulated deployment and says
-// what was breached. One scenario a file; figures are simulated time and counts.
+// The fault-injection scenarios (§9.4): each injects one kind of failure into a simulated deployment and reports the
+// guarantees that were violated. One scenario per file; its figures are simulated times and counts.
 import type { Scenario } from '../scenario-support.js';
 import { budget } from './budget.js';
 import { burst } from './burst.js';
@@ -24,7 +24,7 @@
 
 export type { Outcome, Scenario } from '../scenario-support.js';
 
-/** All scenarios by the names that the sweep, the guards and docs/FAILURES.md use, in the order of a sweep. */
+/** All scenarios by the names that the sweep, the guards and docs/FAILURES.md use; a sweep runs them in this order. */
 export const scenarios: Record<string, Scenario> = {
   disk,
   clocks,
--- a/tools/simulation/src/scenarios/leaving.ts
+++ b/tools/simulation/src/scenarios/leaving.ts
@@ -1,26 +1,27 @@
-// Scenario `leaving` (§9.4).
+// Scenario `leaving`: workers that the platform marks as leaving (§9.4).
 import { type Microseconds, duration } from '@thornsail/runtime';
 import { fleet } from '../fleet/index.js';
 import { type Scenario, edges, outcomeOf, gateways, stores, waitForLoad, coordinators } from '../scenario-support.js';
 
-/** Workers that leave while the coordinators are cut off and a gateway is frozen. */
+/** Marks workers as leaving while the coordinators are partitioned away and a gateway is frozen. */
 export const leaving: Scenario = {
-  rule: 'no new request to a leaving worker after three seconds',
+  rule: 'no new request is sent to a worker that has been leaving for three seconds',
   run: async (seed, shape, log) => {
-    const f = await fleet.open({ seed, shape, log, capacity: 900, gap: duration.ms(300) });
-    const r = f.world.rand;
-    const l = f.load({ chats: 120, kept: 6, jobs: 60, spreadOver: duration.s(12) });
-    const later = (at: Microseconds, fn: () => void): void => f.world.scheduleAt(f.world.now() + at, fn);
-    const heal: (() => void)[] = [];
-    later(duration.s(1), () =>
-      heal.push(f.partition(coordinators, [...gateways, ...edges.map((e) => `agent-${e}`), ...stores])),
+    const sim = await fleet.open({ seed, shape, log, capacity: 900, gap: duration.ms(300) });
+    const rng = sim.world.rand;
+    const load = sim.load({ chats: 120, kept: 6, jobs: 60, spreadOver: duration.s(12) });
+    const schedule = (after: Microseconds, action: () => void): void =>
+      sim.world.scheduleAt(sim.world.now() + after, action);
+    const heals: (() => void)[] = [];
+    schedule(duration.s(1), () =>
+      heals.push(sim.partition(coordinators, [...gateways, ...edges.map((edge) => `agent-${edge}`), ...stores])),
     );
-    later(duration.s(1.5), () => f.kill(`agent-edge${1 + r.int(7)}`));
-    for (let i = 0; i < 4; i++) later(duration.s(2 + i), () => f.platform.leave(f.layout.workers[i * 2]!.id));
-    const e = gateways[r.int(7)]!;
-    later(duration.s(3) - duration.ms(r.int(300)), () => f.freeze(e, duration.s(4.5)));
-    later(duration.s(9), () => heal.forEach((h) => h()));
-    await waitForLoad(f, l);
-    return outcomeOf(f);
+    schedule(duration.s(1.5), () => sim.kill(`agent-edge${1 + rng.int(7)}`));
+    for (let i = 0; i < 4; i++) schedule(duration.s(2 + i), () => sim.platform.leave(sim.layout.workers[i * 2]!.id));
+    const gateway = gateways[rng.int(7)]!;
+    schedule(duration.s(3) - duration.ms(rng.int(300)), () => sim.freeze(gateway, duration.s(4.5)));
+    schedule(duration.s(9), () => heals.forEach((heal) => heal()));
+    await waitForLoad(sim, load);
+    return outcomeOf(sim);
   },
 };
--- a/tools/simulation/src/scenarios/rolling.ts
+++ b/tools/simulation/src/scenarios/rolling.ts
@@ -1,4 +1,4 @@
-// Scenario `rolling` (§9.4).
+// Scenario `rolling`: planned replacement of workers and machines (§9.4).
 import { apiRoot } from '@thornsail/admin-api';
 import { type Address, duration } from '@thornsail/runtime';
 import { fleet } from '../fleet/index.js';
@@ -13,90 +13,97 @@
   waitForLoad,
 } from '../scenario-support.js';
 
-/** A rolling replacement of workers, seeds, store machines and coordinators, and an added edge machine. */
+/** Replaces seeds, a store, a coordinator and workers one at a time, adds an edge machine and drains a store. */
 export const rolling: Scenario = {
-  rule: 'workers replaced one after another, machines added, seeds swapped, a store machine emptied',
+  rule: 'workers and seeds replaced one at a time, a machine added, a store drained: every request finds a worker',
   run: async (seed, shape, log) => {
-    const f = await fleet.open({ seed, shape, log });
-    const l = f.load({ chats: 60, kept: 8, jobs: 40, spreadOver: duration.s(16) });
-    // The three seed machines go, one by one, and an empty one takes each place at a new address.
-    f.kill('agent-edge1');
-    f.kill('gateway-edge1');
-    await run(f, duration.s(2));
-    f.replace('store1', 'store8', '127.77.2.8');
-    await f.until(
+    const sim = await fleet.open({ seed, shape, log });
+    const load = sim.load({ chats: 60, kept: 8, jobs: 40, spreadOver: duration.s(16) });
+    // The three seed machines are removed one at a time; the store and the coordinator are replaced by machines with
+    // empty disks at new addresses.
+    sim.kill('agent-edge1');
+    sim.kill('gateway-edge1');
+    await run(sim, duration.s(2));
+    sim.replace('store1', 'store8', '127.77.2.8');
+    await sim.until(
       'the new store in the group',
       () => {
-        const k = f.process('agent-edge2').node?.membership.state()?.storeGroup;
+        const group = sim.process('agent-edge2').node?.membership.state()?.storeGroup;
         return (
-          k !== undefined &&
-          k.swept === k.mark &&
-          k.members.length === 3 &&
-          k.members.some((m) => m.at.startsWith('127.77.2.8'))
+          group !== undefined &&
+          group.swept === group.mark &&
+          group.members.length === 3 &&
+          group.members.some((member) => member.at.startsWith('127.77.2.8'))
         );
       },
       duration.s(30),
     );
-    for (const p of f.processes)
-      p.seeds = [f.process('agent-edge2'), f.process('store8'), f.process('coordinator1')].map(
-        (x) => x.options['place'] as Address,
+    for (const proc of sim.processes)
+      proc.seeds = [sim.process('agent-edge2'), sim.process('store8'), sim.process('coordinator1')].map(
+        (seed) => seed.options['place'] as Address,
       );
-    f.replace('coordinator1', 'coordinator8', '127.77.3.8');
-    await f.until(
+    sim.replace('coordinator1', 'coordinator8', '127.77.3.8');
+    await sim.until(
       'the new coordinator in the view',
       () => {
-        const v = f.process('agent-edge2').node?.membership.snapshot();
-        return v !== undefined && v.members.length === 3 && v.members.some((m) => m.at.startsWith('127.77.3.8'));
+        const view = sim.process('agent-edge2').node?.membership.snapshot();
+        return (
+          view !== undefined &&
+          view.members.length === 3 &&
+          view.members.some((member) => member.at.startsWith('127.77.3.8'))
+        );
       },
       duration.s(30),
     );
-    // None of the first seeds is left; a node that restarts finds the fleet by the new ones.
-    const seeds = [f.process('agent-edge2'), f.process('store8'), f.process('coordinator8')].map(
-      (p) => p.options['place'] as Address,
+    // None of the original seeds is left: restarted nodes must join by the new seeds.
+    const seeds = [sim.process('agent-edge2'), sim.process('store8'), sim.process('coordinator8')].map(
+      (proc) => proc.options['place'] as Address,
     );
-    for (const p of f.processes) p.seeds = seeds;
-    f.kill('agent-edge5');
-    f.start('agent-edge5');
-    f.kill('gateway-edge5');
-    f.start('gateway-edge5');
-    // An edge machine is added, and serves.
-    f.addEdge(8);
-    await f.until(
+    for (const proc of sim.processes) proc.seeds = seeds;
+    sim.kill('agent-edge5');
+    sim.start('agent-edge5');
+    sim.kill('gateway-edge5');
+    sim.start('gateway-edge5');
+    // An added edge machine must serve.
+    sim.addEdge(8);
+    await sim.until(
       'the added gateway to serve',
-      () => f.process('gateway-edge8').node?.ready().ok === true,
+      () => sim.process('gateway-edge8').node?.ready().ok === true,
       duration.s(10),
     );
-    // A store machine is emptied: with a spare its records move, without one the group shrinks to two.
-    let safe = false;
-    const ask = async (method: string): Promise<void> => {
-      const x = await f.http(gatewayAddress(f, 2), method, `${apiRoot}/drain/store2`).catch(() => undefined);
-      if (x?.body['safe'] === true) safe = true;
+    // Drains a store: its records move to a spare if there is one; else the group shrinks to two.
+    let safeToRemove = false;
+    const requestDrain = async (method: string): Promise<void> => {
+      const response = await sim.http(gatewayAddress(sim, 2), method, `${apiRoot}/drain/store2`).catch(() => undefined);
+      if (response?.body['safe'] === true) safeToRemove = true;
     };
-    void ask('POST');
-    await f.until(
-      'store2 safe to remove',
+    void requestDrain('POST');
+    await sim.until(
+      'store2 to be safe to remove',
       () => {
-        void ask('GET');
-        return safe;
+        void requestDrain('GET');
+        return safeToRemove;
       },
       duration.s(30),
     );
-    f.kill('store2', 'disk');
-    await run(f, duration.s(1));
-    const unserved = (): number => f.callers.summary.rejected['no_worker'] ?? 0;
-    const before = unserved();
-    const meanwhile = f.load({ chats: 20, kept: 2, jobs: 30, spreadOver: duration.s(4) });
+    sim.kill('store2', 'disk');
+    await run(sim, duration.s(1));
+    const noWorkerCount = (): number => sim.callers.summary.rejected['no_worker'] ?? 0;
+    const noWorkerBefore = noWorkerCount();
+    const replacementLoad = sim.load({ chats: 20, kept: 2, jobs: 30, spreadOver: duration.s(4) });
     for (let i = 0; i < 3; i++) {
-      await replaceWorker(f, pickLeavingWorker(f, true), i);
-      await run(f, duration.s(1));
+      await replaceWorker(sim, pickLeavingWorker(sim, true), i);
+      await run(sim, duration.s(1));
     }
-    await timeUntilServing(f, duration.s(12));
-    await waitForLoad(f, l);
-    await waitForLoad(f, meanwhile);
-    const none = unserved() - before;
-    const out = outcomeOf(f, { no_worker: none, replaced: f.platform.leavingSince.size });
-    if (out.figures['replaced'] !== 3) out.breaches.push(`${out.figures['replaced']} workers were replaced, not 3`);
-    if (none > 0) out.breaches.push(`${none} requests found no worker though there always were some`);
-    return out;
+    await timeUntilServing(sim, duration.s(12));
+    await waitForLoad(sim, load);
+    await waitForLoad(sim, replacementLoad);
+    const noWorker = noWorkerCount() - noWorkerBefore;
+    const outcome = outcomeOf(sim, { no_worker: noWorker, replaced: sim.platform.leavingSince.size });
+    if (outcome.figures['replaced'] !== 3)
+      outcome.breaches.push(`${outcome.figures['replaced']} workers were replaced, not 3`);
+    if (noWorker > 0)
+      outcome.breaches.push(`${noWorker} requests were rejected for lack of a worker although workers were available`);
+    return outcome;
   },
 };
--- a/tools/simulation/src/scenarios/streams.ts
+++ b/tools/simulation/src/scenarios/streams.ts
@@ -1,30 +1,30 @@
-// Scenario `streams` (§9.4).
+// Scenario `streams`: interrupted streams (§9.4).
 import { duration } from '@thornsail/runtime';
 import { fleet } from '../fleet/index.js';
 import { type Scenario, outcomeOf, gateways, waitForLoad } from '../scenario-support.js';
 
-/** Workers that die within a stream, and gateways that are killed. */
+/** Workers end within a stream or lose results, and gateways are killed. */
 export const streams: Scenario = {
-  rule: 'a stream never skips, repeats or splices, and a cut one never looks complete',
+  rule: 'a stream never skips, repeats or splices output, and a truncated one never looks complete',
   run: async (seed, shape, log) => {
-    const f = await fleet.open({ seed, shape, log });
-    const r = f.world.rand;
-    for (const m of f.models) {
-      m.faults.abortStream = 0.15;
-      m.faults.loseResponse = 0.05;
+    const sim = await fleet.open({ seed, shape, log });
+    const rng = sim.world.rand;
+    for (const model of sim.models) {
+      model.faults.abortStream = 0.15;
+      model.faults.loseResponse = 0.05;
     }
-    const l = f.load({ chats: 80, kept: 10, jobs: 10, spreadOver: duration.s(6) });
+    const load = sim.load({ chats: 80, kept: 10, jobs: 10, spreadOver: duration.s(6) });
     for (let i = 0; i < 3; i++)
-      f.world.scheduleAt(f.world.now() + duration.s(1) + r.int(duration.s(5)), () => {
-        const e = gateways[r.int(7)]!;
-        if (f.process(e).host.alive) {
-          f.kill(e);
-          f.world.scheduleAt(f.world.now() + duration.s(1), () => f.start(e));
+      sim.world.scheduleAt(sim.world.now() + duration.s(1) + rng.int(duration.s(5)), () => {
+        const gateway = gateways[rng.int(7)]!;
+        if (sim.process(gateway).host.alive) {
+          sim.kill(gateway);
+          sim.world.scheduleAt(sim.world.now() + duration.s(1), () => sim.start(gateway));
         }
       });
-    await waitForLoad(f, l);
-    const out = outcomeOf(f);
-    if (f.callers.summary.cut === 0) out.breaches.push('no stream was cut: the scenario shows nothing');
-    return out;
+    await waitForLoad(sim, load);
+    const outcome = outcomeOf(sim);
+    if (sim.callers.summary.cut === 0) outcome.breaches.push('no stream was cut, so nothing was verified');
+    return outcome;
   },
 };
--- a/tools/simulation/src/scenarios/uncut.ts
+++ b/tools/simulation/src/scenarios/uncut.ts
@@ -1,41 +1,43 @@
-// Scenario `uncut` (§9.4).
+// Scenario `uncut`: planned changes during running turns (§9.4).
 import { type Microseconds, duration } from '@thornsail/runtime';
 import { fleet } from '../fleet/index.js';
 import { type Scenario, outcomeOf, gateways, waitForLoad } from '../scenario-support.js';
 
-/** Changes that are part of normal operation: workers leave, a configuration changes, gateways drain. */
+/** Changes of normal operation: a worker leaves, a configuration is pushed, gateways drain. */
 export const uncut: Scenario = {
-  rule: 'a turn at a worker is never paused or cut off',
+  rule: 'a turn that runs at a worker is never paused or cut off',
   run: async (seed, shape, log) => {
-    const f = await fleet.open({ seed, shape, log, capacity: 1500, perToken: duration.ms(40) });
-    const l = f.load({ chats: 60, kept: 8, jobs: 20, spreadOver: duration.s(8) });
-    const r = f.world.rand;
-    const later = (at: Microseconds, fn: () => void): void => f.world.scheduleAt(f.world.now() + at, fn);
-    later(duration.s(2), () => f.platform.leave(f.layout.workers[r.int(3)]!.id));
-    later(
+    const sim = await fleet.open({ seed, shape, log, capacity: 1500, perToken: duration.ms(40) });
+    const load = sim.load({ chats: 60, kept: 8, jobs: 20, spreadOver: duration.s(8) });
+    const rng = sim.world.rand;
+    const schedule = (after: Microseconds, action: () => void): void =>
+      sim.world.scheduleAt(sim.world.now() + after, action);
+    schedule(duration.s(2), () => sim.platform.leave(sim.layout.workers[rng.int(3)]!.id));
+    schedule(
       duration.s(3),
       () =>
-        void f
-          .push({ ...f.shape.config, scheduler: { pauseThreshold: 0.5, pauseTarget: 0.3 } }, 1, 'two')
+        void sim
+          .push({ ...sim.shape.config, scheduler: { pauseThreshold: 0.5, pauseTarget: 0.3 } }, 1, 'two')
           .catch(() => undefined),
     );
-    // Two gateways leave as on SIGTERM: they drain, then close.
-    for (const [i, at] of [
-      [r.int(3), duration.s(4)],
-      [3 + r.int(4), duration.s(5)],
+    // Two gateways stop as on SIGTERM: they drain, then close.
+    for (const [index, after] of [
+      [rng.int(3), duration.s(4)],
+      [3 + rng.int(4), duration.s(5)],
     ] as const)
-      later(at, () => {
-        const p = f.process(gateways[i]!);
-        const node = p.node;
+      schedule(after, () => {
+        const gateway = sim.process(gateways[index]!);
+        const node = gateway.node;
         if (node)
           void node
             .drain()
             .then(() => node.close())
-            .then(() => f.world.kill(p.host, 'process'));
+            .then(() => sim.world.kill(gateway.host, 'process'));
       });
-    await waitForLoad(f, l);
-    const out = outcomeOf(f);
-    if (f.callers.summary.cut > 0) out.breaches.push(`${f.callers.summary.cut} streams were cut though nothing failed`);
-    return out;
+    await waitForLoad(sim, load);
+    const outcome = outcomeOf(sim);
+    if (sim.callers.summary.cut > 0)
+      outcome.breaches.push(`${sim.callers.summary.cut} streams were cut although nothing failed`);
+    return outcome;
   },
 };
--- a/tools/simulation/src/scenarios/urgent.ts
+++ b/tools/simulation/src/scenarios/urgent.ts
@@ -1,4 +1,4 @@
-// Scenario `urgent` (§9.4).
+// Scenario `urgent`: urgent turns while other classes borrow their slots (§9.4).
 import { type Microseconds, duration } from '@thornsail/runtime';
 import type { ShapeName } from '@thornsail/test-harness';
 import { fleet, type Fleet } from '../fleet/index.js';
@@ -6,11 +6,11 @@
 
 const urgentTurns = 60;
 const firstUrgentAfter = duration.s(1);
-const urgentOver = duration.s(7);
-/** The longest that an urgent turn may take. */
+const urgentSpan = duration.s(7);
+/** The maximum duration of an urgent turn. */
 const limitOf = (shape: ShapeName): Microseconds => duration.ms(shape === 'lautoka' ? 2000 : 1500);
 
-/** An urgent class beside the deployment's own. */
+/** An urgent class in addition to the deployment's own classes. */
 const notice = {
   kind: 'model',
   weight: 3,
@@ -35,57 +35,58 @@
     }),
   });
 
-/** What became of the urgent turns. */
-type UrgentTurns = { waits: Microseconds[]; refused: number; open: number };
-const sendUrgent = async (deployment: Fleet, turns: UrgentTurns, i: number): Promise<void> => {
-  turns.open += 1;
-  const begun = deployment.world.now();
-  const response = await deployment
+/** Durations of the urgent turns that were served, the number refused, and the number still in flight. */
+type UrgentTurns = { waits: Microseconds[]; refused: number; inFlight: number };
+const sendUrgent = async (sim: Fleet, turns: UrgentTurns, i: number): Promise<void> => {
+  turns.inFlight += 1;
+  const startedAt = sim.world.now();
+  const response = await sim
     .http(
-      gatewayAddress(deployment, i),
+      gatewayAddress(sim, i),
       'POST',
       '/v1/chat/completions',
       { messages: [{ role: 'user', content: `alarm ${i} [last]` }], max_tokens: 8, stream: false },
       { 'x-thornsail-program': `u-${i}`, 'x-thornsail-class': 'notice', 'x-thornsail-time-left-ms': '2000' },
     )
     .catch(() => undefined);
-  if (response?.status === 200) turns.waits.push(deployment.world.now() - begun);
+  if (response?.status === 200) turns.waits.push(sim.world.now() - startedAt);
   else turns.refused += 1;
-  turns.open -= 1;
+  turns.inFlight -= 1;
 };
 
-const judge = (deployment: Fleet, { waits, refused }: UrgentTurns, limit: Microseconds): Outcome => {
+const urgentOutcome = (sim: Fleet, { waits, refused }: UrgentTurns, limit: Microseconds): Outcome => {
   const sorted = [...waits].sort((a, b) => a - b);
   const worst = sorted[sorted.length - 1] ?? 0;
-  const outcome = outcomeOf(deployment, {
+  const outcome = outcomeOf(sim, {
     urgent_served: waits.length,
     urgent_refused: refused,
     urgent_p50_ms: duration.toMs(sorted[Math.floor(sorted.length / 2)] ?? 0),
     urgent_worst_ms: duration.toMs(worst),
-    crowd_rejected: deployment.callers.summary.rejected['busy'] ?? 0,
+    crowd_rejected: sim.callers.summary.rejected['busy'] ?? 0,
   });
   if (refused > 0) outcome.breaches.push(`${refused} urgent requests were refused under a crowd`);
   if (worst > limit) outcome.breaches.push(`an urgent request took ${duration.toMs(worst)} ms`);
-  if (outcome.figures['crowd_rejected'] === 0) outcome.breaches.push('there was no crowd: the scenario shows nothing');
+  if (outcome.figures['crowd_rejected'] === 0)
+    outcome.breaches.push('no crowd request was rejected, so nothing was verified');
   return outcome;
 };
 
-/** Urgent turns in a crowd that has borrowed their share of the slots. */
+/** Sends urgent turns while a crowd has borrowed the slots of the urgent class. */
 export const urgent: Scenario = {
-  rule: 'urgent work is never starved: borrowed shares are returned first',
+  rule: 'urgent work is never starved: borrowed slots are returned first',
   run: async (seed, shape, log) => {
-    const deployment = await openFleet(seed, shape, log);
-    const { rand } = deployment.world;
-    const crowd = deployment.load({ chats: 400, kept: 0, jobs: 0, spreadOver: duration.s(8) });
-    const turns: UrgentTurns = { waits: [], refused: 0, open: 0 };
+    const sim = await openFleet(seed, shape, log);
+    const { rand } = sim.world;
+    const crowd = sim.load({ chats: 400, kept: 0, jobs: 0, spreadOver: duration.s(8) });
+    const turns: UrgentTurns = { waits: [], refused: 0, inFlight: 0 };
     for (let i = 0; i < urgentTurns; i++)
-      deployment.world.scheduleAt(
-        deployment.world.now() + firstUrgentAfter + rand.int(urgentOver),
-        () => void sendUrgent(deployment, turns, i),
+      sim.world.scheduleAt(
+        sim.world.now() + firstUrgentAfter + rand.int(urgentSpan),
+        () => void sendUrgent(sim, turns, i),
       );
-    await run(deployment, duration.s(10));
-    await deployment.until('the urgent callers to end', () => turns.open === 0, duration.s(20));
-    await waitForLoad(deployment, crowd);
-    return judge(deployment, turns, limitOf(shape));
+    await run(sim, duration.s(10));
+    await sim.until('the urgent callers to finish', () => turns.inFlight === 0, duration.s(20));
+    await waitForLoad(sim, crowd);
+    return urgentOutcome(sim, turns, limitOf(shape));
   },
 };
--- a/tools/simulation/test/capacity.test.ts
+++ b/tools/simulation/test/capacity.test.ts
@@ -9,9 +9,9 @@
 import { measure } from '../src/measurement/capacity/index.js';
 import { needRows } from '../src/measurement/capacity/needs.js';
 import { capacity, slopeHead, slopeRows } from '../src/measurement/capacity/page.js';
-import { ways } from '../src/measurement/capacity/ways.js';
+import { alternatives } from '../src/measurement/capacity/ways.js';
 import { fit, type Point } from '../src/measurement/fit.js';
-import { hollow, kindOf, total } from '../src/measurement/hollow.js';
+import { hollowCluster, kindOf, total } from '../src/measurement/hollow.js';
 
 const page = readFileSync(fileURLToPath(new URL('../../../docs/CAPACITY.md', import.meta.url)), 'utf8');
 /** The cells of each table row of the page. */
@@ -29,23 +29,23 @@
     log: (input: number) => 2 + Math.log(input),
   };
   for (const shape of ['line', 'power', 'log'] as const) {
-    const fitted = fit.of(
+    const fitted = fit.leastSquares(
       inputs.map((input): Point => [input, functions[shape](input)]),
       shape,
     );
-    assert.ok(Math.abs(fit.at(fitted, 100) / functions[shape](100) - 1) < 1e-9, shape);
-    assert.ok(Math.abs(fit.reaches(fitted, functions[shape](50)) / 50 - 1) < 1e-9, shape);
+    assert.ok(Math.abs(fit.valueAt(fitted, 100) / functions[shape](100) - 1) < 1e-9, shape);
+    assert.ok(Math.abs(fit.solveForX(fitted, functions[shape](50)) / 50 - 1) < 1e-9, shape);
     assert.ok(fitted.r2 > 0.999999, shape);
   }
-  const flat = fit.of(
+  const flat = fit.leastSquares(
     [1, 2, 3, 4].map((input): Point => [input, input % 2 ? 9 : 11]),
     'flat',
   );
-  assert.equal([fit.at(flat, 1), fit.at(flat, 1e6), fit.reaches(flat, 20)], [10, 10, Infinity]);
+  assert.equal([fit.valueAt(flat, 1), fit.valueAt(flat, 1e6), fit.solveForX(flat, 20)], [10, 10, Infinity]);
   const falling: Point[] = [1, 2, 3, 4].map((input) => [input, 10 - input]);
-  assert.is(fit.reaches(fit.of(falling, 'line'), 20), Infinity);
+  assert.is(fit.solveForX(fit.leastSquares(falling, 'line'), 20), Infinity);
   const scattered: Point[] = [1, 2, 3, 4].map((input) => [input, input % 2 ? 10 : 1]);
-  assert.ok(fit.of(scattered, 'line').r2 < 0.5, 'a line through scattered points has a low r²');
+  assert.ok(fit.leastSquares(scattered, 'line').r2 < 0.5, 'a line through scattered points has a low r²');
 });
 test('figures have at most three significant digits and a unit prefix', () => {
   assert.equal([0.5, 12, 5_772, 48_211, 2.5e6, 3.1e9, Infinity].map(figure), [
@@ -60,7 +60,7 @@
 });
 test('a frame is counted under its kind, and a disseminated update under the first word of its name', async () => {
   assert.is(kindOf('[{"p":1,"k":2,"t":3,"n":4,"b":5},1,"tell","beat","",{"id":6,"inc":7},"beat-1",1]'), 'beat');
-  const cluster = await hollow.open({ edges: 2 });
+  const cluster = await hollowCluster.open({ edges: 2 });
   // The nodes may be up before the first heartbeat is due.
   await cluster!.run(duration.s(1));
   const kinds = new Set(cluster!.nodes.flatMap((node) => [...node.tally.sent.keys()]));
@@ -68,9 +68,9 @@
     assert.ok(kinds.has(kind), `no ${kind}`);
   assert.not(kinds.has('other'));
   const sent = cluster!.nodes.reduce((count, node) => count + total(node.tally.sent).messages, 0);
-  assert.is(sent, cluster!.w.frames(), 'the frames on the network are those that were counted');
+  assert.is(sent, cluster!.world.frames(), 'the frames on the network are those that were counted');
   assert.is(
-    await hollow.open({ edges: 2, within: 1 }),
+    await hollowCluster.open({ edges: 2, within: 1 }),
     undefined,
     'a cluster that takes too long to start is given up',
   );
@@ -81,7 +81,7 @@
   for (const slope of measurement.slopes) {
     assert.ok(slope.points.length >= 4, slope.name);
     assert.is(new Set(slope.points.map(([input]) => input)).size, slope.points.length, slope.name);
-    assert.ok(['measured', 'simulated'].includes(slope.mark), slope.name);
+    assert.ok(['measured', 'simulated'].includes(slope.origin), slope.name);
     assert.ok(
       [...slope.points.flat(), slope.fit.slope, slope.fit.base, slope.fit.r2].every(Number.isFinite),
       slope.name,
@@ -91,7 +91,7 @@
   for (const name of ['a version, by roster', 'the list of workers', 'load while turns change'])
     assert.ok(measurement.slopes.find((slope) => slope.name === name)!.fit.r2 > 0.99, name);
   assert.equal(
-    measurement.found[0]!.points.map(([, outcome]) => outcome).every(
+    measurement.checks[0]!.points.map(([, outcome]) => outcome).every(
       (outcome) => outcome === 'acknowledged' || outcome === 'unconfirmed',
     ),
     true,
@@ -114,12 +114,12 @@
     assert.not(expected.join().includes('NaN'), rowKey(expected));
     assert.is(rowsByKey.get(rowKey(expected))?.length, expected.length, `the page lacks ${rowKey(expected)}`);
   }
-  for (const [piece, way] of ways(measurement.slopes))
+  for (const [piece, way] of alternatives(measurement.slopes))
     assert.ok(rowsByKey.has(`${piece} | ${way}`), `the page lacks ${piece} | ${way}`);
   const firstCells = new Set(rows.map((row) => row[0]));
   for (const [failureName] of failures(measurement.slopes))
     assert.ok(firstCells.has(failureName), `the page lacks ${failureName}`);
-  for (const finding of measurement.found) assert.ok(firstCells.has(finding.what), `the page lacks ${finding.what}`);
+  for (const finding of measurement.checks) assert.ok(firstCells.has(finding.what), `the page lacks ${finding.what}`);
   const lines: string[] = [];
   capacity.print(measurement, (line) => lines.push(line));
   assert.ok(lines.length > measurement.slopes.length + needRows(measurement.slopes).length);
--- a/tools/simulation/test/load-dissemination.test.ts
+++ b/tools/simulation/test/load-dissemination.test.ts
@@ -3,7 +3,7 @@
 import * as assert from 'uvu/assert';
 import { loadPaths, type GatewayPeer } from '@thornsail/data-plane';
 import { invariant, duration } from '@thornsail/runtime';
-import { hollow, total, type Hollow, type HollowNode } from '../src/measurement/hollow.js';
+import { hollowCluster, total, type HollowCluster, type HollowNode } from '../src/measurement/hollow.js';
 
 const makePeers = (count: number, zones = 3): GatewayPeer[] =>
   Array.from({ length: count }, (_, i) => ({ id: `e${i}`, place: `10.0.0.${i}:1`, zone: `z${i % zones}` }));
@@ -43,8 +43,8 @@
 
 const edgeCount = 24;
 const worker = 'worker-00000';
-const openCluster = async (): Promise<Hollow> => {
-  const cluster = await hollow.open({ edges: edgeCount, workers: 33 });
+const openCluster = async (): Promise<HollowCluster> => {
+  const cluster = await hollowCluster.open({ edges: edgeCount, workers: 33 });
   assert.ok(cluster);
   await cluster.run(duration.s(2));
   return cluster;
@@ -60,16 +60,16 @@
 const runningSeenBy = (node: HollowNode): number => node.node!.dataPlane!.admission.runningAt(worker);
 
 /** Begins a turn at a gateway; returns the time until all gateways count it. */
-const timeUntilKnown = async (cluster: Hollow, node: HollowNode): Promise<number> => {
-  const gateways = cluster.of('gateway');
+const timeUntilKnown = async (cluster: HollowCluster, node: HollowNode): Promise<number> => {
+  const gateways = cluster.nodesOf('gateway');
   const before = runningSeenBy(node);
-  const startedAt = cluster.w.now();
+  const startedAt = cluster.world.now();
   beginTurn(node);
   assert.ok(
     await cluster.until(() => gateways.every((gateway) => runningSeenBy(gateway) === before + 1), duration.s(2)),
     'known everywhere',
   );
-  const elapsed = cluster.w.now() - startedAt;
+  const elapsed = cluster.world.now() - startedAt;
   await cluster.run(duration.s(1));
   return elapsed;
 };
@@ -77,7 +77,7 @@
 test('a turn at one of many gateways is known at all others within 0.46 s while slots are free', async () => {
   const cluster = await openCluster();
   for (const index of [0, 11, 23]) {
-    const elapsed = await timeUntilKnown(cluster, cluster.of('gateway')[index]!);
+    const elapsed = await timeUntilKnown(cluster, cluster.nodesOf('gateway')[index]!);
     assert.ok(elapsed <= duration.ms(460), `known everywhere after ${duration.toMs(elapsed)} ms`);
   }
   assert.equal(invariant.breaches(), []);
@@ -85,7 +85,7 @@
 
 test('a turn at one of many gateways is known at all others within 0.26 s while another turn waits', async () => {
   const cluster = await openCluster();
-  const gateways = cluster.of('gateway');
+  const gateways = cluster.nodesOf('gateway');
   for (let slot = 0; slot < 24; slot++) beginTurn(gateways[2]!);
   await cluster.run(duration.s(1));
   const waiting = gateways[3]!.node!.dataPlane!.admission;
@@ -100,7 +100,7 @@
 
 test('a gateway whose grid neighbour died gets load by dissemination until the membership changes', async () => {
   const cluster = await openCluster();
-  const gateways = cluster.of('gateway');
+  const gateways = cluster.nodesOf('gateway');
   cluster.kill(gateways[7]!);
   const survivors = gateways.filter((gateway) => gateway.node !== null);
   const before = runningSeenBy(survivors[0]!);
@@ -114,9 +114,10 @@
   const seconds = 4;
   cluster.clear();
   for (let step = 0; step < seconds * 10; step++) {
-    if (step % 2 === 0) for (const gateway of cluster.of('gateway')) beginTurn(gateway);
+    if (step % 2 === 0) for (const gateway of cluster.nodesOf('gateway')) beginTurn(gateway);
     else
-      for (const gateway of cluster.of('gateway')) gateway.node!.dataPlane!.admission.releaseSlot(worker, 'chat', null);
+      for (const gateway of cluster.nodesOf('gateway'))
+        gateway.node!.dataPlane!.admission.releaseSlot(worker, 'chat', null);
     await cluster.run(duration.ms(100));
   }
   /** Mean number of messages per second at a node of a role. */
@@ -125,7 +126,7 @@
     counter: 'sent' | 'got',
     matches: (kind: string) => boolean,
   ): number => {
-    const nodes = cluster.of(role);
+    const nodes = cluster.nodesOf(role);
     return nodes.reduce((sum, node) => sum + total(node.tally[counter], matches).messages, 0) / nodes.length / seconds;
   };
   const isLoad = (kind: string): boolean => kind === 'load' || kind === 'loads';
--- a/tools/test-harness/test/limits.test.ts
+++ b/tools/test-harness/test/limits.test.ts
@@ -15,8 +15,8 @@
 const allowed: Record<string, number> = {
   'max-lines': 3,
   'max-lines-per-function': 28,
-  'id-length': 80,
-  'jsdoc/require-jsdoc': 57,
+  'id-length': 0,
+  'jsdoc/require-jsdoc': 0,
 };
 
 test('the list of files over a limit only shrinks', () => {
