--- a/tools/simulation/src/measurement/registers.ts
+++ b/tools/simulation/src/measurement/registers.ts
@@ -84,17 +84,15 @@
   const proposers: Registers[] = [];
   for (const edge of storeIds) {
     const runtime = sim.runtime(sim.host(`127.0.1.${edge}`, `z${edge}`));
-    void rpc
-      .open(runtime, `127.0.1.${edge}:7101`)
-      .then(
-        (endpoint) =>
-          (proposers[edge - 1] = registers.open({
-            runtime,
-            rpc: endpoint,
-            clientId: `edge${edge}`,
-            group: () => group,
-          })),
-      );
+    void rpc.open(runtime, `127.0.1.${edge}:7101`).then(
+      (endpoint) =>
+        (proposers[edge - 1] = registers.open({
+          runtime,
+          rpc: endpoint,
+          clientId: `edge${edge}`,
+          group: () => group,
+        })),
+    );
   }
   await sim.run(duration.ms(200));
   const latencies: number[] = [];
