--- a/packages/consensus/src/group-maintenance.ts
+++ b/packages/consensus/src/group-maintenance.ts
@@ -106,7 +106,7 @@
     if (!step) return false;
     logStep(options, 'store', state, step);
     await options.consensus.propose((state) => {
-      if (!isStillNext(step, reader.stores(state))) return { state: state, result: false };
+      if (!isStillNext(step, reader.stores(state))) return { state, result: false };
       return step.change === 'remove'
         ? storeGroup.change(state, { remove: step.id })
         : storeGroup.change(state, { add: memberOf(state.nodes[step.id]!) });
@@ -121,12 +121,12 @@
     if (!step) return false;
     logStep(options, 'coordinator', version.state, step);
     await options.consensus.propose((state, members) => {
-      if (!isStillNext(step, reader.coordinators(state, members))) return { state: state, result: false };
+      if (!isStillNext(step, reader.coordinators(state, members))) return { state, result: false };
       const next =
         step.change === 'remove'
           ? members.filter((member) => member.id !== step.id)
           : [...members, memberOf(state.nodes[step.id]!)];
-      return { state: state, members: next, result: true };
+      return { state, members: next, result: true };
     });
     return true;
   };
--- a/packages/data-plane/src/warm-up/warm-up.ts
+++ b/packages/data-plane/src/warm-up/warm-up.ts
@@ -129,7 +129,7 @@
   cleanups.push(plane.close);
   const gateway = await runtime.net.serveHttp(loopback, plane.forward(dialect.byHeaders(names)), maxBodyBytes);
   cleanups.push(gateway.close);
-  const connection = runtime.net.connectHttp(gateway.at, { connectTimeout: connectTimeout });
+  const connection = runtime.net.connectHttp(gateway.at, { connectTimeout });
   cleanups.push(connection.close);
   return connection;
 };
