--- a/packages/admin-api/test/former-json.test.ts
+++ b/packages/admin-api/test/former-json.test.ts
@@ -49,7 +49,7 @@
   const core = { request: (request: CoreRequest) => Promise.resolve({ index: 47, value: valueOf(request) }) };
   const node = {
     runtime: { clock, rand: { id: () => 'r1' } },
-    rpc: { at: '10.0.4.1:7101', request: () => Promise.resolve(undefined) },
+    rpc: { address: '10.0.4.1:7101', request: () => Promise.resolve(undefined) },
     membership: { core, id: 'front-4', index: () => 47, isMember: () => true, stale: () => false },
     registers: {},
     role: 'gateway',
